--- /dev/null
+++ b/steering/losses/golden_test.go
@@ -0,0 +1,43 @@
+package losses_test
+
+import (
+	"encoding/json"
+	"testing"
+
+	"gotest.tools/v3/assert"
+	"gotest.tools/v3/golden"
+
+	"heatherlock/steering/losses"
+)
+
+// Guards against sums that the tools of operators no longer find in a log: a renamed field
+// that is encoded under its Go name, or a cause that is told in other words. Entry VMs write
+// sums as a list in a log line, encoded by json.Marshal.
+func TestGoldenSums(t *testing.T) {
+	full := losses.Sum{Kind: losses.Kind{Service: "tickets", Repeats: "once", AimMs: 400}, Asked: 1000, Again: 7, InAim: 600,
+		Late: map[losses.Cause]int{
+			losses.Queued: 1, losses.CameLate: 2, losses.Waited: 3, losses.Cold: 4, losses.Away: 5, losses.Other: 6},
+		Refused: map[losses.Cause]int{
+			losses.Starting: 11, losses.Behind: 12, losses.Unidentified: 13, losses.OverAllowance: 14, losses.NoHome: 15,
+			losses.NoTarget: 16, losses.Predicted: 17, losses.HeldBack: 18, losses.Budget: 19, losses.Short: 20},
+		Failed: map[losses.Cause]int{
+			losses.Shedding: 31, losses.Failing: 32, losses.Gone: 33, losses.Spoiled: 34, losses.Slow: 35, losses.CallerLeft: 36}}
+	sums := []losses.Sum{full, {Kind: losses.Kind{Service: "maps", Repeats: "idempotent"}, Asked: 1}}
+	raw, err := json.Marshal(sums)
+	assert.NilError(t, err)
+	golden.Assert(t, string(raw)+"\n", "golden/sums.json")
+
+	var read []losses.Sum
+	assert.NilError(t, json.Unmarshal(golden.Get(t, "golden/sums.json"), &read))
+	assert.DeepEqual(t, read, sums)
+	assert.Equal(t, losses.LineMessage, "answers", "tools find the line by this message")
+}
+
+// Guards against outcomes that are told in other words.
+func TestGoldenOutcomes(t *testing.T) {
+	names := ""
+	for _, o := range []losses.Outcome{losses.InAim, losses.Late, losses.Refused, losses.Failed} {
+		names += o.String() + "\n"
+	}
+	golden.Assert(t, names, "golden/outcomes.txt")
+}
--- /dev/null
+++ b/steering/spread/golden_test.go
@@ -0,0 +1,31 @@
+package spread_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/golden"
+
+	"heatherlock/steering"
+	"heatherlock/steering/identity"
+	"heatherlock/steering/routes"
+	"heatherlock/steering/spread"
+)
+
+// Guards against hashes of one configuration that differ between old and new entry VMs:
+// each would fetch all of it from the other, again and again, and operators would be told
+// that VMs follow other contents. The encoded pieces are pinned in node/gateway/catchup.
+func TestGoldenOutline(t *testing.T) {
+	rank := 3
+	table := routes.NewTable(7,
+		[]*routes.Route{{Name: "r1", Host: "a.example", Prefix: "/x/", Kind: routes.Upload, Timeout: time.Second, Aim: 400 * time.Millisecond, Rank: 2,
+			Parts: []routes.Part{{Service: "tickets", Weight: 90}, {Service: "maps", Weight: 10}}, MaxAttempts: 4, KeyAffinity: true,
+			Homes: []steering.Region{"norte"}, Public: true}},
+		[]*routes.Service{{Name: "tickets", HealthPath: "/health", MaxConnections: 390, ColdFor: 3 * time.Second, ColdRate: 7.5}},
+		routes.Limits{HeaderBytes: 16384, BodyBytes: 1 << 33, HeaderTimeout: 5 * time.Second, IdleTimeout: 15 * time.Second},
+		&identity.Workspace{Name: "w1", Keys: []identity.Digest{identity.DigestOf("key-one")}, Rank: &rank, Rate: 40, Burst: 20, Homes: []steering.Region{"sur"}})
+	outline := spread.NewIndex(table).Outline()
+	golden.Assert(t, fmt.Sprintf("version %d\nbuckets %016x\nrest %016x\ncontent %016x\n", outline.Version, outline.Buckets, outline.Rest, outline.ContentHash()),
+		"golden/outline.txt")
+}
