--- a/node/gateway/golden_internal_test.go
+++ b/node/gateway/golden_internal_test.go
@@ -8,9 +8,11 @@
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/golden"
 
+	"heatherlock/node/gateway/status"
 	"heatherlock/node/gateway/volume"
 	"heatherlock/node/telemetry"
 	"heatherlock/platform"
+	"heatherlock/steering"
 )
 
 var stamp = regexp.MustCompile(`"ts":"[^"]*"`)
@@ -33,3 +35,17 @@
 	assert.Equal(t, headerConfig, "Heatherlock-Config")
 	assert.Equal(t, contentText(0xbadcafe), "0badcafe")
 }
+
+// Guards against a page that breaks off: its template names fields, which no compiler checks.
+func TestGoldenPage(t *testing.T) {
+	behind := status.Row{Peer: status.Peer{VM: "vm-2", Zone: "sur-a", ConfigVersion: 16}}
+	o := status.Overview{Newest: 17, Live: 2, Gone: 1, Zones: []status.ZoneVersion{{Zone: "norte-a", Version: 17, Content: "0badcafe", VMs: 3, InForceMs: 9001}},
+		Rejected: []status.Rejected{{Version: "r20", Reason: "route x names no service"}}}
+	apart := o
+	apart.Outliers = []status.Outlier{{Row: behind, Why: "behind"}}
+	for name, view := range map[string]status.View{"agree": {Overview: o}, "apart": {Overview: apart, Silent: []steering.Zone{"oeste-a"}}} {
+		var page bytes.Buffer
+		assert.NilError(t, pageTemplate.Execute(&page, view))
+		golden.Assert(t, page.String(), "golden/page-"+name+".html")
+	}
+}
