--- a/steering/allowance/account.go
+++ b/steering/allowance/account.go
@@ -6,256 +6,265 @@
 )
 
 const (
-	// AskFor is how long a request waits for the owner's answer: a few ways over the
-	// longest link.
+	// AskFor is how long a request waits for the owner's reply. It covers several one-way trips
+	// over the longest link.
 	AskFor = 150 * time.Millisecond
-	// AskAgain is when an answer that has not come is asked for once more.
+	// AskAgain is how long a VM waits for a reply before it sends another report.
 	AskAgain = 60 * time.Millisecond
-	// silentAfter is how long an owner may leave reports unanswered until a VM goes on
-	// alone.
-	silentAfter = 2 * AskFor
-	// demandTime is over which time demand is averaged.
-	demandTime = time.Second
-	// debtShare is the part of its equal share of the burst that a VM lets run before it
-	// has reported it.
-	debtShare = 0.25
-	// shortestReturn and longestReturn bound Retry-After.
-	shortestReturn = 100 * time.Millisecond
-	longestReturn  = 2 * time.Second
+	// ownerUnresponsiveAfter is how long an owner may leave reports unanswered before a VM
+	// decides without it.
+	ownerUnresponsiveAfter = 2 * AskFor
+	// demandTimeConstant is the time constant of the exponential average of the demand.
+	demandTimeConstant = time.Second
+	// unreportedBurstShare is the fraction of a VM's equal share of the burst that the VM may
+	// admit before it has reported it.
+	unreportedBurstShare = 0.25
+	// minRetryAfter and maxRetryAfter bound the Retry-After delay, before its jitter.
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = 2 * time.Second
 )
 
-// Verdict is what becomes of a request.
+// Verdict is the decision on a request.
 type Verdict uint8
 
-// Verdicts.
+// Possible verdicts.
 const (
-	// Admitted: it may run.
+	// Admitted means that the request may run.
 	Admitted Verdict = iota
-	// Ask: the owner is to be asked first.
+	// Ask means that the VM has to ask the owner for a credit first.
 	Ask
-	// Refused: the workspace is beyond its allowance.
+	// Refused means that the workspace has exceeded its allowance.
 	Refused
 )
 
-// Account is an entry VM's side of one workspace. It is not safe for concurrent use.
+// Account is an entry VM's state for one workspace. It is not safe for concurrent use.
 type Account struct {
 	limit   Limit
 	members int
 
-	credits float64
-	used    int64
-	known   int64 // as confirmed by an owner
-	debt    float64
-	usedAt  time.Time // when a credit was used last
-	number  uint32    // of the last report
-	// unconfirmed is set while an owner does not know what is used and held here.
+	credits      float64
+	used         int64
+	confirmed    int64     // part of used that an owner has confirmed
+	unreported   float64   // requests admitted without a credit since the last reply
+	lastUsedAt   time.Time // when the last request was admitted
+	reportNumber uint32    // number of the last report
+	// unconfirmed is set while the owner may not know the current values of used and credits.
 	unconfirmed bool
 
-	demand   float64 // requests per second
-	demandAt time.Time
+	demand          float64 // requests per second
+	demandUpdatedAt time.Time
 
-	tightUntil   time.Time
-	blockedUntil time.Time
-	nextReturn   time.Time
-	share        float64
+	lowUntil     time.Time // until then the bucket is assumed to be low
+	blockedUntil time.Time // until then requests are refused without asking
+	nextRetryAt  time.Time // earliest retry for the next refused request
+	demandShare  float64   // this VM's fraction of the demand, from the last reply
 
-	askedAt    time.Time // of the first report without an answer; zero without one
-	reportedAt time.Time
-	waiting    int
+	unansweredSince time.Time // time of the first unanswered report; zero if there is none
+	lastReportAt    time.Time
+	waiting         int // requests that wait for a reply
 
-	alone bucket
+	localBucket bucket // see Alone
 }
 
-// NewAccount returns the account of a workspace with a limit, in a fleet of so many VMs.
+// NewAccount returns the account of a workspace with the given limit, in a fleet of the given
+// number of entry VMs.
 func NewAccount(now time.Time, limit Limit, members int) *Account {
-	a := &Account{demandAt: now}
+	a := &Account{demandUpdatedAt: now}
 	a.Configure(now, limit, members)
 	return a
 }
 
-// Configure puts a limit in force. Credits lent under another one are given up.
+// Configure applies a limit and a fleet size. A changed limit discards the credits that were lent
+// under the previous one.
 func (a *Account) Configure(now time.Time, limit Limit, members int) {
 	a.members = max(members, 1)
 	if limit == a.limit {
 		return
 	}
 	if limit.Rate > a.limit.Rate {
-		a.blockedUntil, a.nextReturn = time.Time{}, time.Time{}
+		a.blockedUntil, a.nextRetryAt = time.Time{}, time.Time{}
 	}
 	a.limit = limit
 	a.credits = 0
 }
 
-// Limit returns the limit in force here.
+// Limit returns the limit in force.
 func (a *Account) Limit() Limit { return a.limit }
 
-// Arrived counts a request that asks to run.
+// Arrived records the arrival of a request in the demand.
 func (a *Account) Arrived(now time.Time) {
-	a.fade(now)
-	a.demand += 1 / demandTime.Seconds()
+	a.decayDemand(now)
+	a.demand += 1 / demandTimeConstant.Seconds()
 }
 
-func (a *Account) fade(now time.Time) {
-	if passed := now.Sub(a.demandAt); passed > 0 {
-		a.demand *= math.Exp(-passed.Seconds() / demandTime.Seconds())
-		a.demandAt = now
+func (a *Account) decayDemand(now time.Time) {
+	if elapsed := now.Sub(a.demandUpdatedAt); elapsed > 0 {
+		a.demand *= math.Exp(-elapsed.Seconds() / demandTimeConstant.Seconds())
+		a.demandUpdatedAt = now
 	}
 }
 
-// Admit decides on a request that has arrived, and counts it if it may run.
+// Admit decides on a request whose arrival was recorded, and counts it as used if it may run.
 func (a *Account) Admit(now time.Time) Verdict {
 	switch {
 	case now.Before(a.blockedUntil):
 		return Refused
 	case a.credits >= 1:
 		a.credits--
-		a.use(now)
+		a.recordUse(now)
 		return Admitted
-	case !now.Before(a.tightUntil) && a.debt+1 <= a.mostDebt() && !a.Silent(now):
-		a.debt++
-		a.use(now)
+	case !now.Before(a.lowUntil) && a.unreported+1 <= a.maxUnreported() && !a.Silent(now):
+		a.unreported++
+		a.recordUse(now)
 		return Admitted
 	}
 	return Ask
 }
 
-func (a *Account) use(now time.Time) {
+func (a *Account) recordUse(now time.Time) {
 	a.used++
-	a.usedAt, a.unconfirmed = now, true
+	a.lastUsedAt, a.unconfirmed = now, true
 }
 
-// mostDebt is how many requests may run here before their report is answered.
-func (a *Account) mostDebt() float64 {
-	return math.Max(1, debtShare*a.limit.Burst/float64(a.members))
+// maxUnreported returns how many requests the VM may admit without a credit before the owner
+// replies to the report on them.
+func (a *Account) maxUnreported() float64 {
+	return math.Max(1, unreportedBurstShare*a.limit.Burst/float64(a.members))
 }
 
-// Alone decides on a request whose owner does not answer: it may run by this VM's part of
-// the rate.
+// Alone decides on a request without the owner, which does not reply. It admits requests at this
+// VM's share of the rate.
 func (a *Account) Alone(now time.Time) bool {
-	share := math.Max(a.share, 1/float64(a.members))
-	if a.alone.at.IsZero() {
-		a.alone.at, a.alone.tokens = now, 1
+	demandShare := math.Max(a.demandShare, 1/float64(a.members))
+	if a.localBucket.updatedAt.IsZero() {
+		a.localBucket.updatedAt, a.localBucket.tokens = now, 1
 	}
-	a.alone.set(now, a.limit.scaled(share))
-	if a.alone.tokens < 1 {
+	a.localBucket.setLimit(now, a.limit.scaled(demandShare))
+	if a.localBucket.tokens < 1 {
 		return false
 	}
-	a.alone.tokens--
-	a.use(now)
+	a.localBucket.tokens--
+	a.recordUse(now)
 	return true
 }
 
-// Silent reports whether the owner has left reports unanswered for long.
+// Silent reports whether the owner has left reports unanswered for longer than
+// ownerUnresponsiveAfter.
 func (a *Account) Silent(now time.Time) bool {
-	return !a.askedAt.IsZero() && now.Sub(a.askedAt) > silentAfter
+	return !a.unansweredSince.IsZero() && now.Sub(a.unansweredSince) > ownerUnresponsiveAfter
 }
 
-// NewOwner tells that another VM owns the workspace.
-func (a *Account) NewOwner() { a.askedAt = time.Time{} }
+// NewOwner resets the wait for a reply when another VM becomes the owner of the workspace.
+func (a *Account) NewOwner() { a.unansweredSince = time.Time{} }
 
-// Return gives back the credit of a request that did not run.
+// Return takes back the credit of an admitted request that did not run.
 func (a *Account) Return() {
 	a.used--
 	a.credits++
 	a.unconfirmed = true
 }
 
-// Ran counts one more run of a request that was admitted.
+// Ran counts one more execution of a request that was admitted.
 func (a *Account) Ran() {
 	a.used++
 	a.credits = math.Max(0, a.credits-1)
 	a.unconfirmed = true
 }
 
-// Wait and Waited count the requests that wait for the owner's answer.
+// Wait and Waited add and remove a request that waits for the owner's reply.
 func (a *Account) Wait()   { a.waiting++ }
 func (a *Account) Waited() { a.waiting-- }
 
-// Due reports whether the owner is to be told now.
+// Due reports whether a report to the owner is due.
 func (a *Account) Due(now time.Time) bool {
-	sinceReport := now.Sub(a.reportedAt)
+	sinceReport := now.Sub(a.lastReportAt)
 	switch {
-	case !a.askedAt.IsZero() && sinceReport < AskAgain:
-		return false // the answer may be under way
+	case !a.unansweredSince.IsZero() && sinceReport < AskAgain:
+		return false // the reply may still arrive
 	case a.waiting > 0:
 		return !now.Before(a.blockedUntil)
-	case a.unconfirmed && a.debt > 0:
+	case a.unconfirmed && a.unreported > 0:
 		return true
-	case a.unconfirmed, a.spare(now):
-		return sinceReport >= ReportEvery
+	case a.unconfirmed, a.hasIdleCredits(now):
+		return sinceReport >= ReportInterval
 	}
 	return false
 }
 
-// spare reports whether credits lie here that nobody uses.
-func (a *Account) spare(now time.Time) bool {
-	return a.credits > 0 && now.Sub(a.usedAt) > idleAfter
+// hasIdleCredits reports whether the account holds credits that were not used for
+// creditIdleTimeout.
+func (a *Account) hasIdleCredits(now time.Time) bool {
+	return a.credits > 0 && now.Sub(a.lastUsedAt) > creditIdleTimeout
 }
 
-// Report returns what to tell the owner. Credits that nobody uses are given back.
+// Report returns the next report to the owner; the caller sets its Workspace. It gives idle
+// credits back to the owner.
 func (a *Account) Report(now time.Time) Report {
-	a.fade(now)
-	if a.askedAt.IsZero() {
-		a.askedAt = now
+	a.decayDemand(now)
+	if a.unansweredSince.IsZero() {
+		a.unansweredSince = now
 	}
-	if a.spare(now) {
+	if a.hasIdleCredits(now) {
 		a.credits = 0
 	}
-	a.number++
-	a.reportedAt, a.unconfirmed = now, true
-	return Report{Number: a.number, Used: a.used, Known: a.known, Held: float32(a.credits), Waiting: a.waiting, Demand: float32(a.demand)}
+	a.reportNumber++
+	a.lastReportAt, a.unconfirmed = now, true
+	return Report{Number: a.reportNumber, Used: a.used, Known: a.confirmed, Held: float32(a.credits), Waiting: a.waiting, Demand: float32(a.demand)}
 }
 
-// Replied takes in the owner's answer, unless it is to another report than the last: the
-// owner has taken the credits of earlier answers back.
+// Replied applies the owner's reply to the last report. It ignores replies to earlier reports:
+// the owner took their credits back when it received a later one.
 func (a *Account) Replied(now time.Time, r Reply) {
-	if r.Number != a.number || a.askedAt.IsZero() {
+	if r.Number != a.reportNumber || a.unansweredSince.IsZero() {
 		return
 	}
-	a.askedAt = time.Time{}
-	a.known = r.Used
+	a.unansweredSince = time.Time{}
+	a.confirmed = r.Used
 	a.credits += float64(r.Credits)
 	a.unconfirmed = a.used != r.Used
-	a.debt = 0
-	a.share = float64(r.Share)
+	a.unreported = 0
+	a.demandShare = float64(r.Share)
 	if r.Tight {
-		a.tightUntil = now.Add(TightFor)
+		a.lowUntil = now.Add(TightFor)
 	} else {
-		a.tightUntil = time.Time{}
+		a.lowUntil = time.Time{}
 	}
 	if r.WaitMs > 0 {
 		a.blockedUntil = now.Add(milliseconds(r.WaitMs))
 	}
 }
 
-// Tight tells that the bucket is low, as heard from another VM than the owner.
+// Tight records that the bucket is low until the given time, as another VM than the owner
+// reported.
 func (a *Account) Tight(until time.Time) {
-	if until.After(a.tightUntil) {
-		a.tightUntil = until
+	if until.After(a.lowUntil) {
+		a.lowUntil = until
 	}
 }
 
-// Idle reports whether nothing is left to report or to wait for.
+// Idle reports whether the account has nothing to report or to wait for and has had no request
+// for idleRetention.
 func (a *Account) Idle(now time.Time) bool {
-	return a.waiting == 0 && !a.unconfirmed && a.credits == 0 && now.Sub(a.demandAt) > forgetAfter
+	return a.waiting == 0 && !a.unconfirmed && a.credits == 0 && now.Sub(a.demandUpdatedAt) > idleRetention
 }
 
-// RetryAfter returns when a refused request may come back: when a credit accrues for it
-// behind those that were refused before it, so that callers do not return together. spread
-// is a number from 0 to 1 of the request.
+// RetryAfter returns the delay after which a refused request should be retried: the time until a
+// credit accrues for it, counted after those for the requests that were refused before it, so
+// that callers do not retry all at once. spread is a number from 0 to 1 that the caller derives
+// from the request; it sets the jitter.
 func (a *Account) RetryAfter(now time.Time, spread float64) time.Duration {
-	rate := a.limit.Rate * math.Max(a.share, 1/float64(a.members))
-	next := now.Add(shortestReturn)
+	rate := a.limit.Rate * math.Max(a.demandShare, 1/float64(a.members))
+	next := now.Add(minRetryAfter)
 	if a.blockedUntil.After(next) {
 		next = a.blockedUntil
 	}
-	if a.nextReturn.After(next) {
-		next = a.nextReturn
+	if a.nextRetryAt.After(next) {
+		next = a.nextRetryAt
 	}
-	latest := now.Add(longestReturn)
+	latest := now.Add(maxRetryAfter)
 	if next.After(latest) {
 		next = latest
 	}
-	a.nextReturn = next.Add(time.Duration(math.Min(1/rate, longestReturn.Seconds()) * float64(time.Second)))
+	a.nextRetryAt = next.Add(time.Duration(math.Min(1/rate, maxRetryAfter.Seconds()) * float64(time.Second)))
 	return time.Duration(float64(next.Sub(now)) * (0.75 + 0.5*spread))
 }
--- a/steering/allowance/bucket.go
+++ b/steering/allowance/bucket.go
@@ -5,75 +5,78 @@
 	"time"
 )
 
-// Limit is what a workspace may have run.
+// Limit is the rate limit of a workspace.
 type Limit struct {
 	// Rate is in requests per second.
 	Rate float64
-	// Burst is how many more may run at once.
+	// Burst is the number of requests that may run at once beyond the rate.
 	Burst float64
 }
 
-// scaled returns a part of a limit, with room for one request.
-func (l Limit) scaled(part float64) Limit {
-	return Limit{Rate: l.Rate * part, Burst: math.Max(l.Burst*part, 1)}
+// scaled returns the given fraction of a limit, with a burst of at least one request.
+func (l Limit) scaled(fraction float64) Limit {
+	return Limit{Rate: l.Rate * fraction, Burst: math.Max(l.Burst*fraction, 1)}
 }
 
-// Slack is what may run beyond a limit, as agreed with the operators, in any Window.
+// Slack is how far the requests of a workspace may exceed its limit in any Window, as agreed with
+// the operators.
 type Slack struct {
 	Window time.Duration
-	// Share is a part of what the limit allows in a window, Requests a number beside it.
+	// Share is a fraction of what the limit allows in a window. Requests is an absolute number
+	// that is added to it.
 	Share    float64
 	Requests float64
 }
 
 const (
-	// usedSlack is the part of the slack that callers get, and freshSlack that with which a
-	// new bucket begins. The rest covers what VMs let run before they hear that a bucket
-	// is low.
-	usedSlack  = 0.5
-	freshSlack = 0.25
-	// burstPart is the part of the burst that may run at once, and leastBurst how many
-	// requests may in any case, if the burst has as many.
-	burstPart  = 1.0 / 3
-	leastBurst = 10
+	// enforcedSlackShare is the fraction of the slack that the bucket grants to callers, and
+	// newBucketSlackShare the fraction with which a new bucket starts. The rest covers the
+	// requests that VMs admit before they know that a bucket is low.
+	enforcedSlackShare  = 0.5
+	newBucketSlackShare = 0.25
+	// enforcedBurstShare is the fraction of the burst that may run at once. At least
+	// minEnforcedBurst requests may, if the burst is that large.
+	enforcedBurstShare = 1.0 / 3
+	minEnforcedBurst   = 10
 )
 
-// enforced returns the bucket that holds a limit: in any window as much as the limit allows,
-// and a part of the slack. A bucket of the plain rate would refuse a workspace that asks
-// evenly for all that the burst allows it in each window.
+// enforced returns the limit of the bucket that enforces l: it allows as many requests in any
+// window as l does, plus a part of the slack. A bucket with just the rate of l would refuse a
+// workspace that spreads the requests of its burst evenly over each window.
 func (s Slack) enforced(l Limit) Limit {
 	if s.Window <= 0 {
 		return l
 	}
-	allowed := (l.Rate*s.Window.Seconds()+l.Burst)*(1+usedSlack*s.Share) + usedSlack*s.Requests
-	burst := math.Min(l.Burst, math.Max(burstPart*l.Burst, leastBurst))
+	allowed := (l.Rate*s.Window.Seconds()+l.Burst)*(1+enforcedSlackShare*s.Share) + enforcedSlackShare*s.Requests
+	burst := math.Min(l.Burst, math.Max(enforcedBurstShare*l.Burst, minEnforcedBurst))
 	return Limit{Rate: (allowed - burst) / s.Window.Seconds(), Burst: burst}
 }
 
-// fresh returns the credits of a new bucket, whose predecessor may just have been emptied.
-func (s Slack) fresh(l Limit) float64 {
+// initialTokens returns the tokens of a new bucket. It is small because the bucket of the
+// previous owner may just have been emptied.
+func (s Slack) initialTokens(l Limit) float64 {
 	allowed := l.Rate*s.Window.Seconds() + l.Burst
-	return math.Min(l.Burst, math.Max(1, freshSlack*(s.Share*allowed+s.Requests)))
+	return math.Min(l.Burst, math.Max(1, newBucketSlackShare*(s.Share*allowed+s.Requests)))
 }
 
-// bucket is a token bucket that can be in debt.
+// bucket is a token bucket whose tokens may be negative.
 type bucket struct {
-	limit  Limit
-	tokens float64
-	at     time.Time
+	limit     Limit
+	tokens    float64
+	updatedAt time.Time
 }
 
-// settle adds what has accrued.
-func (b *bucket) settle(now time.Time) {
-	if passed := now.Sub(b.at); passed > 0 {
-		b.tokens = math.Min(b.limit.Burst, b.tokens+passed.Seconds()*b.limit.Rate)
-		b.at = now
+// refill adds the tokens that have accrued since the last refill.
+func (b *bucket) refill(now time.Time) {
+	if elapsed := now.Sub(b.updatedAt); elapsed > 0 {
+		b.tokens = math.Min(b.limit.Burst, b.tokens+elapsed.Seconds()*b.limit.Rate)
+		b.updatedAt = now
 	}
 }
 
-// set puts a limit in force. What was saved beyond a lower burst is lost.
-func (b *bucket) set(now time.Time, l Limit) {
-	b.settle(now)
+// setLimit applies a limit. Tokens above a lower burst are lost.
+func (b *bucket) setLimit(now time.Time, l Limit) {
+	b.refill(now)
 	b.limit = l
 	b.tokens = math.Min(b.tokens, l.Burst)
 }
--- a/steering/allowance/doc.go
+++ b/steering/allowance/doc.go
@@ -1,30 +1,33 @@
-// Package allowance bounds how many requests of a workspace run per second, over all
-// entry VMs together, without a message for most requests.
+// Package allowance enforces a request rate limit per workspace across all entry VMs, without
+// sending a message for most requests.
 //
-// A workspace has one owner among the live entry VMs (OwnerOf). The owner keeps its
-// token bucket, the Ledger, and lends credits from it to the VMs that its callers use. A VM
-// takes a credit for each request (Account.Admit), reports what it used, and gets as many
-// new credits as its callers are likely to need until the next report.
+// A workspace has one owner among the live entry VMs (OwnerOf). The owner keeps the token bucket
+// of the workspace in its Ledger and lends credits from it to the VMs that receive the
+// workspace's requests. A VM spends one credit per request (Account.Admit), reports its usage to
+// the owner, and receives as many new credits as its callers are likely to need until the next
+// report.
 //
-// How the bound holds:
+// How the limit is enforced:
 //
-//   - Credits lie either in the bucket or with one VM, and no clock moves them: a VM gives
-//     back what nobody uses, and what a VM held that has ended counts as used.
-//   - A report tells all that a VM has used and holds, so that a lost report or answer is
-//     made good by the next report. Answers to earlier reports count for nothing.
-//   - While the bucket is not low, a VM without credits may let a few requests run at once
-//     and report them. It is told when the bucket runs low (Tight), by the owner's
-//     answers and by heartbeats; from then on it asks first.
-//   - An owner that hears a part of the fleet lends that part of the limit: the parts of a
-//     fleet that is cut in two add up to one limit, whoever owns what.
-//   - A new owner does not know what its predecessor lent. It begins with a part of the
-//     burst that the agreed slack covers.
+//   - A credit is either in the bucket or held by one VM. It does not expire: a VM returns the
+//     credits that it does not use, and the credits that a crashed VM held count as used.
+//   - A report carries the VM's totals of used and held credits, so the next report makes up for
+//     a lost report or reply. Replies to earlier reports are ignored.
+//   - While the bucket is not low, a VM without credits may admit a few requests at once and
+//     report them afterwards. The owner's replies and the heartbeats of other VMs notify it when
+//     the bucket is low (Account.Tight); from then on it asks the owner before it admits a
+//     request.
+//   - An owner that can reach only a part of the fleet lends only that part of the limit. The
+//     sides of a network partition therefore add up to one limit, whichever VMs own the
+//     workspace.
+//   - A new owner does not know what its predecessor lent. It starts with a part of the burst
+//     that the agreed slack covers.
 //
-// A VM whose owner does not answer goes on with the part of the rate that the owner last
-// said it has (Account.Alone).
+// A VM whose owner does not reply continues with the share of the rate that the owner last
+// reported to it (Account.Alone).
 //
-// Trade-offs. The bound is strict for what is lent, and holds within the agreed slack for
-// what VMs let run before they hear that a bucket is low. Splitting the limit into fixed
-// parts needs no owner, but a workspace with less than a request per second and VM then
-// finds most parts empty. Following demand by heartbeats alone moves parts by seconds.
+// Trade-offs: the limit is strict for lent credits, and holds within the agreed slack for the
+// requests that VMs admit before they know that a bucket is low. Splitting the limit into fixed
+// parts would need no owner, but a workspace with less than one request per second and VM would
+// find most parts empty. Moving the parts by the demand in heartbeats alone would lag by seconds.
 package allowance
--- a/steering/allowance/ledger.go
+++ b/steering/allowance/ledger.go
@@ -8,94 +8,96 @@
 )
 
 const (
-	// idleAfter is how long a VM keeps credits that nobody uses.
-	idleAfter = time.Second
-	// activeFor is how long a VM's last report tells its demand.
-	activeFor = 2 * time.Second
-	// horizon is for how long a VM gets credits in advance: two reports.
-	horizon = 2 * ReportEvery
-	// ReportEvery is the pause between two reports of a VM on a workspace in use.
-	ReportEvery = 250 * time.Millisecond
-	// lowTokens is the part of the burst below which a bucket is low.
-	lowTokens = 0.25
-	// readyPart is the part of what is in the bucket that one VM gets in advance at most.
-	readyPart = 0.25
-	// longestBlock bounds how long a VM without credits is told to wait before it asks
-	// again.
-	longestBlock = time.Second
-	// TightFor is how long the news of a low bucket holds.
+	// creditIdleTimeout is how long a VM keeps credits that it does not use.
+	creditIdleTimeout = time.Second
+	// demandTTL is how long the demand of a VM's last report counts.
+	demandTTL = 2 * time.Second
+	// creditHorizon is the time for which a VM receives credits in advance: two report intervals.
+	creditHorizon = 2 * ReportInterval
+	// ReportInterval is the time between two reports of a VM on a workspace in use.
+	ReportInterval = 250 * time.Millisecond
+	// lowBucketShare is the fraction of the burst below which a bucket is low.
+	lowBucketShare = 0.25
+	// maxGrantShare is the largest fraction of the tokens in a well filled bucket that one VM
+	// receives in advance.
+	maxGrantShare = 0.25
+	// maxWait bounds how long a VM without credits has to wait before it asks again.
+	maxWait = time.Second
+	// TightFor is how long a notice of a low bucket stays in effect.
 	TightFor = 1500 * time.Millisecond
-	// forgetAfter is how long a workspace that nobody reports is kept.
-	forgetAfter = 30 * time.Second
+	// idleRetention is how long the state of a workspace, or of a VM's loan, is kept without a
+	// report.
+	idleRetention = 30 * time.Second
 )
 
-// Ledger holds the buckets of the workspaces that an entry VM owns. It is not safe for
-// concurrent use.
+// Ledger holds the buckets of the workspaces that an entry VM owns. It is not safe for concurrent
+// use.
 type Ledger struct {
-	slack    Slack
-	part     float64
-	accounts map[ID]*owned
+	slack      Slack
+	fleetShare float64
+	buckets    map[ID]*ownedBucket
 }
 
-// owned is a bucket and the credits lent from it.
-type owned struct {
+// ownedBucket is a bucket and the credits that were lent from it.
+type ownedBucket struct {
 	bucket
-	declared Limit
-	loans    map[steering.VM]*loan
-	flooded  bool
-	usedAt   time.Time
+	configured   Limit
+	loans        map[steering.VM]*loan
+	overloaded   bool
+	lastReportAt time.Time
 }
 
-// loan is what one VM has.
+// loan is what one VM holds and has used.
 type loan struct {
 	incarnation uint32
-	number      uint32 // of its last report
+	lastNumber  uint32 // number of its last report
 	credits     float64
 	used        int64 // as last reported
 	demand      float64
-	heard       time.Time
+	reportedAt  time.Time
 }
 
 // NewLedger returns a ledger without workspaces.
 func NewLedger(slack Slack) *Ledger {
-	return &Ledger{slack: slack, part: 1, accounts: make(map[ID]*owned)}
+	return &Ledger{slack: slack, fleetShare: 1, buckets: make(map[ID]*ownedBucket)}
 }
 
-// SetPart tells which part of the fleet this VM hears, from 0 to 1. Its buckets hold that
-// part of each limit. A part that comes in addition brings what a new bucket holds.
-func (l *Ledger) SetPart(now time.Time, part float64) {
-	if part == l.part {
+// SetPart sets the fraction of the fleet that this VM can reach, from 0 to 1. The buckets enforce
+// that fraction of each limit. When the fraction grows, each bucket also gains the added fraction
+// of the tokens that a new bucket starts with.
+func (l *Ledger) SetPart(now time.Time, fleetShare float64) {
+	if fleetShare == l.fleetShare {
 		return
 	}
-	more := part - l.part
-	l.part = part
-	for _, o := range l.accounts {
-		o.set(now, l.slack.enforced(o.declared).scaled(part))
-		if more > 0 {
-			o.tokens = math.Min(o.limit.Burst, o.tokens+more*l.slack.fresh(o.declared))
+	added := fleetShare - l.fleetShare
+	l.fleetShare = fleetShare
+	for _, o := range l.buckets {
+		o.setLimit(now, l.slack.enforced(o.configured).scaled(fleetShare))
+		if added > 0 {
+			o.tokens = math.Min(o.limit.Burst, o.tokens+added*l.slack.initialTokens(o.configured))
 		}
 	}
 }
 
-// Report takes in a VM's report on a workspace with a limit, and returns the answer; ok is
-// false for one that came late and counts for nothing. News tells that the bucket has just
-// become low while callers ask more than the rate: all VMs are to hear of that, not only
-// those that report.
+// Report applies a VM's report on a workspace with the given limit and returns the reply. ok is
+// false for an out-of-date report, which is not applied. becameLow is true if the bucket has just
+// become low while the demand exceeds the rate: all VMs have to be notified then, not only those
+// that report.
 //
-// Credits in the bucket, credits held and requests that ran add up to what has accrued,
-// whatever reports and answers are lost: an answer that did not arrive shows by what the
-// VM still holds.
-func (l *Ledger) Report(now time.Time, vm steering.VM, incarnation uint32, limit Limit, r Report) (reply Reply, news, ok bool) {
-	o := l.account(now, r.Workspace, limit)
-	o.settle(now)
-	o.usedAt = now
-	b := o.loanOf(vm, incarnation, r)
-	if r.Number <= b.number {
+// The tokens in the bucket, the held credits and the requests that ran always add up to what has
+// accrued, whichever reports and replies are lost: what the VM still holds shows whether the last
+// reply arrived.
+func (l *Ledger) Report(now time.Time, vm steering.VM, incarnation uint32, limit Limit, r Report) (reply Reply, becameLow, ok bool) {
+	o := l.bucketFor(now, r.Workspace, limit)
+	o.refill(now)
+	o.lastReportAt = now
+	b := o.loanFor(vm, incarnation, r)
+	if r.Number <= b.lastNumber {
 		return Reply{}, false, false
 	}
 	held := math.Max(0, float64(r.Held))
 	o.tokens = math.Min(o.limit.Burst, o.tokens+b.credits-held-float64(r.Used-b.used))
-	b.number, b.used, b.demand, b.heard = r.Number, r.Used, float64(r.Demand), now
+	b.lastNumber, b.used, b.demand, b.reportedAt = r.Number, r.Used, float64(r.Demand), now
 	demand := o.demand(now)
 	share := b.demand / math.Max(demand, math.SmallestNonzeroFloat64)
 	reply = Reply{Workspace: r.Workspace, Number: r.Number, Used: r.Used, Share: float32(share)}
@@ -103,44 +105,45 @@
 	o.tokens -= float64(reply.Credits)
 	b.credits = held + float64(reply.Credits)
 	if r.Waiting > 0 && b.credits < 1 {
-		reply.WaitMs = uint32(o.wait(demand, share).Milliseconds()) + 1
+		reply.WaitMs = uint32(o.waitForCredit(demand, share).Milliseconds()) + 1
 	}
 	reply.Tight = o.low()
-	before := o.flooded
-	o.flooded = reply.Tight && demand > o.limit.Rate
-	return reply, o.flooded && !before, true
+	wasOverloaded := o.overloaded
+	o.overloaded = reply.Tight && demand > o.limit.Rate
+	return reply, o.overloaded && !wasOverloaded, true
 }
 
-// low reports whether VMs have to ask before a request runs.
-func (o *owned) low() bool { return o.tokens < lowTokens*o.limit.Burst }
+// low reports whether VMs have to ask the owner before they admit a request.
+func (o *ownedBucket) low() bool { return o.tokens < lowBucketShare*o.limit.Burst }
 
-func (l *Ledger) account(now time.Time, id ID, limit Limit) *owned {
-	o := l.accounts[id]
+func (l *Ledger) bucketFor(now time.Time, id ID, limit Limit) *ownedBucket {
+	o := l.buckets[id]
 	if o == nil {
-		scaled := l.slack.enforced(limit).scaled(l.part)
-		o = &owned{bucket: bucket{limit: scaled, tokens: l.slack.fresh(scaled), at: now}, declared: limit, loans: make(map[steering.VM]*loan)}
-		l.accounts[id] = o
+		scaled := l.slack.enforced(limit).scaled(l.fleetShare)
+		o = &ownedBucket{bucket: bucket{limit: scaled, tokens: l.slack.initialTokens(scaled), updatedAt: now}, configured: limit, loans: make(map[steering.VM]*loan)}
+		l.buckets[id] = o
 	}
-	if o.declared != limit {
-		o.giveUpLoans()
-		o.declared = limit
-		o.set(now, l.slack.enforced(limit).scaled(l.part))
+	if o.configured != limit {
+		o.cancelLoans()
+		o.configured = limit
+		o.setLimit(now, l.slack.enforced(limit).scaled(l.fleetShare))
 	}
 	return o
 }
 
-// giveUpLoans drops the credits lent under a limit that is replaced: VMs give them up as
-// well, and what they use of them until then counts as debt.
-func (o *owned) giveUpLoans() {
+// cancelLoans drops the credits that were lent under a replaced limit. The VMs discard them as
+// well; what they use of them before that is charged to the bucket.
+func (o *ownedBucket) cancelLoans() {
 	for _, b := range o.loans {
 		b.credits = 0
 	}
 }
 
-// loanOf returns what a VM has. Of a VM that is new here, or has started again, what it
-// holds and what no owner has confirmed comes off the bucket. What its former process held
-// counts as used: it may have been, shortly before the end.
-func (o *owned) loanOf(vm steering.VM, incarnation uint32, r Report) *loan {
+// loanFor returns the loan of a VM. For a VM that is new here or has restarted, the report
+// charges the bucket with the credits that the VM holds and with its usage that no owner has
+// confirmed. The credits that the previous process of a restarted VM held count as used, because
+// it may have used them shortly before it ended.
+func (o *ownedBucket) loanFor(vm steering.VM, incarnation uint32, r Report) *loan {
 	b := o.loans[vm]
 	if b == nil || b.incarnation != incarnation {
 		b = &loan{incarnation: incarnation, used: r.Known}
@@ -149,98 +152,100 @@
 	return b
 }
 
-// forget drops the VMs that have not reported for long. What they hold counts as used.
-func (o *owned) forget(now time.Time) {
+// dropStaleLoans drops the loans of VMs that have not reported for idleRetention. The credits
+// that they hold count as used.
+func (o *ownedBucket) dropStaleLoans(now time.Time) {
 	for vm, b := range o.loans {
-		if now.Sub(b.heard) > forgetAfter {
+		if now.Sub(b.reportedAt) > idleRetention {
 			delete(o.loans, vm)
 		}
 	}
 }
 
-// demand returns what callers ask over all VMs, in requests per second.
-func (o *owned) demand(now time.Time) float64 {
+// demand returns the demand over all VMs in requests per second.
+func (o *ownedBucket) demand(now time.Time) float64 {
 	sum := 0.0
 	for _, b := range o.loans {
-		if now.Sub(b.heard) <= activeFor {
+		if now.Sub(b.reportedAt) <= demandTTL {
 			sum += b.demand
 		}
 	}
 	return sum
 }
 
-// grant returns the credits that a VM gets beside those it holds: those that its waiting
-// requests need, and what its callers are likely to ask until it has reported twice. A VM
-// has no more in advance than its part of what accrues, unless the bucket is well filled.
-func (o *owned) grant(b *loan, held float64, waiting int, share float64) float64 {
+// grant returns the credits that a VM receives in addition to those it holds: enough for its
+// waiting requests and for the expected demand until it has reported twice. Unless the bucket is
+// well filled, a VM receives no more in advance than its share of what accrues.
+func (o *ownedBucket) grant(b *loan, held float64, waiting int, share float64) float64 {
 	if o.tokens < 1 {
 		return 0
 	}
-	fair := share * o.limit.Rate * horizon.Seconds()
+	maxGrant := share * o.limit.Rate * creditHorizon.Seconds()
 	if o.tokens >= o.limit.Burst/2 {
-		fair = math.Max(fair, readyPart*o.tokens)
+		maxGrant = math.Max(maxGrant, maxGrantShare*o.tokens)
 	}
-	wanted := math.Min(b.demand*horizon.Seconds()+float64(waiting), fair)
+	wanted := math.Min(b.demand*creditHorizon.Seconds()+float64(waiting), maxGrant)
 	if waiting > 0 {
 		wanted = math.Max(wanted, 1)
 	}
 	if wanted < 1 {
-		return 0 // a part of a credit lets nothing run
+		return 0 // a fraction of a credit admits no request
 	}
 	return math.Max(0, math.Min(wanted-held, o.tokens))
 }
 
-// wait is until about when a credit accrues for a VM with a share of the demand: the next
-// one, unless callers ask more than the rate.
-func (o *owned) wait(demand, share float64) time.Duration {
+// waitForCredit returns the approximate time until a credit accrues for a VM with the given share
+// of the demand. That is the next credit unless the demand exceeds the rate.
+func (o *ownedBucket) waitForCredit(demand, share float64) time.Duration {
 	seconds := (1 - o.tokens) / o.limit.Rate
 	if demand > o.limit.Rate {
 		seconds = math.Max(seconds, 1/(o.limit.Rate*share))
 	}
-	return min(time.Duration(math.Min(seconds, longestBlock.Seconds())*float64(time.Second)), longestBlock)
+	return min(time.Duration(math.Min(seconds, maxWait.Seconds())*float64(time.Second)), maxWait)
 }
 
-// Flooded returns the workspaces whose buckets are low while their callers ask more than
-// the rate.
+// Flooded returns the workspaces whose buckets are low while their demand exceeds the rate. It
+// also drops the state of workspaces and VMs without recent reports.
 func (l *Ledger) Flooded(now time.Time) []ID {
 	var all []ID
-	for name, o := range l.accounts {
-		o.settle(now)
-		o.forget(now)
+	for id, o := range l.buckets {
+		o.refill(now)
+		o.dropStaleLoans(now)
 		switch {
-		case now.Sub(o.usedAt) > forgetAfter:
-			delete(l.accounts, name)
+		case now.Sub(o.lastReportAt) > idleRetention:
+			delete(l.buckets, id)
 		case o.low() && o.demand(now) > o.limit.Rate:
-			all = append(all, name)
+			all = append(all, id)
 		}
 	}
 	return all
 }
 
-// Usage is what the owner knows of a workspace.
+// Usage is the owner's view of a workspace.
 type Usage struct {
 	Workspace ID
-	// Limit is the part of the limit that the owner lends, Left what is in the bucket,
-	// below 0 if more ran than it held, and Lent what VMs have of it.
+	// Limit is the part of the limit that this owner enforces. Left is the number of tokens in
+	// the bucket, negative if more requests ran than it held. Lent is the number of credits that
+	// VMs hold.
 	Limit Limit
 	Left  float64
 	Lent  float64
-	// Demand is what callers ask over all VMs, in requests per second, and VMs how many
-	// VMs they ask.
+	// Demand is the demand over all VMs in requests per second. VMs is the number of VMs that
+	// reported recently.
 	Demand float64
 	VMs    int
 	Tight  bool
 }
 
-// Usage returns what the owner knows of its workspaces.
+// Usage returns the owner's view of each workspace in the ledger.
 func (l *Ledger) Usage(now time.Time) []Usage {
 	var all []Usage
-	for name, o := range l.accounts {
-		o.settle(now)
-		u := Usage{Workspace: name, Limit: o.limit, Left: o.tokens, Demand: o.demand(now), Tight: o.low()}
+	for id, o := range l.buckets {
+		o.refill(now)
+		u := Usage{Workspace: id, Limit: o.limit, Left: o.tokens, Demand: o.demand(now), Tight: o.low()}
 		for _, b := range o.loans {
 			u.Lent += b.credits
-			if now.Sub(b.heard) <= activeFor {
+			if now.Sub(b.reportedAt) <= demandTTL {
 				u.VMs++
 			}
 		}
--- a/steering/allowance/sim_test.go
+++ b/steering/allowance/sim_test.go
@@ -12,35 +12,35 @@
 	"heatherlock/steering/allowance"
 )
 
-// fleet plays a fleet of entry VMs with workspaces in simulated time. What a request asks is
-// decided by the real Accounts and Ledgers; messages take the ways of a deployment.
+// fleet simulates a fleet of entry VMs with workspaces in simulated time. Real Accounts and
+// Ledgers decide on the requests; messages have the delays of a deployment.
 type fleet struct {
-	rng    *rand.Rand
-	now    time.Time
-	began  time.Time
-	events events
-	vms    []*simVM
-	spaces []*simSpace
-	slack  allowance.Slack
+	rng        *rand.Rand
+	now        time.Time
+	startedAt  time.Time
+	events     events
+	vms        []*simVM
+	workspaces []*simWorkspace
+	slack      allowance.Slack
 
 	messages, bytes int
-	lossy           float64
+	lossRate        float64
 
-	// other, when set, decides in place of accounts and ledgers.
-	other way
+	// policy decides instead of Accounts and Ledgers when it is set.
+	policy admissionPolicy
 }
 
-// way is another way to decide, for comparison.
-type way interface {
-	admit(f *fleet, vm int, s *simSpace) bool
+// admissionPolicy is an alternative way to decide on requests, for comparison.
+type admissionPolicy interface {
+	admit(f *fleet, vm int, s *simWorkspace) bool
 }
 
 const (
-	simZones   = 6
-	simRegions = 3
-	// noticeAfter is how long a fleet takes to notice that a VM is gone.
-	noticeAfter = 1400 * time.Millisecond
-	// reportBytes and replyBytes are what one takes alone in a datagram.
+	zoneCount   = 6
+	regionCount = 3
+	// failureDetectionDelay is how long the fleet takes to detect that a VM is down.
+	failureDetectionDelay = 1400 * time.Millisecond
+	// reportBytes and replyBytes are the sizes of a datagram with a single report or reply.
 	reportBytes = 45
 	replyBytes  = 32
 )
@@ -50,12 +50,12 @@
 	zone        int
 	up          bool
 	paused      bool
-	island      int // VMs of another island are not reached
+	partition   int // VMs in another partition are unreachable
 	upSince     time.Time
 	incarnation uint32
 	ledger      *allowance.Ledger
-	accounts    map[*simSpace]*simAccount
-	// heard is when each other VM was last within reach, by index.
+	accounts    map[*simWorkspace]*simAccount
+	// live lists the VMs that this VM can reach, and members counts all VMs.
 	live    []allowance.Candidate
 	members int
 }
@@ -65,7 +65,7 @@
 	waiting []func(allowance.Verdict)
 }
 
-type simSpace struct {
+type simWorkspace struct {
 	id      allowance.ID
 	limit   allowance.Limit
 	demand  float64 // requests per second
@@ -73,20 +73,21 @@
 	runs    []time.Duration
 	asked   int
 	refused int
-	// below counts refusals of requests that one bucket for all would have let run.
-	below     int
-	reference bucketReference
+	// refusedBelowLimit counts the refused requests that a single bucket for all VMs would have
+	// admitted.
+	refusedBelowLimit int
+	reference         referenceBucket
 }
 
-// bucketReference is one token bucket that sees all requests at once.
-type bucketReference struct {
-	tokens float64
-	at     time.Time
+// referenceBucket is a single token bucket that sees the requests of all VMs.
+type referenceBucket struct {
+	tokens    float64
+	updatedAt time.Time
 }
 
-func (b *bucketReference) admit(now time.Time, l allowance.Limit) bool {
-	b.tokens = math.Min(l.Burst, b.tokens+now.Sub(b.at).Seconds()*l.Rate)
-	b.at = now
+func (b *referenceBucket) admit(now time.Time, l allowance.Limit) bool {
+	b.tokens = math.Min(l.Burst, b.tokens+now.Sub(b.updatedAt).Seconds()*l.Rate)
+	b.updatedAt = now
 	if b.tokens < 1 {
 		return false
 	}
@@ -120,48 +121,49 @@
 	return last
 }
 
-// newFleet returns a running fleet whose VMs hear each other. Demand is spread over the
-// workspaces by rank, and over a few VMs for each of its callers.
-func newFleet(seed uint64, vms, spaces int, total float64) *fleet {
-	f := &fleet{rng: rand.New(rand.NewPCG(seed, 3)), now: time.Unix(1000, 0), began: time.Unix(1000, 0),
+// newFleet returns a running fleet whose VMs all reach each other. The total demand is
+// distributed over the workspaces in inverse proportion to their rank, and each workspace uses a
+// number of random VMs that grows with its demand.
+func newFleet(seed uint64, vms, workspaces int, total float64) *fleet {
+	f := &fleet{rng: rand.New(rand.NewPCG(seed, 3)), now: time.Unix(1000, 0), startedAt: time.Unix(1000, 0),
 		slack: allowance.Slack{Window: 5 * time.Second, Share: 0.1, Requests: 20}}
 	for i := range vms {
-		f.vms = append(f.vms, &simVM{name: steering.VM(fmt.Sprint("vm-", i)), zone: i % simZones, up: true, upSince: f.now})
+		f.vms = append(f.vms, &simVM{name: steering.VM(fmt.Sprint("vm-", i)), zone: i % zoneCount, up: true, upSince: f.now})
 	}
 	for _, vm := range f.vms {
-		f.reset(vm)
+		f.resetState(vm)
 	}
 	weights := 0.0
-	for n := range spaces {
+	for n := range workspaces {
 		weights += 1 / float64(n+1)
 	}
-	for n := range spaces {
+	for n := range workspaces {
 		demand := total / float64(n+1) / weights
-		s := &simSpace{id: allowance.IDOf(steering.Workspace(fmt.Sprint("w", n))), demand: demand, limit: allowance.Limit{Rate: 1.6 * demand, Burst: math.Max(1, 1.6*demand)}}
-		s.reference = bucketReference{tokens: s.limit.Burst, at: f.now}
+		s := &simWorkspace{id: allowance.IDOf(steering.Workspace(fmt.Sprint("w", n))), demand: demand, limit: allowance.Limit{Rate: 1.6 * demand, Burst: math.Max(1, 1.6*demand)}}
+		s.reference = referenceBucket{tokens: s.limit.Burst, updatedAt: f.now}
 		for range max(2, int(demand)) {
 			s.callers = append(s.callers, f.rng.IntN(vms))
 		}
-		f.spaces = append(f.spaces, s)
+		f.workspaces = append(f.workspaces, s)
 	}
-	f.look()
-	f.tick()
+	f.updateMembership()
+	f.reportPeriodically()
 	return f
 }
 
-func (f *fleet) reset(vm *simVM) {
+func (f *fleet) resetState(vm *simVM) {
 	vm.incarnation++
 	vm.ledger = allowance.NewLedger(f.slack)
-	vm.accounts = make(map[*simSpace]*simAccount)
+	vm.accounts = make(map[*simWorkspace]*simAccount)
 }
 
-func (f *fleet) after(d time.Duration, do func()) {
+func (f *fleet) schedule(d time.Duration, do func()) {
 	f.events.seq++
 	heap.Push(&f.events, event{f.now.Add(d), f.events.seq, do})
 }
 
-// run plays for a time.
-func (f *fleet) run(d time.Duration) {
+// advance runs the simulation for the given time.
+func (f *fleet) advance(d time.Duration) {
 	end := f.now.Add(d)
 	for f.events.Len() > 0 && !f.events.all[0].at.After(end) {
 		e := heap.Pop(&f.events).(event)
@@ -171,12 +173,12 @@
 	f.now = end
 }
 
-// look tells each VM which others it hears.
-func (f *fleet) look() {
+// updateMembership updates the set of live VMs on each VM.
+func (f *fleet) updateMembership() {
 	for _, vm := range f.vms {
 		vm.live = vm.live[:0]
 		for _, other := range f.vms {
-			if other.up && other.island == vm.island {
+			if other.up && other.partition == vm.partition {
 				vm.live = append(vm.live, allowance.Candidate{VM: other.name, Hash: allowance.HashOf(other.name), Weight: 1})
 			}
 		}
@@ -188,22 +190,22 @@
 	}
 }
 
-// tick reports what is due on all VMs.
-func (f *fleet) tick() {
+// reportPeriodically sends the reports that are due on all VMs.
+func (f *fleet) reportPeriodically() {
 	for i, vm := range f.vms {
 		if !vm.up || vm.paused {
 			continue
 		}
-		for _, s := range f.spaces {
+		for _, s := range f.workspaces {
 			if a := vm.accounts[s]; a != nil {
 				f.report(i, s, a)
 			}
 		}
 	}
-	f.after(100*time.Millisecond, f.tick)
+	f.schedule(100*time.Millisecond, f.reportPeriodically)
 }
 
-func (f *fleet) report(i int, s *simSpace, a *simAccount) {
+func (f *fleet) report(i int, s *simWorkspace, a *simAccount) {
 	vm := f.vms[i]
 	if !a.Due(f.now) {
 		return
@@ -218,12 +220,12 @@
 	incarnation := vm.incarnation
 	f.send(i, j, reportBytes, func() {
 		o := f.vms[j]
-		reply, news, ok := o.ledger.Report(f.now, vm.name, incarnation, s.limit, r)
+		reply, becameLow, ok := o.ledger.Report(f.now, vm.name, incarnation, s.limit, r)
 		if !ok {
 			return
 		}
-		if news {
-			f.tellTight(j, s)
+		if becameLow {
+			f.broadcastLow(j, s)
 		}
 		f.send(j, i, replyBytes, func() {
 			if vm.incarnation != incarnation || vm.accounts[s] != a {
@@ -239,8 +241,8 @@
 	})
 }
 
-// tellTight tells all VMs in reach that a bucket is low, as heartbeats do.
-func (f *fleet) tellTight(j int, s *simSpace) {
+// broadcastLow notifies all reachable VMs that a bucket is low, as heartbeats do.
+func (f *fleet) broadcastLow(j int, s *simWorkspace) {
 	until := f.now.Add(allowance.TightFor)
 	for i, vm := range f.vms {
 		f.send(j, i, 12, func() {
@@ -252,7 +254,7 @@
 	}
 }
 
-// send delivers a message, unless it is lost on its way.
+// send delivers a message after the delay of its route, unless it is lost.
 func (f *fleet) send(from, to, bytes int, do func()) {
 	a, b := f.vms[from], f.vms[to]
 	delay := 200 * time.Microsecond
@@ -260,59 +262,59 @@
 	case from == to:
 		do()
 		return
-	case a.zone%simRegions != b.zone%simRegions:
+	case a.zone%regionCount != b.zone%regionCount:
 		delay = 20 * time.Millisecond
 	case a.zone != b.zone:
 		delay = 1500 * time.Microsecond
 	}
 	f.messages++
 	f.bytes += bytes
-	if !b.up || a.island != b.island || f.rng.Float64() < f.lossy {
+	if !b.up || a.partition != b.partition || f.rng.Float64() < f.lossRate {
 		return
 	}
-	f.after(delay, func() {
+	f.schedule(delay, func() {
 		if b.up && !b.paused {
 			do()
 		}
 	})
 }
 
-// drive lets a workspace's callers ask until a time.
-func (f *fleet) drive(s *simSpace, until time.Time) {
+// scheduleRequests schedules the requests of a workspace's callers until the given time.
+func (f *fleet) scheduleRequests(s *simWorkspace, until time.Time) {
 	if s.demand <= 0 || !f.now.Before(until) {
 		return
 	}
-	f.after(time.Duration(f.rng.ExpFloat64()/s.demand*float64(time.Second)), func() {
+	f.schedule(time.Duration(f.rng.ExpFloat64()/s.demand*float64(time.Second)), func() {
 		if f.now.Before(until) {
-			f.ask(s)
+			f.handleRequest(s)
 		}
-		f.drive(s, until)
+		f.scheduleRequests(s, until)
 	})
 }
 
-// driveAll lets all callers ask for a time, and plays it.
-func (f *fleet) driveAll(d time.Duration) {
+// runTraffic runs the simulation for the given time with the requests of all callers.
+func (f *fleet) runTraffic(d time.Duration) {
 	until := f.now.Add(d)
-	for _, s := range f.spaces {
-		f.drive(s, until)
+	for _, s := range f.workspaces {
+		f.scheduleRequests(s, until)
 	}
-	f.run(d)
+	f.advance(d)
 }
 
-// ask lets one request arrive.
-func (f *fleet) ask(s *simSpace) {
+// handleRequest simulates the arrival of one request at a VM.
+func (f *fleet) handleRequest(s *simWorkspace) {
 	i := s.callers[f.rng.IntN(len(s.callers))]
 	for tries := 0; !f.vms[i].up || f.vms[i].paused; tries++ {
 		if tries > 20 {
-			return // its caller finds no VM
+			return // the caller finds no live VM
 		}
 		i = f.rng.IntN(len(f.vms))
 	}
 	vm := f.vms[i]
 	s.asked++
-	owed := s.reference.admit(f.now, s.limit)
-	if f.other != nil {
-		f.settle(s, owed, f.other.admit(f, i, s))
+	withinLimit := s.reference.admit(f.now, s.limit)
+	if f.policy != nil {
+		f.recordOutcome(s, withinLimit, f.policy.admit(f, i, s))
 		return
 	}
 	a := vm.accounts[s]
@@ -323,7 +325,7 @@
 	a.Arrived(f.now)
 	verdict := a.Admit(f.now)
 	if verdict != allowance.Ask {
-		f.settle(s, owed, verdict == allowance.Admitted)
+		f.recordOutcome(s, withinLimit, verdict == allowance.Admitted)
 		return
 	}
 	done := false
@@ -331,49 +333,49 @@
 		if !done {
 			done = true
 			a.Waited()
-			f.settle(s, owed, ok)
+			f.recordOutcome(s, withinLimit, ok)
 		}
 	}
 	a.Wait()
-	var again func(allowance.Verdict)
-	again = func(v allowance.Verdict) {
+	var onVerdict func(allowance.Verdict)
+	onVerdict = func(v allowance.Verdict) {
 		switch {
 		case done:
 		case v == allowance.Ask:
-			a.waiting = append(a.waiting, again)
+			a.waiting = append(a.waiting, onVerdict)
 		default:
 			finish(v == allowance.Admitted)
 		}
 	}
-	a.waiting = append(a.waiting, again)
+	a.waiting = append(a.waiting, onVerdict)
 	limit := allowance.AskFor
 	if a.Silent(f.now) {
 		limit = 0
 	}
 	f.report(i, s, a)
-	f.after(limit, func() {
+	f.schedule(limit, func() {
 		if !done {
 			finish(a.Alone(f.now))
 		}
 	})
 }
 
-func (f *fleet) settle(s *simSpace, owed, ok bool) {
+func (f *fleet) recordOutcome(s *simWorkspace, withinLimit, ok bool) {
 	if ok {
-		s.runs = append(s.runs, f.now.Sub(f.began))
+		s.runs = append(s.runs, f.now.Sub(f.startedAt))
 		return
 	}
 	s.refused++
-	if owed {
-		s.below++
+	if withinLimit {
+		s.refusedBelowLimit++
 	}
 }
 
-// excess returns by how much the requests that ran in any window exceed what the limit
-// allows with its slack; 0 or less if they never do.
-func (f *fleet) excess(s *simSpace, limit allowance.Limit, from time.Duration) float64 {
+// excess returns by how many requests the busiest window exceeds what the limit and its slack
+// allow. The result is 0 or negative if no window exceeds it.
+func (f *fleet) excess(s *simWorkspace, limit allowance.Limit, from time.Duration) float64 {
 	allowed := (limit.Rate*f.slack.Window.Seconds()+limit.Burst)*(1+f.slack.Share) + f.slack.Requests
-	worst, first := 0, 0
+	most, first := 0, 0
 	for n, at := range s.runs {
 		if s.runs[first] < from {
 			first = n
@@ -381,14 +383,14 @@
 		for at-s.runs[first] >= f.slack.Window {
 			first++
 		}
-		worst = max(worst, n-first+1)
+		most = max(most, n-first+1)
 	}
-	return float64(worst) - allowed
+	return float64(most) - allowed
 }
 
 func (f *fleet) kill(i int) { f.vms[i].up = false }
 
 func (f *fleet) restart(i int) {
 	f.vms[i].up, f.vms[i].upSince = true, f.now
-	f.reset(f.vms[i])
+	f.resetState(f.vms[i])
 }
