--- a/steering/retry/budget.go
+++ b/steering/retry/budget.go
@@ -2,77 +2,80 @@
 
 import "heatherlock/steering"
 
-// Bounds of a budget, in tries.
+// Bounds of the budget of a pool, in tries.
 const (
-	// MaxSaved is the most that a pool saves up.
-	MaxSaved = 10
-	// InitialSaved lets a pool's first failure be retried.
-	InitialSaved = 1
-	// MaxPools bounds the pools kept; further ones get no retries.
+	// MaxSavedTries is the largest number of extra tries that a pool accumulates.
+	MaxSavedTries = 10
+	// InitialTries is the initial budget of a pool; it allows a retry of the pool's first
+	// failure.
+	InitialTries = 1
+	// MaxPools is the maximum number of pools with a budget. Further pools get no retries and no
+	// hedges.
 	MaxPools = 8192
 )
 
-// hedgeShare is the part of the retry percentage that hedges may use: 1/2.
-const hedgeShare = 2
+// hedgeDivisor is the ratio of the retry budget to the hedge budget: hedges may use half of the
+// retry percentage.
+const hedgeDivisor = 2
 
-// oneTry is the price of a try in the unit of savings, hundredths of a try, so
-// that a first try saves as many units as the percentage says.
-const oneTry = 100
+// unitsPerTry is the cost of an extra try. Budgets count in hundredths of a try, so that a first
+// try adds as many units as the retry percentage.
+const unitsPerTry = 100
 
-// Pool names a service at a place.
+// Pool identifies a service at a place.
 type Pool struct {
 	Service steering.Service
 	Place   steering.Place
 }
 
-type savings struct {
+type poolBudget struct {
 	retries int
 	hedges  int
 }
 
-// Budgets holds the savings of every pool. It is not safe for concurrent use.
+// Budgets holds the budgets of all pools. It is not safe for concurrent use.
 type Budgets struct {
-	pools map[Pool]*savings
+	pools map[Pool]*poolBudget
 }
 
-// NewBudgets returns budgets without savings.
+// NewBudgets returns Budgets in which each pool starts with InitialTries.
 func NewBudgets() *Budgets {
-	return &Budgets{pools: make(map[Pool]*savings)}
+	return &Budgets{pools: make(map[Pool]*poolBudget)}
 }
 
-// First records a first try, which saves percent hundredths of a try.
+// First records a first try, which adds percent hundredths of a try to the budget of the pool.
 func (b *Budgets) First(pool Pool, percent int) {
-	s := b.of(pool)
+	s := b.budgetFor(pool)
 	if s == nil {
 		return
 	}
-	s.retries = min(s.retries+percent, MaxSaved*oneTry)
-	s.hedges = min(s.hedges+percent/hedgeShare, MaxSaved*oneTry)
+	s.retries = min(s.retries+percent, MaxSavedTries*unitsPerTry)
+	s.hedges = min(s.hedges+percent/hedgeDivisor, MaxSavedTries*unitsPerTry)
 }
 
-// TakeRetry pays for a retry and reports whether the savings allowed it.
+// TakeRetry charges a retry to the budget of the pool and reports whether the budget allowed it.
 func (b *Budgets) TakeRetry(pool Pool) bool {
-	s := b.of(pool)
-	if s == nil || s.retries < oneTry {
+	s := b.budgetFor(pool)
+	if s == nil || s.retries < unitsPerTry {
 		return false
 	}
-	s.retries -= oneTry
+	s.retries -= unitsPerTry
 	return true
 }
 
-// TakeHedge pays for a hedge from both savings and reports whether they allowed
-// it.
+// TakeHedge charges a hedge to both the retry budget and the hedge budget of the pool, and
+// reports whether both allowed it.
 func (b *Budgets) TakeHedge(pool Pool) bool {
-	s := b.of(pool)
-	if s == nil || s.hedges < oneTry || s.retries < oneTry {
+	s := b.budgetFor(pool)
+	if s == nil || s.hedges < unitsPerTry || s.retries < unitsPerTry {
 		return false
 	}
-	s.hedges -= oneTry
-	s.retries -= oneTry
+	s.hedges -= unitsPerTry
+	s.retries -= unitsPerTry
 	return true
 }
 
-// Keep forgets the pools for which keep is false, after a configuration change.
+// Keep removes the pools for which keep returns false, for use after a configuration change.
 func (b *Budgets) Keep(keep func(Pool) bool) {
 	for pool := range b.pools {
 		if !keep(pool) {
@@ -81,14 +84,14 @@
 	}
 }
 
-func (b *Budgets) of(pool Pool) *savings {
+func (b *Budgets) budgetFor(pool Pool) *poolBudget {
 	if s, ok := b.pools[pool]; ok {
 		return s
 	}
 	if len(b.pools) >= MaxPools {
 		return nil
 	}
-	s := &savings{retries: InitialSaved * oneTry}
+	s := &poolBudget{retries: InitialTries * unitsPerTry}
 	b.pools[pool] = s
 	return s
 }
--- a/steering/retry/decide.go
+++ b/steering/retry/decide.go
@@ -6,63 +6,64 @@
 	"heatherlock/steering"
 )
 
-// MinRemaining is the least time that must remain for another try to be worth
+// MinRemaining is the shortest time before the deadline at which an extra try is still worth
 // sending.
 const MinRemaining = 5 * time.Millisecond
 
-// Request is what the rules need to know of a request.
+// Request holds the properties of a request that the retry rules depend on.
 type Request struct {
 	Pool       Pool
 	Idempotent bool
-	// FromCaller says that this entry VM got the request from its caller.
+	// FromCaller means that this entry VM received the request from its caller and not from
+	// another entry VM.
 	FromCaller bool
-	// Replayable says that the whole body is at hand for another try.
+	// Replayable means that the whole body is available for another try.
 	Replayable bool
 	Deadline   time.Time
 }
 
-// Tries lists what was sent so far for one request.
+// Tries lists the tries that were sent so far for one request.
 type Tries struct {
 	Targets []steering.Target
-	// Extra says that a retry or a hedge was sent.
+	// Extra means that a retry or a hedge was sent.
 	Extra bool
 }
 
-// Had reports whether the target had the request.
-func (t *Tries) Had(target steering.Target) bool {
-	for _, had := range t.Targets {
-		if had == target {
+// Contains reports whether the request was sent to the target.
+func (t *Tries) Contains(target steering.Target) bool {
+	for _, tried := range t.Targets {
+		if tried == target {
 			return true
 		}
 	}
 	return false
 }
 
-// Denial says why there is no further try. Each has a counter.
+// Denial is the reason why no further try is sent. Each reason has a counter.
 type Denial string
 
-// Denials.
+// Denial reasons, and Allowed for none.
 const (
-	Allowed       Denial = ""
-	DenyHop       Denial = "not_first_entry_vm"
-	DenyExtra     Denial = "already_tried_again"
-	DenyMayRun    Denial = "may_have_run"
-	DenyBody      Denial = "body_not_replayable"
-	DenyDeadline  Denial = "no_time_left"
-	DenyBudget    Denial = "budget_spent"
-	DenyNotHedged Denial = "not_idempotent"
+	Allowed            Denial = ""
+	DenyNotFirstVM     Denial = "not_first_entry_vm"
+	DenyAlreadyRetried Denial = "already_tried_again"
+	DenyMayHaveRun     Denial = "may_have_run"
+	DenyNotReplayable  Denial = "body_not_replayable"
+	DenyDeadline       Denial = "no_time_left"
+	DenyBudget         Denial = "budget_spent"
+	DenyNotIdempotent  Denial = "not_idempotent"
 )
 
-// Denials lists every denial.
-var Denials = []Denial{DenyHop, DenyExtra, DenyMayRun, DenyBody, DenyDeadline, DenyBudget, DenyNotHedged}
+// Denials lists every denial reason.
+var Denials = []Denial{DenyNotFirstVM, DenyAlreadyRetried, DenyMayHaveRun, DenyNotReplayable, DenyDeadline, DenyBudget, DenyNotIdempotent}
 
-// Retry decides whether a request whose last try failed is tried again, and
-// pays for it. ran says what is known about the execution of that try.
+// Retry decides whether a request whose last try failed is retried, and charges the retry to the
+// budget of the pool. ran says whether the failed try may have been executed.
 func (b *Budgets) Retry(now time.Time, r Request, t Tries, ran steering.Ran) Denial {
 	if ran != steering.RanNo && !r.Idempotent {
-		return DenyMayRun
+		return DenyMayHaveRun
 	}
-	if d := extra(now, r, t, MinRemaining); d != Allowed {
+	if d := checkExtraTry(now, r, t, MinRemaining); d != Allowed {
 		return d
 	}
 	if !b.TakeRetry(r.Pool) {
@@ -71,22 +72,22 @@
 	return Allowed
 }
 
-// HedgeDelay returns how long to wait for the first try before MayHedge is
-// asked; zero means that the request is not hedged.
-func HedgeDelay(now time.Time, r Request, after time.Duration) time.Duration {
-	if after <= 0 || !r.Idempotent || extra(now, r, Tries{}, after+MinRemaining) != Allowed {
+// HedgeDelay returns how long to wait for the first try before calling Hedge. Zero means that the
+// request is not hedged.
+func HedgeDelay(now time.Time, r Request, delay time.Duration) time.Duration {
+	if delay <= 0 || !r.Idempotent || checkExtraTry(now, r, Tries{}, delay+MinRemaining) != Allowed {
 		return 0
 	}
-	return after
+	return delay
 }
 
-// Hedge decides whether a second try is sent while the first one runs, and pays
-// for it. The caller cancels the loser when one answers.
+// Hedge decides whether a second try is sent while the first one runs, and charges it to the
+// budgets of the pool. When one try is answered, the calling code cancels the other.
 func (b *Budgets) Hedge(now time.Time, r Request, t Tries) Denial {
 	if !r.Idempotent {
-		return DenyNotHedged
+		return DenyNotIdempotent
 	}
-	if d := extra(now, r, t, MinRemaining); d != Allowed {
+	if d := checkExtraTry(now, r, t, MinRemaining); d != Allowed {
 		return d
 	}
 	if !b.TakeHedge(r.Pool) {
@@ -95,33 +96,33 @@
 	return Allowed
 }
 
-// extra holds the rules that retries and hedges share.
-func extra(now time.Time, r Request, t Tries, need time.Duration) Denial {
+// checkExtraTry applies the rules that retries and hedges have in common.
+func checkExtraTry(now time.Time, r Request, t Tries, need time.Duration) Denial {
 	switch {
 	case !r.FromCaller:
-		return DenyHop
+		return DenyNotFirstVM
 	case t.Extra:
-		return DenyExtra
+		return DenyAlreadyRetried
 	case !r.Replayable:
-		return DenyBody
+		return DenyNotReplayable
 	case r.Deadline.Sub(now) < need:
 		return DenyDeadline
 	}
 	return Allowed
 }
 
-// Margins by which a deadline shrinks per hop, so that the sender can still
-// answer its caller in time when the receiver uses all it was given.
+// Margins by which the timeout of the next hop is shorter than the remaining time. They leave the
+// sender time to answer its caller when the next hop uses its whole timeout.
 const (
-	hopMarginShare = 50 // 1/50 of what remains
-	hopMarginMin   = 2 * time.Millisecond
-	hopMarginMax   = 50 * time.Millisecond
+	hopMarginDivisor = 50 // 1/50 of the remaining time
+	minHopMargin     = 2 * time.Millisecond
+	maxHopMargin     = 50 * time.Millisecond
 )
 
-// Onward returns how long the next hop may take; not above zero means that the
-// deadline has passed in effect.
-func Onward(now, deadline time.Time) time.Duration {
+// NextHopTimeout returns the timeout for the next hop. A result of zero or less means that too
+// little time is left for another hop.
+func NextHopTimeout(now, deadline time.Time) time.Duration {
 	remaining := deadline.Sub(now)
-	margin := min(max(remaining/hopMarginShare, hopMarginMin), hopMarginMax)
+	margin := min(max(remaining/hopMarginDivisor, minHopMargin), maxHopMargin)
 	return remaining - margin
 }
--- a/steering/retry/doc.go
+++ b/steering/retry/doc.go
@@ -1,23 +1,23 @@
-// Package retry decides whether a failed try is followed by another and whether
-// a slow one is hedged.
+// Package retry decides whether a failed try is followed by a retry, and whether a slow try is
+// hedged.
 //
-// Retries turn a fault into an overload: when half of the targets fail, every
-// caller's request becomes two, the healthy half drowns, and the fault spreads.
-// One would notice it as target load well above the callers' own rate.
-// Therefore each pool (service at a place) has a budget that grows with first
-// tries only: with 10 %, ten first tries pay for one more try. Hedges pay from
-// the same budget and from a smaller one of their own, so that a slow spell
-// cannot use up what failures need.
+// Retries without a budget turn a partial failure into an overload: when half of the targets
+// fail, every request that hits them is sent twice, the extra load overloads the healthy half,
+// and the failure spreads. It shows as a load on targets well above the request rate of the
+// callers. Therefore each pool (a service at a place) has a budget that grows with first tries
+// only: at 10 %, ten first tries allow one extra try. Hedges are charged to the same budget and
+// to a smaller one of their own, so that a period of slow responses cannot use up the budget that
+// failures need.
 //
-// Further rules, each for one fault:
+// Further rules, each against one kind of failure:
 //
-//   - only the entry VM that got the request from its caller tries again, and
-//     only once: retries at every hop multiply;
-//   - never on a target that had the request;
-//   - a non-idempotent request only after a proof of not run;
-//   - a hedge only for idempotent requests;
-//   - nothing when the deadline leaves no time for an answer.
+//   - Only the entry VM that received the request from its caller sends an extra try, and only
+//     one: retries at every hop would multiply.
+//   - An extra try never goes to a target that already received the request.
+//   - A non-idempotent request is retried only if the failed try is known not to have run.
+//   - Only idempotent requests are hedged.
+//   - No extra try is sent when the deadline leaves no time for an answer.
 //
-// Limits: the budget is per entry VM and bounded in depth, so a quiet pool
-// saves at most MaxSaved tries for later. Pools start with one try.
+// Limitations: each entry VM has its own budget. The budget is bounded, so a pool without traffic
+// accumulates at most MaxSavedTries for later. A pool starts with one extra try.
 package retry
--- a/steering/retry/retry_test.go
+++ b/steering/retry/retry_test.go
@@ -13,9 +13,9 @@
 
 var start = time.Date(2026, 6, 1, 12, 0, 0, 0, time.UTC)
 
-// TestExtraTries holds every further try against the rules: paid for by first
-// tries, one per request, replayable, in time, from the first entry VM, and
-// non-idempotent only after a proof of not run.
+// TestExtraTries checks every extra try against the rules: it is covered by the budget from first
+// tries, it is the only one for its request, the request is replayable and in time, this is the
+// first entry VM, and a non-idempotent request is retried only if it did not run.
 func TestExtraTries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBudgets()
@@ -36,7 +36,7 @@
 			tries := Tries{Targets: []steering.Target{"a"}}
 			for range 3 {
 				hedge := rapid.Bool().Draw(t, "hedge")
-				denial := DenyNotHedged
+				denial := DenyNotIdempotent
 				if hedge {
 					denial = b.Hedge(start, r, tries)
 				} else {
@@ -54,14 +54,14 @@
 					hedges++
 				}
 			}
-			assert.Assert(t, extras*100 <= firsts*percent+100*InitialSaved, "%d extra for %d first tries at %d %%", extras, firsts, percent)
+			assert.Assert(t, extras*100 <= firsts*percent+100*InitialTries, "%d extra for %d first tries at %d %%", extras, firsts, percent)
 			assert.Assert(t, hedges*200 <= firsts*percent)
 		}
 	})
 }
 
-// amplification is target load over the callers' own rate when a share of the
-// tries fails and each failure wants one more try.
+// amplification returns the ratio of the load on targets to the request rate of the callers when
+// the fraction failing of the first tries fails and each failure asks for one retry.
 func amplification(budgeted bool, percent int, failing float64) float64 {
 	const requests = 20000
 	random := rand.New(rand.NewPCG(1, 2))
@@ -81,9 +81,9 @@
 	return float64(load) / requests
 }
 
-// Symptom: a brown-out of half the targets takes the other half down. Sequence:
-// every failed request is sent again, and the healthy targets get up to half as
-// much again as the callers send. Cause: retries without a budget.
+// Guards against a failure of half of the targets that overloads the other half. Without a budget
+// every failed request is sent again, and the healthy targets receive up to half as many requests
+// on top of what callers send.
 func TestBrownOutDoesNotAmplify(t *testing.T) {
 	without := amplification(false, 10, 0.5)
 	with := amplification(true, 10, 0.5)
@@ -92,10 +92,10 @@
 	assert.Assert(t, with <= 1.1+1e-3)
 }
 
-func TestOnwardLeavesTimeToAnswer(t *testing.T) {
+func TestNextHopTimeoutLeavesTimeToAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		left := time.Duration(rapid.Int64Range(-int64(time.Second), int64(time.Hour)).Draw(t, "left"))
-		onward := Onward(start, start.Add(left))
-		assert.Assert(t, left-onward >= hopMarginMin && left-onward <= hopMarginMax)
+		timeout := NextHopTimeout(start, start.Add(left))
+		assert.Assert(t, left-timeout >= minHopMargin && left-timeout <= maxHopMargin)
 	})
 }
--- a/steering/retry/shared.go
+++ b/steering/retry/shared.go
@@ -7,8 +7,8 @@
 	"heatherlock/steering"
 )
 
-// SharedBudgetConfig bounds further tries of a service over all entry VMs: in any
-// window, at most Ratio for each request plus Slack.
+// SharedBudgetConfig bounds the extra tries for a service over all entry VMs: in any window, at
+// most Ratio per request plus Slack.
 type SharedBudgetConfig struct {
 	Ratio  float64
 	Slack  float64
@@ -16,92 +16,96 @@
 }
 
 const (
-	// ratioUse is the part of the ratio that is used. Requests are counted where
-	// callers send them, and some of those never reach an entry VM.
-	ratioUse = 0.8
-	// slackUse is the part of the slack that is divided, so that the sum holds
-	// while entry VMs differ for a while on how many there are.
-	slackUse = 0.6
+	// usedRatioShare is the fraction of Ratio that is granted. Ratio refers to the requests that
+	// callers send, and some of these never reach an entry VM.
+	usedRatioShare = 0.8
+	// usedSlackShare is the fraction of Slack that is divided between the entry VMs. The rest
+	// covers refills within a window, and periods in which entry VMs have different views of the
+	// fleet size.
+	usedSlackShare = 0.6
 )
 
-// SharedBudget is one entry VM's part of the bound.
+// SharedBudget is one entry VM's part of the budget for extra tries.
 //
-// What goes wrong without it: when a service fails, each entry VM tries every
-// request twice, and the doubled load keeps the service down. One would notice
-// arrivals at targets above the requests of callers. The part that grows with
-// requests needs no agreement, since each entry VM counts its own. The slack is
-// divided by the number of entry VMs that are on record, dead ones included, so
-// that a cut-off part of them never takes more than its share.
+// Without it, every entry VM sends each request of a failing service twice, and the doubled load
+// keeps the service down. It shows as more requests at the targets than callers send. The part of
+// the budget that grows with requests needs no coordination, since each entry VM counts its own
+// requests. The slack is divided by the number of known entry VMs, including those that are down,
+// so that a part of the fleet that is cut off by a network partition never uses more than its
+// share.
 //
 // It is not safe for concurrent use.
 type SharedBudget struct {
-	cfg     SharedBudgetConfig
-	members int
-	pools   map[steering.Service]*spending
+	cfg      SharedBudgetConfig
+	members  int
+	services map[steering.Service]*serviceBudget
 }
 
-// spending is a service's tries in slices of the window.
-type spending struct {
-	earned float64
-	at     time.Time
+// serviceBudget is the token bucket of one service, in extra tries.
+type serviceBudget struct {
+	available float64
+	updatedAt time.Time
 }
 
-// NewSharedBudget returns an budget for one entry VM alone.
+// NewSharedBudget returns the budget of the only entry VM of a fleet; see SetMembers.
 func NewSharedBudget(cfg SharedBudgetConfig) *SharedBudget {
-	return &SharedBudget{cfg: cfg, members: 1, pools: make(map[steering.Service]*spending)}
+	return &SharedBudget{cfg: cfg, members: 1, services: make(map[steering.Service]*serviceBudget)}
 }
 
-// Configure puts another bound in force.
+// Configure replaces the bounds.
 func (a *SharedBudget) Configure(cfg SharedBudgetConfig) { a.cfg = cfg }
 
-// SetMembers tells how many entry VMs divide the slack.
+// SetMembers sets the number of entry VMs that share the slack.
 func (a *SharedBudget) SetMembers(n int) { a.members = max(n, 1) }
 
-// cap is the most that is saved up.
+// cap returns the largest number of extra tries that a service accumulates: this VM's part of the
+// slack, but at least one.
 func (a *SharedBudget) cap() float64 {
-	return math.Max(1, math.Floor(a.cfg.Slack*slackUse/float64(a.members)))
+	return math.Max(1, math.Floor(a.cfg.Slack*usedSlackShare/float64(a.members)))
 }
 
-func (a *SharedBudget) of(now time.Time, service steering.Service) *spending {
-	s := a.pools[service]
+func (a *SharedBudget) budgetFor(now time.Time, service steering.Service) *serviceBudget {
+	s := a.services[service]
 	if s == nil {
-		s = &spending{earned: a.cap(), at: now}
-		a.pools[service] = s
+		s = &serviceBudget{available: a.cap(), updatedAt: now}
+		a.services[service] = s
 	}
-	// Unused slack comes back over a window, so that a window never holds more
-	// than two times what is divided; half of it is what slackUse leaves out.
-	s.earned = math.Min(a.cap(), s.earned+a.cap()*float64(now.Sub(s.at))/float64(2*a.cfg.Window))
-	s.at = now
+	// The slack refills over two windows. A VM with a full bucket therefore spends at most 1.5
+	// times its part of the divided slack in any window, which is 0.9 of its part of Slack. What
+	// requests add comes on top, and so does the part of a try by which cap is raised to one.
+	s.available = math.Min(a.cap(), s.available+a.cap()*float64(now.Sub(s.updatedAt))/float64(2*a.cfg.Window))
+	s.updatedAt = now
 	return s
 }
 
-// First counts a request, which earns a part of a further try.
+// First counts a request, which adds a fraction of an extra try to the budget of its service.
 func (a *SharedBudget) First(now time.Time, service steering.Service) {
-	s := a.of(now, service)
-	s.earned = math.Min(a.cap(), s.earned+a.cfg.Ratio*ratioUse)
+	s := a.budgetFor(now, service)
+	s.available = math.Min(a.cap(), s.available+a.cfg.Ratio*usedRatioShare)
 }
 
-// Take spends a further try and reports whether there was one.
+// Take charges an extra try to the budget of the service and reports whether the budget allowed
+// it.
 func (a *SharedBudget) Take(now time.Time, service steering.Service) bool {
-	s := a.of(now, service)
-	if s.earned < 1 {
+	s := a.budgetFor(now, service)
+	if s.available < 1 {
 		return false
 	}
-	s.earned--
+	s.available--
 	return true
 }
 
-// Return gives back a further try that was taken and not made.
+// Return gives back an extra try that was taken but not sent.
 func (a *SharedBudget) Return(now time.Time, service steering.Service) {
-	s := a.of(now, service)
-	s.earned = math.Min(a.cap(), s.earned+1)
+	s := a.budgetFor(now, service)
+	s.available = math.Min(a.cap(), s.available+1)
 }
 
-// Left returns the further tries that could be made now, by service.
+// Left returns the number of extra tries that each service has available.
 func (a *SharedBudget) Left(now time.Time) map[steering.Service]float64 {
-	left := make(map[steering.Service]float64, len(a.pools))
-	for service := range a.pools {
-		left[service] = a.of(now, service).earned
+	left := make(map[steering.Service]float64, len(a.services))
+	for service := range a.services {
+		left[service] = a.budgetFor(now, service).available
 	}
 	return left
 }
--- a/steering/retry/shared_test.go
+++ b/steering/retry/shared_test.go
@@ -10,10 +10,10 @@
 	"heatherlock/steering/retry"
 )
 
-// Symptom: a failing service gets twice the requests of its callers and stays
-// down. Sequence: all targets fail, every entry VM tries everything again.
-// Cause: each entry VM spends the whole slack. In any window, the tries of all
-// together must stay within ratio x requests + slack.
+// Guards against a failing service that receives twice the requests of its callers and therefore
+// stays down: all targets fail and every entry VM retries everything, because each of them spends
+// the whole slack. In any window, the extra tries of all entry VMs must stay within ratio x
+// requests + slack.
 func TestTriesOfAllEntryVMsStayWithinTheBound(t *testing.T) {
 	cfg := retry.SharedBudgetConfig{Ratio: 0.2, Slack: 64, Window: 10 * time.Second}
 	rapid.Check(t, func(t *rapid.T) {
