--- a/steering/once/doc.go
+++ b/steering/once/doc.go
@@ -1,25 +1,25 @@
-// Package once keeps the outcomes of keyed non-idempotent requests, so that a
+// Package once keeps the outcomes of non-idempotent requests that carry a request key, so that a
 // key is executed at most once however often its caller repeats it.
 //
-// A key is bound to one incarnation of one entry VM, named in its prefix. Only
-// that incarnation's Table may let the key run; every other one passes the
-// request home, or answers that the outcome is unknown when home is gone.
+// A key belongs to one incarnation (one process lifetime) of one entry VM, its home, which is
+// named in the key's prefix. Only the Table of that incarnation may let the key run. Other entry
+// VMs forward the request to the home, or answer that the outcome is unknown when the home is
+// gone.
 //
-// Memory is bounded, so outcomes are forgotten. What must never happen is that
-// a forgotten key is taken for one never seen and runs a second time: a caller
-// would notice a double charge. Therefore the prefix also carries the epoch
-// (minute) of issue, and the table keeps one number, the newest sealed epoch:
+// Memory is bounded, so outcomes are evicted. An evicted key must never be mistaken for a new key
+// and run a second time: a caller would be charged twice. Therefore the prefix also contains the
+// epoch (minute) in which it was issued, and the table keeps the newest sealed epoch. New keys of
+// a sealed epoch and of all earlier ones are refused:
 //
-//  1. the sealed epoch only grows;
-//  2. an entry whose request may have run is removed only when its epoch is
-//     sealed;
-//  3. a key that is not in the table runs only when its epoch is not sealed.
+//  1. The sealed epoch only increases.
+//  2. An entry whose request may have run is removed only after its epoch is sealed.
+//  3. A key without an entry runs only if its epoch is not sealed.
 //
-// A key that ran is thus either in the table or sealed, and runs no more. Time
-// only chooses when an epoch is sealed; a wrong clock can make the table refuse
-// a fresh key, never run a used one.
+// A key that ran thus either has an entry or belongs to a sealed epoch, and does not run again.
+// Time only determines when an epoch is sealed: with a wrong clock the table may refuse a new
+// key, but it never runs a used one.
 //
-// Limits: a fresh key must arrive within FreshFor of its prefix's issue (less
-// when memory is short, never under MinFresh), else it is refused as if it were
-// forgotten. Requests without a key are not kept here: they get one try.
+// Limitations: a new key must arrive within PrefixLifetime after its prefix was issued (less if
+// memory is short, but never less than MinPrefixLifetime). Otherwise it is refused like an
+// evicted key. Requests without a key are not recorded here; they get one try.
 package once
--- a/steering/once/evict.go
+++ b/steering/once/evict.go
@@ -14,26 +14,26 @@
 	stateUnknown
 )
 
-// entry is what the table knows of one key.
+// entry is the table's record of one key.
 type entry struct {
 	key         steering.Key
 	epoch       Epoch
 	fingerprint Fingerprint
 	serial      uint64
 	state       state
-	joined      int
+	waiters     int
 	answer      *Answer
 	refusal     *steering.Refusal
-	ended       time.Duration // since the start of the incarnation
-	next        *entry        // ended later
+	endedAt     time.Duration // since the start of the incarnation
+	nextEnded   *entry        // the entry that ended next
 }
 
 func (e *entry) size() int64 {
 	return entryBytes + int64(len(e.key)) + e.answer.Size()
 }
 
-func (e *entry) finish(ended time.Duration, o Outcome, maxAnswer int64) {
-	e.ended = ended
+func (e *entry) finish(endedAt time.Duration, o Outcome, maxAnswer int64) {
+	e.endedAt = endedAt
 	if o.Kind == Unknown {
 		e.state = stateUnknown
 		e.refusal = unknownRefusal(o.Refusal)
@@ -45,7 +45,7 @@
 	}
 }
 
-// unknownRefusal makes sure that a repeat of an unknown outcome is never told
+// unknownRefusal returns the refusal for repeats of a key with an unknown outcome. It never says
 // "not run", whatever the caller of Finish passed.
 func unknownRefusal(r *steering.Refusal) *steering.Refusal {
 	if r == nil {
@@ -58,47 +58,47 @@
 	return &copied
 }
 
-// finishedList holds ended entries, oldest end first. withAnswer is the first
-// entry that may still hold an answer.
+// finishedList holds the ended entries in the order in which they ended. firstWithAnswer is the
+// oldest entry that may still hold an answer.
 type finishedList struct {
-	first, last *entry
-	withAnswer  *entry
+	first, last     *entry
+	firstWithAnswer *entry
 }
 
 func (l *finishedList) push(e *entry) {
 	if l.last == nil {
 		l.first = e
 	} else {
-		l.last.next = e
+		l.last.nextEnded = e
 	}
 	l.last = e
-	if l.withAnswer == nil {
-		l.withAnswer = e
+	if l.firstWithAnswer == nil {
+		l.firstWithAnswer = e
 	}
 }
 
 func (l *finishedList) pop() *entry {
 	e := l.first
-	l.first = e.next
+	l.first = e.nextEnded
 	if l.first == nil {
 		l.last = nil
 	}
-	if l.withAnswer == e {
-		l.withAnswer = e.next
+	if l.firstWithAnswer == e {
+		l.firstWithAnswer = e.nextEnded
 	}
-	e.next = nil
+	e.nextEnded = nil
 	return e
 }
 
-// expire seals the epochs whose prefixes are too old for fresh keys, then
-// forgets the outcomes that were kept long enough.
+// expire seals the epochs whose prefixes have exceeded their lifetime, then evicts the outcomes
+// that were kept for KeepFor.
 func (t *Table) expire(now time.Time) {
-	t.seal(t.epochAt(now.Add(-t.cfg.FreshFor)) - 1)
+	t.seal(t.epochAt(now.Add(-t.cfg.PrefixLifetime)) - 1)
 	for e := t.finished.first; e != nil; e = t.finished.first {
-		if e.epoch > t.sealed || e.ended+t.cfg.KeepFor > t.since(now) {
+		if e.epoch > t.sealed || e.endedAt+t.cfg.KeepFor > t.since(now) {
 			return
 		}
-		t.evictFirst()
+		t.evictOldest()
 	}
 }
 
@@ -106,43 +106,43 @@
 	t.sealed = max(t.sealed, epoch)
 }
 
-// makeRoom frees need bytes and returns zero, or returns how long to wait until
-// it can. Answers go first, since a repeat can still be told that the request
-// ran; then whole outcomes, oldest first, each after its epoch is sealed.
+// makeRoom frees enough memory for need more bytes and returns zero, or returns how long to wait
+// until it can. It drops answers first, since the response to a repeat can still say that the
+// request ran. Then it evicts whole outcomes, oldest first, after sealing the epoch of each.
 func (t *Table) makeRoom(now time.Time, need int64) time.Duration {
 	limit := t.cfg.MaxBytes - need
-	t.shrinkAnswers(limit)
+	t.dropAnswers(limit)
 	for t.bytes > limit {
 		e := t.finished.first
 		if e == nil {
 			return time.Second
 		}
-		if wait := t.untilSealable(now, e.epoch); wait > 0 {
+		if wait := t.timeUntilSealable(now, e.epoch); wait > 0 {
 			return wait
 		}
 		t.seal(e.epoch)
-		t.evictFirst()
+		t.evictOldest()
 		t.stats.EvictedEarly++
 	}
 	return 0
 }
 
-// untilSealable returns how long the epoch must stay open for fresh keys. An
-// epoch sealed at once would turn away callers that just got its prefix.
-func (t *Table) untilSealable(now time.Time, epoch Epoch) time.Duration {
+// timeUntilSealable returns how long the epoch must stay open for new keys. Sealing it earlier
+// would refuse callers that have just received its prefix.
+func (t *Table) timeUntilSealable(now time.Time, epoch Epoch) time.Duration {
 	if epoch <= t.sealed {
 		return 0
 	}
 	end := time.Unix(int64(epoch+1)*int64(EpochLength/time.Second), 0)
 	here := t.cfg.Start.Round(0).Add(t.since(now))
-	return max(0, end.Add(t.cfg.MinFresh).Sub(here))
+	return max(0, end.Add(t.cfg.MinPrefixLifetime).Sub(here))
 }
 
-// shrinkAnswers drops kept answers, oldest first, until limit holds.
-func (t *Table) shrinkAnswers(limit int64) {
-	for t.bytes > limit && t.finished.withAnswer != nil {
-		e := t.finished.withAnswer
-		t.finished.withAnswer = e.next
+// dropAnswers drops stored answers, oldest first, until the table takes at most limit bytes.
+func (t *Table) dropAnswers(limit int64) {
+	for t.bytes > limit && t.finished.firstWithAnswer != nil {
+		e := t.finished.firstWithAnswer
+		t.finished.firstWithAnswer = e.nextEnded
 		if e.answer == nil {
 			continue
 		}
@@ -152,8 +152,8 @@
 	}
 }
 
-// evictFirst forgets the oldest outcome; its epoch must be sealed.
-func (t *Table) evictFirst() {
+// evictOldest removes the outcome that ended first. Its epoch must be sealed.
+func (t *Table) evictOldest() {
 	t.remove(t.finished.pop())
 	t.stats.Evicted++
 }
--- a/steering/once/key.go
+++ b/steering/once/key.go
@@ -10,27 +10,27 @@
 	"heatherlock/steering"
 )
 
-// Bounds on the parts of a request key, in bytes.
+// Limits on the lengths of the parts of a request key, in bytes.
 const (
 	MaxIncarnation = 64
 	MinUnique      = 8
 	MaxUnique      = 128
 )
 
-// EpochLength is the time that one key prefix is issued for.
+// EpochLength is the period in which all issued key prefixes carry the same epoch.
 const EpochLength = time.Minute
 
-// Epoch numbers the minutes in which key prefixes are issued, counted from the
-// Unix epoch on the issuer's clock.
+// Epoch is the number of the minute in which a key prefix was issued, counted from the Unix epoch
+// on the issuer's clock.
 type Epoch int64
 
-// EpochAt returns the epoch that prefixes issued at now carry.
+// EpochAt returns the epoch of the prefixes that are issued at now.
 func EpochAt(now time.Time) Epoch {
 	return Epoch(now.Unix() / int64(EpochLength/time.Second))
 }
 
-// PrefixAt returns the prefix for keys issued at now that incarnation will
-// keep. Any entry VM may issue it for any other: clocks may differ by minutes.
+// PrefixAt returns the prefix, issued at now, of keys that belong to incarnation. Any entry VM
+// may issue it on behalf of another one, even if their clocks differ by minutes.
 func PrefixAt(incarnation steering.Incarnation, now time.Time) steering.KeyPrefix {
 	if incarnation == "" {
 		return ""
@@ -46,23 +46,25 @@
 	Unique      string
 }
 
-// ErrBadKey says that a request key is malformed; the message names the part.
+// ErrBadKey is returned for a malformed request key, wrapped in an error that names the malformed
+// part.
 var ErrBadKey = errors.New("once: request key must be <keyPrefix of a look-up answer>.<8 to 128 letters, digits, - or _>")
 
-// ParseKey splits a key that came from a caller. A malformed key is an ErrBadKey.
+// ParseKey parses a request key received from a caller. It returns an ErrBadKey if the key is
+// malformed.
 func ParseKey(key steering.Key) (KeyParts, error) {
 	prefix, unique, found := strings.Cut(string(key), ".")
 	if !found {
 		return KeyParts{}, errors.Wrap(ErrBadKey, "no dot")
 	}
-	if len(unique) < MinUnique || len(unique) > MaxUnique || !all(unique, isUnique) {
+	if len(unique) < MinUnique || len(unique) > MaxUnique || !allBytes(unique, isUnique) {
 		return KeyParts{}, errors.Wrap(ErrBadKey, "unique part")
 	}
 	incarnation, digits, found := strings.Cut(prefix, "-")
 	if !found {
 		return KeyParts{}, errors.Wrap(ErrBadKey, "no epoch in the prefix")
 	}
-	if incarnation == "" || len(incarnation) > MaxIncarnation || !all(incarnation, isAlnum) {
+	if incarnation == "" || len(incarnation) > MaxIncarnation || !allBytes(incarnation, isAlphanumeric) {
 		return KeyParts{}, errors.Wrap(ErrBadKey, "incarnation")
 	}
 	epoch, ok := parseEpoch(digits)
@@ -72,11 +74,11 @@
 	return KeyParts{Incarnation: steering.Incarnation(incarnation), Epoch: epoch, Unique: unique}, nil
 }
 
-// maxEpochDigits keeps an epoch far from overflow.
+// maxEpochDigits keeps an epoch far below the overflow of an int64.
 const maxEpochDigits = 12
 
-// parseEpoch accepts only the form that PrefixAt writes. Were "07" taken for
-// "7", one key would have two spellings and could run twice.
+// parseEpoch accepts only the format that PrefixAt writes. If it took "07" for "7", one key would
+// have two spellings and could run twice.
 func parseEpoch(digits string) (Epoch, bool) {
 	if digits == "" || len(digits) > maxEpochDigits {
 		return 0, false
@@ -84,14 +86,14 @@
 	if digits[0] == '0' && len(digits) > 1 {
 		return 0, false
 	}
-	if !all(digits, isDigit) {
+	if !allBytes(digits, isDigit) {
 		return 0, false
 	}
 	n, err := strconv.ParseInt(digits, 10, 64)
 	return Epoch(n), err == nil
 }
 
-func all(s string, is func(byte) bool) bool {
+func allBytes(s string, is func(byte) bool) bool {
 	for i := range len(s) {
 		if !is(s[i]) {
 			return false
@@ -102,9 +104,9 @@
 
 func isDigit(c byte) bool { return c >= '0' && c <= '9' }
 
-func isAlnum(c byte) bool {
+func isAlphanumeric(c byte) bool {
 	lower := c | 0x20
 	return isDigit(c) || lower >= 'a' && lower <= 'z'
 }
 
-func isUnique(c byte) bool { return isAlnum(c) || c == '-' || c == '_' }
+func isUnique(c byte) bool { return isAlphanumeric(c) || c == '-' || c == '_' }
--- a/steering/once/once_test.go
+++ b/steering/once/once_test.go
@@ -16,133 +16,134 @@
 
 var start = time.Date(2026, 6, 1, 12, 0, 0, 0, time.UTC)
 
-// witness is the independent reference: it sees only what callers and targets
-// see, and knows nothing of epochs, eviction or memory.
-type witness struct {
+// referenceModel is the independent reference for the table. It sees only what callers and
+// targets see, and has no notion of epochs, eviction or memory.
+type referenceModel struct {
 	runs    map[steering.Key]int // executions that may have had an effect
 	running map[steering.Key]Run
 	answers map[steering.Key]string
 }
 
-type onceMachine struct {
-	table   *Table
-	now     time.Time
-	lives   int
-	issued  []steering.Key
-	issueAt map[steering.Key]time.Time
-	seen    witness
+type tableModel struct {
+	table        *Table
+	now          time.Time
+	incarnations int
+	issued       []steering.Key
+	issuedAt     map[steering.Key]time.Time
+	reference    referenceModel
 }
 
-func (m *onceMachine) incarnation() steering.Incarnation {
-	return steering.Incarnation(fmt.Sprintf("vm%d", m.lives))
+func (m *tableModel) incarnation() steering.Incarnation {
+	return steering.Incarnation(fmt.Sprintf("vm%d", m.incarnations))
 }
 
-func (m *onceMachine) restart() {
-	m.lives++
-	m.seen.running = map[steering.Key]Run{}
+func (m *tableModel) restart() {
+	m.incarnations++
+	m.reference.running = map[steering.Key]Run{}
 	m.table = New(Config{
 		Incarnation: m.incarnation(), Start: m.now,
-		MaxBytes: 6 * 400, MaxAnswerBytes: 200, MaxJoin: 2,
-		KeepFor: 3 * time.Minute, FreshFor: 3 * time.Minute, MinFresh: time.Minute, Ahead: time.Minute,
+		MaxBytes: 6 * 400, MaxAnswerBytes: 200, MaxWaiters: 2,
+		KeepFor: 3 * time.Minute, PrefixLifetime: 3 * time.Minute, MinPrefixLifetime: time.Minute, MaxClockSkew: time.Minute,
 	})
 }
 
-func newMachine() *onceMachine {
-	m := &onceMachine{now: start, issueAt: map[steering.Key]time.Time{}}
-	m.seen = witness{runs: map[steering.Key]int{}, answers: map[steering.Key]string{}}
+func newModel() *tableModel {
+	m := &tableModel{now: start, issuedAt: map[steering.Key]time.Time{}}
+	m.reference = referenceModel{runs: map[steering.Key]int{}, answers: map[steering.Key]string{}}
 	m.restart()
 	return m
 }
 
-func (m *onceMachine) issue(t *rapid.T) {
+func (m *tableModel) issue(t *rapid.T) {
 	skew := time.Duration(rapid.IntRange(-90, 90).Draw(t, "skew")) * time.Second
 	key := steering.Key(fmt.Sprintf("%s.unique%04d", PrefixAt(m.incarnation(), m.now.Add(skew)), len(m.issued)))
 	m.issued = append(m.issued, key)
-	m.issueAt[key] = m.now.Add(min(0, skew))
+	m.issuedAt[key] = m.now.Add(min(0, skew))
 	if skew > 0 {
-		delete(m.issueAt, key) // a prefix from the future promises no freshness
+		delete(m.issuedAt, key) // a prefix from the future need not be accepted for any time
 	}
 }
 
-func (m *onceMachine) send(t *rapid.T) {
+func (m *tableModel) send(t *rapid.T) {
 	if len(m.issued) == 0 {
-		t.Skip("no key yet")
+		t.Skip("no key was issued yet")
 	}
 	key := rapid.SampledFrom(m.issued).Draw(t, "key")
 	m.sendKey(t, key, Fingerprint(rapid.IntRange(1, 6).Draw(t, "content")/6)) // rarely 1
 }
 
-// purchase fills the table with ended keys, as live traffic does.
-func (m *onceMachine) purchase(t *rapid.T) {
+// completeNew issues a key, sends it and finishes it, which fills the table with ended entries as
+// real traffic does.
+func (m *tableModel) completeNew(t *rapid.T) {
 	m.issue(t)
 	key := m.issued[len(m.issued)-1]
 	m.sendKey(t, key, 0)
-	if run, ok := m.seen.running[key]; ok {
+	if run, ok := m.reference.running[key]; ok {
 		m.end(t, key, run, Outcome{Kind: Done})
 	}
 }
 
-// sendKey gives the table a key, new or repeated, and holds its decision against
-// the reference.
-func (m *onceMachine) sendKey(t *rapid.T, key steering.Key, fp Fingerprint) {
+// sendKey passes a new or repeated key to the table and checks the decision against the
+// reference.
+func (m *tableModel) sendKey(t *rapid.T, key steering.Key, fp Fingerprint) {
 	d := m.table.Begin(m.now, key, fp)
-	_, running := m.seen.running[key]
+	_, running := m.reference.running[key]
 	switch d.Kind {
 	case Execute:
-		assert.Assert(t, m.seen.runs[key] == 0 && !running, "%s runs a second time", key)
-		m.seen.running[key] = d.Run
-		m.seen.runs[key]++
+		assert.Assert(t, m.reference.runs[key] == 0 && !running, "%s runs a second time", key)
+		m.reference.running[key] = d.Run
+		m.reference.runs[key]++
 	case Join:
-		assert.Assert(t, running, "%s joins nothing", key)
+		assert.Assert(t, running, "%s joined, but is not running", key)
 	case Replay:
-		assert.Equal(t, string(d.Answer.Body), m.seen.answers[key])
+		assert.Equal(t, string(d.Answer.Body), m.reference.answers[key])
 	case Foreign:
 		assert.Assert(t, d.Home != m.incarnation())
 	case Refuse:
-		m.refused(t, key, d.Refusal, running)
+		m.checkRefusal(t, key, d.Refusal, running)
 	}
 }
 
-func (m *onceMachine) refused(t *rapid.T, key steering.Key, r *steering.Refusal, running bool) {
+func (m *tableModel) checkRefusal(t *rapid.T, key steering.Key, r *steering.Refusal, running bool) {
 	if r.Ran == steering.RanNo {
-		assert.Assert(t, m.seen.runs[key] == 0, "%s ran and is called not run: %v", key, r)
+		assert.Assert(t, m.reference.runs[key] == 0, "%s ran, but the refusal says not run: %v", key, r)
 	}
 	if r.Ran == steering.RanYes {
-		assert.Assert(t, m.seen.runs[key] == 1 && !running)
+		assert.Assert(t, m.reference.runs[key] == 1 && !running)
 	}
-	issued, ok := m.issueAt[key]
-	young := ok && m.now.Sub(issued) < time.Minute
-	if r.Reason == steering.ReasonKeyEvicted && m.seen.runs[key] == 0 {
-		assert.Assert(t, !young, "%s is fresh and young, yet counts as forgotten", key)
+	issued, ok := m.issuedAt[key]
+	recent := ok && m.now.Sub(issued) < time.Minute
+	if r.Reason == steering.ReasonKeyEvicted && m.reference.runs[key] == 0 {
+		assert.Assert(t, !recent, "%s is new and within the minimum prefix lifetime, but was refused as evicted", key)
 	}
 }
 
-func (m *onceMachine) finish(t *rapid.T) {
-	if len(m.seen.running) == 0 {
-		t.Skip("nothing runs")
+func (m *tableModel) finish(t *rapid.T) {
+	if len(m.reference.running) == 0 {
+		t.Skip("no key is running")
 	}
-	key := rapid.SampledFrom(m.issued).Filter(func(k steering.Key) bool { _, ok := m.seen.running[k]; return ok }).Draw(t, "running")
+	key := rapid.SampledFrom(m.issued).Filter(func(k steering.Key) bool { _, ok := m.reference.running[k]; return ok }).Draw(t, "running")
 	o := Outcome{Kind: OutcomeKind(rapid.IntRange(0, 2).Draw(t, "outcome"))}
 	switch o.Kind {
 	case Done:
 		body := strings.Repeat("a", rapid.IntRange(1, 300).Draw(t, "size"))
-		m.seen.answers[key] = string(key) + body
-		o.Answer = &Answer{Status: 200, Body: []byte(m.seen.answers[key])}
+		m.reference.answers[key] = string(key) + body
+		o.Answer = &Answer{Status: 200, Body: []byte(m.reference.answers[key])}
 	case NotRun:
-		m.seen.runs[key]--
+		m.reference.runs[key]--
 	case Unknown:
 		o.Refusal = steering.Refuse(steering.ReasonTargetDied, 0, "wrongly called not run")
 	}
-	m.end(t, key, m.seen.running[key], o)
+	m.end(t, key, m.reference.running[key], o)
 }
 
-func (m *onceMachine) end(t *rapid.T, key steering.Key, run Run, o Outcome) {
-	delete(m.seen.running, key)
+func (m *tableModel) end(t *rapid.T, key steering.Key, run Run, o Outcome) {
+	delete(m.reference.running, key)
 	assert.Assert(t, m.table.Finish(m.now, run, o))
-	assert.Assert(t, !m.table.Finish(m.now, run, Outcome{Kind: NotRun}), "a second end of one run took effect")
+	assert.Assert(t, !m.table.Finish(m.now, run, Outcome{Kind: NotRun}), "a second Finish of one run took effect")
 }
 
-func (m *onceMachine) check(t *rapid.T) {
+func (m *tableModel) checkStats(t *rapid.T) {
 	s := m.table.Stats()
 	var bytes int64
 	for _, e := range m.table.entries {
@@ -152,14 +153,14 @@
 	assert.Assert(t, s.Bytes <= m.table.cfg.MaxBytes)
 }
 
-// TestKeysRunAtMostOnce is the promise for every interleaving of first sends,
-// repeats, ends, skewed issuers, evictions, pauses and restarts.
+// TestKeysRunAtMostOnce checks that no key runs twice, for any interleaving of first requests,
+// repeats, ends, issuers with skewed clocks, evictions, pauses and restarts.
 func TestKeysRunAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newMachine()
+		m := newModel()
 		t.Repeat(map[string]func(*rapid.T){
 			"issue":    m.issue,
-			"purchase": m.purchase,
+			"purchase": m.completeNew,
 			"send":     m.send,
 			"finish":   m.finish,
 			"wait": func(t *rapid.T) {
@@ -170,14 +171,14 @@
 					m.restart()
 				}
 			},
-			"": m.check,
+			"": m.checkStats,
 		})
 	})
 }
 
-// Symptom: a bather is charged twice. Sequence: a purchase ends, the table fills
-// up and forgets its outcome, the kiosk repeats the purchase. Cause: a forgotten
-// key looks like one never seen unless its epoch is sealed first.
+// Guards against a customer who is charged twice: a purchase ends, the table fills up and evicts
+// its outcome, and the client repeats the purchase. An evicted key looks like a new one unless
+// its epoch was sealed first.
 func TestForgottenKeyDoesNotRun(t *testing.T) {
 	table := New(Config{Incarnation: "vm1", Start: start, MaxBytes: 4 * 350})
 	key := steering.Key(PrefixAt("vm1", start) + ".purchase1")
@@ -198,9 +199,9 @@
 	assert.Equal(t, again.Refusal.Ran, steering.RanUnknown)
 }
 
-// Symptom: every keyed purchase is refused for an hour. Sequence: the entry VM's
-// wall clock jumps an hour ahead and back. Cause: epochs sealed by the wall
-// clock stay sealed; the table measures from its start instead.
+// Guards against an hour in which every keyed purchase is refused after the wall clock of the
+// entry VM jumps an hour ahead and back. Epochs that are sealed by the wall clock would stay
+// sealed; the table measures time from its start instead.
 func TestWallClockStepSealsNothing(t *testing.T) {
 	began := time.Now()
 	table := New(Config{Incarnation: "vm1", Start: began})
@@ -219,7 +220,7 @@
 			assert.Assert(t, errors.Is(err, ErrBadKey))
 			return
 		}
-		// One spelling per key: two would be two entries and two executions.
+		// A key with two spellings would have two entries and two executions.
 		assert.Equal(t, fmt.Sprintf("%s-%d.%s", parts.Incarnation, parts.Epoch, parts.Unique), key)
 	})
 }
@@ -248,8 +249,8 @@
 	}
 }
 
-// BenchmarkEntryMemory reports what an ended entry without an answer takes, and
-// what the table counts for it.
+// BenchmarkEntryMemory reports the memory that an ended entry without an answer takes, and the
+// size that the table accounts for it.
 func BenchmarkEntryMemory(b *testing.B) {
 	const entries = 100_000
 	for b.Loop() {
--- a/steering/once/outcome.go
+++ b/steering/once/outcome.go
@@ -6,10 +6,11 @@
 	"heatherlock/steering"
 )
 
-// Fingerprint tells requests apart that carry the same key.
+// Fingerprint identifies the content of a request, to detect different requests with the same
+// key.
 type Fingerprint uint64
 
-// Answer is a whole answer kept for repeats of a key.
+// Answer is a complete answer, stored for repeats of a key.
 type Answer struct {
 	Status  int
 	Header  http.Header
@@ -17,7 +18,7 @@
 	Trailer http.Header
 }
 
-// headerFieldBytes is what one header value costs besides its text.
+// headerFieldBytes is the memory overhead of one header value in addition to its text.
 const headerFieldBytes = 48
 
 // Size returns the memory that the answer takes, in bytes.
@@ -38,20 +39,20 @@
 	return size
 }
 
-// OutcomeKind says how an execution ended.
+// OutcomeKind is how an execution ended.
 type OutcomeKind uint8
 
-// Kinds of outcome.
+// Kinds of outcomes.
 const (
-	// Done means that the target answered, and the answer is whole.
+	// Done means that the target sent a complete answer.
 	Done OutcomeKind = iota
-	// NotRun means proved not run: the key is free to run again.
+	// NotRun means that the request is known not to have run: the key may run again.
 	NotRun
-	// Unknown means that it may have run: the key never runs again.
+	// Unknown means that the request may have run: the key never runs again.
 	Unknown
 )
 
-// String returns the outcome's name in logs and counters.
+// String returns the name of the kind for logs and counters.
 func (k OutcomeKind) String() string {
 	switch k {
 	case Done:
@@ -64,42 +65,42 @@
 	return "invalid"
 }
 
-// Outcome is how an execution ended.
+// Outcome is the result of an execution.
 type Outcome struct {
 	Kind OutcomeKind
-	// Answer is the whole answer of a Done outcome; nil when it was not kept.
+	// Answer is the complete answer of a Done outcome, or nil if it is not stored.
 	Answer *Answer
-	// Refusal is what repeats of an Unknown outcome are told; it is never
-	// RanNo.
+	// Refusal is the response to repeats of a key whose outcome is Unknown. Finish makes sure
+	// that it does not say RanNo.
 	Refusal *steering.Refusal
 }
 
-// Run is the right to execute a key once. The serial tells a late end of an
-// earlier run, which was proved not run, from the end of the present one.
+// Run is the permission to execute a key once. Serial tells runs of the same key apart: a late
+// Finish of an earlier run, which was known not to have run, must not end the current one.
 type Run struct {
 	Key    steering.Key
 	Serial uint64
 }
 
-// DecisionKind says what to do with a keyed request.
+// DecisionKind is what to do with a keyed request.
 type DecisionKind uint8
 
-// Kinds of decision.
+// Kinds of decisions.
 const (
-	// Execute means: run it and call Finish with the Run, whatever happens.
+	// Execute means to run the request and to call Finish with the Run in any case.
 	Execute DecisionKind = iota
-	// Join means: the key is running here; wait for its outcome.
+	// Join means to wait for the outcome of the key, which is running here.
 	Join
-	// Replay means: send the stored answer.
+	// Replay means to send the stored answer.
 	Replay
-	// Refuse means: send the refusal.
+	// Refuse means to send the refusal.
 	Refuse
-	// Foreign means: pass the request to the incarnation in Home; where that is
-	// gone, answer HomeGone.
+	// Foreign means to forward the request to the incarnation in Home, or to answer HomeGone if
+	// that incarnation no longer exists.
 	Foreign
 )
 
-// Decision is what Begin decided.
+// Decision is the result of Begin.
 type Decision struct {
 	Kind    DecisionKind
 	Run     Run
@@ -108,16 +109,16 @@
 	Home    steering.Incarnation
 }
 
-// HomeGone is the answer for a key whose incarnation cannot be reached any
-// more. The key may have run there, so it is never run here.
+// HomeGone returns the refusal for a key whose incarnation no longer exists. The key may have run
+// there, so it never runs here.
 func HomeGone(home steering.Incarnation) *steering.Refusal {
 	return steering.Unknown(steering.ReasonHomeGone, "incarnation "+string(home)+" issued the key and is gone")
 }
 
-// HomeUnreachable is the answer for a key whose incarnation is alive as far as
-// is known, but cannot be reached now. A repeat may find it again.
+// HomeUnreachable returns the refusal for a key whose incarnation is presumed alive but cannot be
+// reached now. A later repeat may reach it.
 func HomeUnreachable(home steering.Incarnation) *steering.Refusal {
 	r := steering.Unknown(steering.ReasonPeerDown, "incarnation "+string(home)+" issued the key and does not answer")
-	r.RetryAfter = homeRetryAfter
+	r.RetryAfter = unreachableRetryAfter
 	return r
 }
--- a/steering/once/table.go
+++ b/steering/once/table.go
@@ -9,52 +9,52 @@
 
 // Defaults of Config.
 const (
-	DefaultMaxBytes       = 16 << 20
-	DefaultMaxAnswerBytes = 64 << 10
-	DefaultKeepFor        = 10 * time.Minute
-	DefaultFreshFor       = 10 * time.Minute
-	DefaultMinFresh       = time.Minute
-	DefaultAhead          = 5 * time.Minute
-	DefaultMaxJoin        = 16
+	DefaultMaxBytes          = 16 << 20
+	DefaultMaxAnswerBytes    = 64 << 10
+	DefaultKeepFor           = 10 * time.Minute
+	DefaultPrefixLifetime    = 10 * time.Minute
+	DefaultMinPrefixLifetime = time.Minute
+	DefaultMaxClockSkew      = 5 * time.Minute
+	DefaultMaxWaiters        = 16
 )
 
-// entryBytes is what an entry costs besides its key and its answer: the struct
-// and its share of the map. The measurement is in docs/measurements/once.md.
+// entryBytes is the memory of an entry without its key and its answer: the struct and its part of
+// the map. See docs/measurements/once.md for the measurement.
 const entryBytes = 176
 
-const homeRetryAfter = 500 * time.Millisecond
+const unreachableRetryAfter = 500 * time.Millisecond
 
-// Config bounds a Table. Zero fields take the defaults.
+// Config configures a Table. Zero fields other than Incarnation and Start take the defaults.
 type Config struct {
 	Incarnation steering.Incarnation
-	// Start is the time at which the incarnation began; later times are
-	// measured from it, so that a step of the wall clock seals nothing.
+	// Start is when the incarnation started. Later times are measured from it, so that a step of
+	// the wall clock seals no epoch.
 	Start time.Time
 	// MaxBytes bounds the memory of all entries.
 	MaxBytes int64
-	// MaxAnswerBytes bounds one kept answer.
+	// MaxAnswerBytes bounds the size of one stored answer.
 	MaxAnswerBytes int64
-	// KeepFor is how long an outcome is kept after its end, memory allowing.
+	// KeepFor is how long an outcome is kept after its end, unless memory is short.
 	KeepFor time.Duration
-	// FreshFor is how long after its issue a prefix may carry fresh keys.
-	FreshFor time.Duration
-	// MinFresh is the part of FreshFor that is kept even when memory is short.
-	// It covers the time to live of look-up answers.
-	MinFresh time.Duration
-	// Ahead is how far an issuer's clock may run before this one.
-	Ahead time.Duration
-	// MaxJoin bounds the repeats that wait for one running key.
-	MaxJoin int
+	// PrefixLifetime is how long after its issue a prefix may be used for new keys.
+	PrefixLifetime time.Duration
+	// MinPrefixLifetime is the part of PrefixLifetime that is granted even when memory is short.
+	// It has to cover the time to live of look-up answers.
+	MinPrefixLifetime time.Duration
+	// MaxClockSkew is how far the clock of an issuer may be ahead of this one.
+	MaxClockSkew time.Duration
+	// MaxWaiters bounds the repeats that wait for one running key.
+	MaxWaiters int
 }
 
 func (c Config) withDefaults() Config {
 	setDefault(&c.MaxBytes, DefaultMaxBytes)
 	setDefault(&c.MaxAnswerBytes, DefaultMaxAnswerBytes)
 	setDefault(&c.KeepFor, DefaultKeepFor)
-	setDefault(&c.FreshFor, DefaultFreshFor)
-	setDefault(&c.MinFresh, DefaultMinFresh)
-	setDefault(&c.Ahead, DefaultAhead)
-	setDefault(&c.MaxJoin, DefaultMaxJoin)
+	setDefault(&c.PrefixLifetime, DefaultPrefixLifetime)
+	setDefault(&c.MinPrefixLifetime, DefaultMinPrefixLifetime)
+	setDefault(&c.MaxClockSkew, DefaultMaxClockSkew)
+	setDefault(&c.MaxWaiters, DefaultMaxWaiters)
 	return c
 }
 
@@ -64,21 +64,20 @@
 	}
 }
 
-// Stats are the table's present size and its counters since the start.
+// Stats holds the current size of the table and its counters since the start.
 type Stats struct {
 	Entries int
 	Bytes   int64
 	Sealed  Epoch
-	// AnswersDropped counts answers forgotten early because memory was short.
+	// AnswersDropped counts the answers that were dropped early because memory was short.
 	AnswersDropped uint64
-	// Evicted counts entries forgotten; EvictedEarly those among them that had
-	// not been kept for KeepFor.
+	// Evicted counts the evicted entries, and EvictedEarly those among them that were evicted
+	// before KeepFor had passed.
 	Evicted      uint64
 	EvictedEarly uint64
 }
 
-// Table holds the outcomes of the keys of one incarnation. It is not safe for
-// concurrent use.
+// Table holds the outcomes of the keys of one incarnation. It is not safe for concurrent use.
 type Table struct {
 	cfg      Config
 	entries  map[steering.Key]*entry
@@ -98,8 +97,8 @@
 	}
 }
 
-// Begin decides what to do with a request that carries key. After Execute the
-// caller must call Finish exactly once.
+// Begin decides what to do with a request that carries key. After an Execute decision the caller
+// must call Finish exactly once.
 func (t *Table) Begin(now time.Time, key steering.Key, fp Fingerprint) Decision {
 	parts, err := ParseKey(key)
 	if err != nil {
@@ -110,21 +109,21 @@
 	}
 	t.expire(now)
 	if e, ok := t.entries[key]; ok {
-		return t.repeat(e, fp)
+		return t.beginRepeat(e, fp)
 	}
-	return t.fresh(now, key, parts.Epoch, fp)
+	return t.beginNew(now, key, parts.Epoch, fp)
 }
 
-// repeat answers a key that is in the table.
-func (t *Table) repeat(e *entry, fp Fingerprint) Decision {
+// beginRepeat decides on a key that has an entry.
+func (t *Table) beginRepeat(e *entry, fp Fingerprint) Decision {
 	if e.fingerprint != fp {
-		// The key's first request may have run. "Not run" would invite a caller
-		// that rebuilt its request to send it again under a fresh key.
+		// The key's first request may have run. If the refusal said "not run", a caller that
+		// built its request anew might send it again under a new key.
 		return refuse(steering.Unknown(steering.ReasonKeyMismatch, "the first request under this key had other content"))
 	}
 	switch e.state {
 	case stateRunning:
-		return t.join(e)
+		return t.joinRunning(e)
 	case stateUnknown:
 		return refuse(e.refusal)
 	}
@@ -134,22 +133,22 @@
 	return Decision{Kind: Replay, Answer: e.answer}
 }
 
-func (t *Table) join(e *entry) Decision {
-	if e.joined >= t.cfg.MaxJoin {
-		r := steering.Unknown(steering.ReasonKeyBusy, fmt.Sprintf("%d repeats wait already", e.joined))
+func (t *Table) joinRunning(e *entry) Decision {
+	if e.waiters >= t.cfg.MaxWaiters {
+		r := steering.Unknown(steering.ReasonKeyBusy, fmt.Sprintf("%d repeats wait already", e.waiters))
 		r.RetryAfter = time.Second
 		return refuse(r)
 	}
-	e.joined++
+	e.waiters++
 	return Decision{Kind: Join}
 }
 
-// fresh lets a key run that is not in the table, unless it may have been.
-func (t *Table) fresh(now time.Time, key steering.Key, epoch Epoch, fp Fingerprint) Decision {
+// beginNew lets a key without an entry run, unless it may have run before.
+func (t *Table) beginNew(now time.Time, key steering.Key, epoch Epoch, fp Fingerprint) Decision {
 	if epoch <= t.sealed {
 		return refuse(steering.Unknown(steering.ReasonKeyEvicted, "the key's prefix is too old for a key not seen before"))
 	}
-	if epoch > t.epochAt(now.Add(t.cfg.Ahead)) {
+	if epoch > t.epochAt(now.Add(t.cfg.MaxClockSkew)) {
 		return refuse(steering.Refuse(steering.ReasonBadRequest, 0, "the key's prefix lies in the future; take the one in Heatherlock-Key-Prefix"))
 	}
 	if wait := t.makeRoom(now, entryBytes+int64(len(key))); wait > 0 {
@@ -162,8 +161,8 @@
 	return Decision{Kind: Execute, Run: Run{Key: key, Serial: t.serial}}
 }
 
-// Finish records how a run ended and reports whether the run was the present
-// one of its key. A second end of the same run changes nothing.
+// Finish records how a run ended and reports whether it was the current run of its key. A second
+// call for the same run has no effect.
 func (t *Table) Finish(now time.Time, run Run, o Outcome) bool {
 	e, ok := t.entries[run.Key]
 	if !ok || e.serial != run.Serial || e.state != stateRunning {
@@ -176,7 +175,7 @@
 	e.finish(t.since(now), o, t.cfg.MaxAnswerBytes)
 	t.bytes += e.answer.Size()
 	t.finished.push(e)
-	t.shrinkAnswers(t.cfg.MaxBytes)
+	t.dropAnswers(t.cfg.MaxBytes)
 	return true
 }
 
@@ -199,12 +198,12 @@
 	return Decision{Kind: Refuse, Refusal: r}
 }
 
-// since measures time from the start of the incarnation.
+// since returns the time since the start of the incarnation.
 func (t *Table) since(now time.Time) time.Duration {
 	return now.Sub(t.cfg.Start)
 }
 
-// epochAt is EpochAt on a clock that a step of the wall clock cannot move.
+// epochAt is like EpochAt, but is not affected by steps of the wall clock.
 func (t *Table) epochAt(now time.Time) Epoch {
 	return EpochAt(t.cfg.Start.Add(t.since(now)))
 }
