--- a/steering/ownership/doc.go
+++ b/steering/ownership/doc.go
@@ -1,14 +1,13 @@
 // Package ownership orders the entry VMs of a zone for one pool.
 //
-// The first entry VM of the order owns the pool: it counts the pool's slots.
-// Look-up answers list entry VMs in the same order, so that most requests
-// arrive at the owner and need no message to another entry VM. Both sides call
-// this package, because two ways of ordering would send every request on a
-// detour.
+// The first entry VM in the order owns the pool: it counts the pool's slots. Look-up answers list
+// entry VMs in the same order, so that most requests arrive at the owner and need no message to
+// another entry VM. Both sides call this package, because two different orders would send every
+// request through a second entry VM.
 //
-// The order is rendezvous hashing: when an entry VM goes, only the pools it
-// owned move, each to the entry VM that was second for it. The order depends
-// on the set of entry VMs given, not on their sequence. Callers with different
-// views of the zone may name different owners; the owner's own checks, not
-// this package, keep slots from being counted twice.
+// The order is computed by rendezvous hashing: when an entry VM leaves, only the pools that it
+// owned move, each to the entry VM that was second in its order. The order depends on the set of
+// entry VMs, not on their sequence in the argument. Callers with different views of the zone may
+// disagree on the owner; the owner's own checks, not this package, prevent slots from being
+// counted twice.
 package ownership
--- a/steering/ownership/ownership_test.go
+++ b/steering/ownership/ownership_test.go
@@ -12,10 +12,9 @@
 	"heatherlock/steering/ownership"
 )
 
-// Symptom: two entry VMs both take themselves for a pool's owner, or every
-// pool moves when one entry VM is replaced. Sequence: views list the same
-// members in different sequence; a member goes. Cause: an order that depends
-// on positions instead of names.
+// Guards against two entry VMs that both consider themselves the owner of a pool because their
+// views list the same members in a different sequence, and against the reassignment of every pool
+// when one member leaves. Both come from an order that depends on positions instead of names.
 func TestOrderDependsOnTheSetAlone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		vms := rapid.SliceOfNDistinct(rapid.Custom(func(t *rapid.T) steering.VM {
@@ -30,9 +29,9 @@
 		n := rapid.IntRange(0, len(vms)).Draw(t, "n")
 		assert.DeepEqual(t, ownership.First(place, "tickets", vms, n), order[:n])
 
-		gone := rapid.SampledFrom(vms).Draw(t, "gone")
-		rest := slices.DeleteFunc(slices.Clone(vms), func(vm steering.VM) bool { return vm == gone })
-		expected := slices.DeleteFunc(slices.Clone(order), func(vm steering.VM) bool { return vm == gone })
+		removed := rapid.SampledFrom(vms).Draw(t, "gone")
+		rest := slices.DeleteFunc(slices.Clone(vms), func(vm steering.VM) bool { return vm == removed })
+		expected := slices.DeleteFunc(slices.Clone(order), func(vm steering.VM) bool { return vm == removed })
 		assert.DeepEqual(t, ownership.Order(place, "tickets", rest), expected)
 	})
 }
