--- a/steering/rendezvous/rendezvous_test.go
+++ b/steering/rendezvous/rendezvous_test.go
@@ -10,7 +10,7 @@
 	"heatherlock/steering/rendezvous"
 )
 
-func first(key uint64, weights map[string]float64) string {
+func topNode(key uint64, weights map[string]float64) string {
 	best, name := math.Inf(-1), ""
 	for node, weight := range weights {
 		if score := rendezvous.Score(key, rendezvous.Hash(node), weight); score > best {
@@ -27,10 +27,10 @@
 	counts := map[string]int{}
 	for n := range keys {
 		key := rendezvous.Hash(fmt.Sprint(n))
-		before := first(key, weights)
+		before := topNode(key, weights)
 		counts[before]++
 		if before != "b" {
-			assert.Equal(t, first(key, less), before)
+			assert.Equal(t, topNode(key, less), before)
 		}
 	}
 	for node, weight := range weights {
