--- a/steering/request/request.go
+++ b/steering/request/request.go
@@ -1,13 +1,13 @@
-// Package request holds the life of one request: which try may be sent next and
-// what may be said of its execution.
+// Package request holds the state of one request: which try may be sent next, and what is known
+// about its execution.
 //
-// The rules stand in a state chart, request.json, that the data path asks before
-// each try. A non-idempotent request has no way from "unknown" to another try,
-// whatever the code around it decides: running a purchase twice would need a
-// fault in the chart, which is a page long, and not just anywhere in the code.
+// The rules are a state chart, request.json, which the data path consults before each try. For a
+// non-idempotent request the chart has no transition from "unknown" to another try, whatever the
+// code around it decides. Running a purchase twice would take a fault in the chart, which fits on
+// a page and is easy to review, and not just a fault anywhere in the code.
 //
-// Limits: tries that race each other (hedges of idempotent requests) count as
-// one; the sender folds their ends into the least certain of them.
+// Limitations: tries that run in parallel (hedges of idempotent requests) count as one. The
+// sender combines their outcomes into the least certain of them.
 package request
 
 import (
@@ -17,7 +17,7 @@
 	"heatherlock/steering/chart"
 )
 
-// States of a request.
+// States of a request, as documented in request.json.
 const (
 	Received  chart.State = "received"
 	Sent      chart.State = "sent"
@@ -31,7 +31,7 @@
 	Lost      chart.State = "lost"
 )
 
-// Events of a request.
+// Events of a request, as documented in request.json.
 const (
 	Send         chart.Event = "send"
 	ProvedNotRun chart.Event = "notRun"
@@ -45,7 +45,7 @@
 //go:embed request.json
 var source []byte
 
-var life = chart.MustLoad("request/request.json", source, chart.Bindings[*Life]{
+var lifecycle = chart.MustLoad("request/request.json", source, chart.Bindings[*Life]{
 	States: []chart.State{Received, Sent, NotRun, Unknown, SentAgain, Answering, Done, Cut, Refused, Lost},
 	Events: []chart.Event{Send, ProvedNotRun, MayHaveRun, Answer, Whole, CutShort, Refuse},
 	Guards: map[string]func(*Life) bool{
@@ -53,34 +53,34 @@
 	},
 })
 
-// Chart returns the life of a request, for documentation.
-func Chart() *chart.Chart[*Life] { return life }
+// Chart returns the state chart of a request, for documentation.
+func Chart() *chart.Chart[*Life] { return lifecycle }
 
-// Life is the life of one request. The zero value is a non-idempotent request
-// of which nothing was sent.
+// Life is the state of one request. The zero value is a non-idempotent request of which nothing
+// was sent.
 type Life struct {
-	// Idempotent says that the request may be run more than once.
+	// Idempotent means that the request may be run more than once.
 	Idempotent bool
 	state      chart.State
 }
 
-// State returns the present state.
+// State returns the current state.
 func (l *Life) State() chart.State {
 	if l.state == "" {
-		return life.Initial()
+		return lifecycle.Initial()
 	}
 	return l.state
 }
 
-// Fire takes the transition of an event. The error is a
-// *chart.NotPermittedError, and the state stays as it was.
+// Fire applies an event. If the event is not permitted in the current state, Fire returns a
+// *chart.NotPermittedError and the state does not change.
 func (l *Life) Fire(event chart.Event) error {
-	next, err := life.Fire(l, l.State(), event)
+	next, err := lifecycle.Fire(l, l.State(), event)
 	l.state = next
 	return err
 }
 
-// Ran returns what may be said of the request's execution now.
+// Ran returns what is known about the execution of the request.
 func (l *Life) Ran() steering.Ran {
 	switch l.State() {
 	case Received, NotRun, Refused:
--- a/steering/request/request_test.go
+++ b/steering/request/request_test.go
@@ -15,13 +15,13 @@
 	golden.Assert(t, Chart().Markdown(), "../../../docs/charts/request.md")
 }
 
-// TestNothingRunsTwice fires events in any order. The reference counts the tries
+// TestNothingRunsTwice fires events in any order and compares the state with a count of the tries
 // that may have run.
 func TestNothingRunsTwice(t *testing.T) {
 	events := []chart.Event{Send, ProvedNotRun, MayHaveRun, Answer, Whole, CutShort, Refuse}
 	rapid.Check(t, func(t *rapid.T) {
 		l := Life{Idempotent: rapid.Bool().Draw(t, "idempotent")}
-		inHand, mayHaveRun := 0, 0
+		inFlight, mayHaveRun := 0, 0
 		for range rapid.IntRange(1, 30).Draw(t, "events") {
 			event := rapid.SampledFrom(events).Draw(t, "event")
 			if l.Fire(event) != nil {
@@ -29,16 +29,16 @@
 			}
 			switch event {
 			case Send:
-				assert.Assert(t, inHand == 0, "two tries at once")
-				inHand++
-				assert.Assert(t, l.Idempotent || mayHaveRun == 0, "a second try after one that may have run")
+				assert.Assert(t, inFlight == 0, "two tries are in flight at once")
+				inFlight++
+				assert.Assert(t, l.Idempotent || mayHaveRun == 0, "a second try was sent after one that may have run")
 			case ProvedNotRun:
-				inHand--
+				inFlight--
 			case MayHaveRun, Answer:
-				inHand--
+				inFlight--
 				mayHaveRun++
 			}
-			assert.Equal(t, l.Ran() == steering.RanNo, inHand+mayHaveRun == 0, "%s says %s", l.State(), l.Ran())
+			assert.Equal(t, l.Ran() == steering.RanNo, inFlight+mayHaveRun == 0, "%s says %s", l.State(), l.Ran())
 			assert.Assert(t, l.Ran() != steering.RanYes || mayHaveRun > 0)
 		}
 	})
