--- a/steering/caps/caps_test.go
+++ b/steering/caps/caps_test.go
@@ -13,24 +13,22 @@
 	"heatherlock/steering"
 )
 
-// testTerm keeps loans short, so that their ends meet other events often.
-const testTerm = 2
-
-// Symptom: the receiving place gets more requests in a window than its
-// operator allowed. Sequences that could bring it about: a lender or borrower
-// is paused past a loan's term; messages are lost, doubled or late; a write
-// takes effect although its reply was lost, or long after it was sent; a VM
-// dies and its seat passes to another, or a new process of the same VM takes
-// it; two nodes both believe to be the leader; the cap changes under way;
-// clocks run at different rates. The cause would be a permit that two VMs
-// believe to hold. The reference counts starts in every window.
+// testTermWindows makes loans short, so that their ends often coincide with other events.
+const testTermWindows = 2
+
+// Guards against two VMs using the same permit, so that the receiving place gets more requests in a
+// window than its cap allows. This could happen when a lender or borrower pauses past a loan's
+// term; messages are lost, duplicated or delayed; a write takes effect although its reply was lost,
+// or long after it was sent; a VM crashes and its seat goes to another VM or to a new process on
+// the same VM; two VMs both act as leader; the cap changes meanwhile; or clocks run at different
+// rates. The reference counts the starts in every window.
 func TestNoWindowExceedsTheCap(t *testing.T) {
 	assert.NilError(t, flag.Set("rapid.steps", "120"))
 	if checks := flag.Lookup("rapid.checks"); checks.Value.String() == checks.DefValue {
-		assert.NilError(t, checks.Value.Set("1500")) // rare sequences need more than the usual 100
+		assert.NilError(t, checks.Value.Set("1500")) // the default of 100 misses rare sequences
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		first := Rule{Version: 1, Requests: rapid.IntRange(1, 8).Draw(t, "requests"), Window: time.Second, TermWindows: testTerm}
+		first := Rule{Version: 1, Requests: rapid.IntRange(1, 8).Draw(t, "requests"), Window: time.Second, TermWindows: testTermWindows}
 		f := newFleet(t, first, rapid.IntRange(2, 3).Draw(t, "vms"))
 		f.ref.mark(0, 1, 1)
 		f.converge(t)
@@ -79,9 +77,9 @@
 	}
 }
 
-// flood makes live nodes take whatever they can: the worst demand there is.
+// flood makes running nodes take all the permits they can get, which is the highest possible demand.
 func (f *fleet) flood(t *rapid.T) {
-	for _, n := range f.live() {
+	for _, n := range f.running() {
 		if !rapid.Bool().Draw(t, "floods") {
 			continue
 		}
@@ -92,10 +90,10 @@
 	}
 }
 
-// converge is a quiet moment: all learn, write and hear of each other's writes.
+// converge lets all running nodes learn and plan, and delivers each of their writes to the platform.
 func (f *fleet) converge(*rapid.T) {
 	for range 2 {
-		for _, n := range f.live() {
+		for _, n := range f.running() {
 			f.learn(n)
 			f.plan(n)
 			f.apply(f.lastWrite())
@@ -104,7 +102,8 @@
 	}
 }
 
-// loan is one request for a loan that meets no trouble.
+// loan plays one request for a loan whose messages arrive at once. The answer may arrive once more
+// later.
 func (f *fleet) loan(t *rapid.T) {
 	from, to := f.pick("borrower"), f.pick("lender")
 	if from == to {
@@ -118,8 +117,8 @@
 
 func (f *fleet) hold(*rapid.T) {
 	n := f.pick("server")
-	// A borrowed permit may be held no longer than the margin allows; the
-	// documented limit is not what is tested here.
+	// Holding a borrowed permit for longer than the margin allows is the documented limit of the
+	// package and not tested here.
 	if p, ok := n.h.Take(f.clock(n)); ok {
 		if p.loan != 0 {
 			n.h.Done(f.clock(n), p, false)
@@ -147,7 +146,7 @@
 
 func (f *fleet) deliverWrite(t *rapid.T) {
 	if len(f.writes) == 0 {
-		t.Skip("no write on its way")
+		t.Skip("no write in transit")
 	}
 	i := rapid.IntRange(0, len(f.writes)-1).Draw(t, "write")
 	w := f.writes[i]
@@ -171,7 +170,7 @@
 
 func (f *fleet) lend(t *rapid.T) {
 	if len(f.asks) == 0 {
-		t.Skip("no request for a loan on its way")
+		t.Skip("no request for a loan in transit")
 	}
 	i := rapid.IntRange(0, len(f.asks)-1).Draw(t, "ask")
 	m := f.asks[i]
@@ -187,7 +186,7 @@
 
 func (f *fleet) grant(t *rapid.T) {
 	if len(f.replies) == 0 {
-		t.Skip("no answer on its way")
+		t.Skip("no answer in transit")
 	}
 	i := rapid.IntRange(0, len(f.replies)-1).Draw(t, "reply")
 	m := f.replies[i]
@@ -208,15 +207,15 @@
 		Requests: rapid.IntRange(0, 8).Draw(t, "requests"),
 		Window:   time.Duration(rapid.SampledFrom([]int{500, 1000, 3000}).Draw(t, "window")) * time.Millisecond,
 
-		TermWindows: testTerm,
+		TermWindows: testTermWindows,
 	}
 	f.log = append(f.log, revision{rule: rule})
 	f.ref.rules = append(f.ref.rules, rule)
 }
 
 func (f *fleet) killOne(t *rapid.T) {
-	if len(f.live()) < 2 {
-		t.Skip("one must live")
+	if len(f.running()) < 2 {
+		t.Skip("one node must keep running")
 	}
 	f.kill(f.pick("victim"))
 	f.mark()
@@ -228,12 +227,12 @@
 	}
 }
 
-// restart starts a new process, on the VM of a dead one or on a new one.
+// restart starts a new process, on the VM of a crashed one or on a new VM.
 func (f *fleet) restart(t *rapid.T) {
-	if len(f.live()) > 4 {
+	if len(f.running()) > 4 {
 		t.Skip("enough VMs")
 	}
-	vm := steering.VM(fmt.Sprintf("vm-%d", f.lives))
+	vm := steering.VM(fmt.Sprintf("vm-%d", f.processes))
 	for _, n := range f.nodes {
 		if !n.alive && !f.runs(n.vm) && rapid.Bool().Draw(t, "same VM") {
 			vm = n.vm
@@ -245,5 +244,5 @@
 }
 
 func (f *fleet) runs(vm steering.VM) bool {
-	return slices.ContainsFunc(f.live(), func(n *node) bool { return n.vm == vm })
+	return slices.ContainsFunc(f.running(), func(n *node) bool { return n.vm == vm })
 }
--- a/steering/caps/demand.go
+++ b/steering/caps/demand.go
@@ -2,30 +2,29 @@
 
 import "time"
 
-// demand counts the own requests of this window and the one before, admitted
-// or not.
+// demand counts the requests that arrived at this entry VM, admitted or not.
 type demand struct {
-	start    instant
-	now, old int
+	windowStart   instant
+	now, previous int // requests in the current and in the previous window
 }
 
 func (d *demand) count(now instant, window time.Duration) {
-	d.roll(now, window)
+	d.advance(now, window)
 	d.now++
 }
 
-func (d *demand) roll(now instant, window time.Duration) {
-	switch age := now - d.start; {
+func (d *demand) advance(now instant, window time.Duration) {
+	switch age := now - d.windowStart; {
 	case age < window:
 	case age < 2*window:
-		d.start, d.old, d.now = d.start+window, d.now, 0
+		d.windowStart, d.previous, d.now = d.windowStart+window, d.now, 0
 	default:
-		d.start, d.old, d.now = now, 0, 0
+		d.windowStart, d.previous, d.now = now, 0, 0
 	}
 }
 
-// perWindow estimates the own requests of the next window.
+// perWindow estimates the number of requests that arrive here in the next window.
 func (d *demand) perWindow(now instant, window time.Duration) int {
-	d.roll(now, window)
-	return max(d.old, d.now)
+	d.advance(now, window)
+	return max(d.previous, d.now)
 }
--- a/steering/caps/fleet_test.go
+++ b/steering/caps/fleet_test.go
@@ -11,43 +11,43 @@
 	"heatherlock/steering/routing"
 )
 
-// fleet is a small fake of everything between holders: the platform with its
-// record of the seats, a network that loses, doubles and delays, clocks that
-// run at different rates, and VMs that die and are replaced. Pauses need no
-// code: nothing makes a node act.
+// fleet is a fake of the environment of the holders: the platform with its record of the seats, a
+// network that loses, duplicates and delays messages, clocks that run at different rates, and VMs
+// that crash and are replaced. A paused process needs no code, because nodes act only when they are
+// called.
 type fleet struct {
-	t       *rapid.T
-	now     time.Duration // real time
-	log     []revision    // what the platform accepted, in sequence
-	nodes   []*node
-	writes  []write
-	asks    []askMessage
-	replies []replyMessage
-	lives   int
-	ref     reference
+	t         *rapid.T
+	now       time.Duration // real time
+	log       []revision    // changes that the platform accepted, in order
+	nodes     []*node
+	writes    []write
+	asks      []askMessage
+	replies   []replyMessage
+	processes int
+	ref       reference
 }
 
 // revision is one accepted change: of the cap or of its seats.
 type revision struct {
 	rule  Rule
 	seats *routing.CapSeats
-	// writerRule is the version of the rule that the seats' writer went by.
-	writerRule int64
+	// writerRuleVersion is the version of the rule that the writer of the seats applied.
+	writerRuleVersion int64
 }
 
 type node struct {
-	vm    steering.VM
-	inc   steering.Incarnation
-	rate  float64
-	alive bool
-	gone  bool // the platform lists it as gone
-	knows int  // revisions of the log in its snapshot
-	seats *routing.CapSeats
-	h     *Holder
-	held  []heldPermit
-}
-
-// heldPermit is a permit taken under a rule and not yet sent.
+	vm            steering.VM
+	inc           steering.Incarnation
+	rate          float64
+	alive         bool
+	gone          bool // whether the platform lists it as gone
+	seenRevisions int  // number of the log's revisions in its snapshot
+	seats         *routing.CapSeats
+	h             *Holder
+	held          []heldPermit
+}
+
+// heldPermit is a permit that was taken under a rule and whose request is not sent yet.
 type heldPermit struct {
 	permit Permit
 	rule   int64
@@ -82,32 +82,32 @@
 	return f
 }
 
-// start runs a new process on a VM.
+// start starts a new process on a VM.
 func (f *fleet) start(vm steering.VM) {
-	f.lives++
+	f.processes++
 	n := &node{
-		vm:    vm,
-		inc:   steering.Incarnation(fmt.Sprintf("life-%d", f.lives)),
-		rate:  1 + float64(rapid.IntRange(-999, 999).Draw(f.t, "drift"))/1e6,
-		alive: true,
-		knows: len(f.log),
+		vm:            vm,
+		inc:           steering.Incarnation(fmt.Sprintf("incarnation-%d", f.processes)),
+		rate:          1 + float64(rapid.IntRange(-999, 999).Draw(f.t, "drift"))/1e6,
+		alive:         true,
+		seenRevisions: len(f.log),
 	}
-	n.h = NewHolder(f.clock(n), f.latest(n.knows).rule)
-	n.seats = f.latest(n.knows).seats
+	n.h = NewHolder(f.clock(n), f.latest(n.seenRevisions).rule)
+	n.seats = f.latest(n.seenRevisions).seats
 	f.nodes = append(f.nodes, n)
 }
 
-// clock is a node's own time.
+// clock returns the time on a node's clock.
 func (f *fleet) clock(n *node) time.Time {
 	return epoch.Add(time.Duration(float64(f.now) * n.rate))
 }
 
-// latest returns the newest rule and seats among the first revisions.
+// latest returns the newest rule and seats among the first revisions of the log.
 func (f *fleet) latest(revisions int) revision {
 	var r revision
 	for i, entry := range f.log[:revisions] {
 		if entry.seats != nil {
-			r.seats, r.writerRule = entry.seats, entry.writerRule
+			r.seats, r.writerRuleVersion = entry.seats, entry.writerRuleVersion
 			continue
 		}
 		r.rule = entry.rule
@@ -116,27 +116,27 @@
 	return r
 }
 
-func (f *fleet) live() []*node {
+func (f *fleet) running() []*node {
 	return slices.DeleteFunc(slices.Clone(f.nodes), func(n *node) bool { return !n.alive })
 }
 
 func (f *fleet) pick(label string) *node {
-	return rapid.SampledFrom(f.live()).Draw(f.t, label)
+	return rapid.SampledFrom(f.running()).Draw(f.t, label)
 }
 
-// learn brings a node's snapshot up to a later revision, not always the last.
+// learn advances a node's snapshot to a later revision, not necessarily the last one.
 func (f *fleet) learn(n *node) {
-	if n.knows == len(f.log) {
+	if n.seenRevisions == len(f.log) {
 		return
 	}
-	n.knows = rapid.IntRange(n.knows+1, len(f.log)).Draw(f.t, "revision")
-	seen := f.latest(n.knows)
+	n.seenRevisions = rapid.IntRange(n.seenRevisions+1, len(f.log)).Draw(f.t, "revision")
+	seen := f.latest(n.seenRevisions)
 	f.adopt(n, seen.seats)
 	n.h.Configure(seen.rule)
 	f.plan(n)
 }
 
-// adopt acts on a record of the seats unless a newer one is known.
+// adopt applies a record of the seats unless the node has a newer one.
 func (f *fleet) adopt(n *node, seats *routing.CapSeats) {
 	if seats == nil || n.seats != nil && seats.Version < n.seats.Version {
 		return
@@ -149,10 +149,10 @@
 	n.h.Adopt(f.clock(n), seats.Version, own, time.Duration(seats.WindowMs)*time.Millisecond, Exceeds(seats, n.h.Rule()))
 }
 
-// plan lets a node decide, shrink and send its write.
+// plan lets a node plan, shrink and send its write.
 func (f *fleet) plan(n *node) {
 	claimants := []steering.VM{n.vm}
-	for _, other := range f.live() {
+	for _, other := range f.running() {
 		if rapid.Bool().Draw(f.t, "claimant") {
 			claimants = append(claimants, other.vm)
 		}
@@ -169,7 +169,7 @@
 	}
 }
 
-// listedGone says whether the platform shows the holder of a seat as gone.
+// listedGone reports whether the platform lists the holder of a seat as gone.
 func (f *fleet) listedGone(s routing.CapSeat) bool {
 	for _, n := range f.nodes {
 		if n.vm == s.VM && n.inc == s.Incarnation {
@@ -179,7 +179,7 @@
 	return false
 }
 
-// apply lets a write reach the platform; its reply may be lost.
+// apply delivers a write to the platform; the reply to it may be lost.
 func (f *fleet) apply(w write) {
 	current := f.latest(len(f.log))
 	var version int64
@@ -191,13 +191,13 @@
 	}
 	stored := *w.seats
 	stored.Version = int64(len(f.log) + 1)
-	f.log = append(f.log, revision{seats: &stored, writerRule: w.rule})
+	f.log = append(f.log, revision{seats: &stored, writerRuleVersion: w.rule})
 	if w.from.alive && rapid.Bool().Draw(f.t, "reply arrives") {
 		f.adopt(w.from, &stored)
 	}
 }
 
-// lastWrite takes the write that was sent last off the network.
+// lastWrite removes the write that was sent last from the network and returns it.
 func (f *fleet) lastWrite() write {
 	if len(f.writes) == 0 {
 		return write{from: f.nodes[0], seats: &routing.CapSeats{Version: -1}}
@@ -212,19 +212,18 @@
 	n.held = nil
 }
 
-// send starts a request with a permit that was taken before.
+// send starts a request with a permit that the node took before.
 func (f *fleet) send(n *node, p Permit) {
 	n.h.Done(f.clock(n), p, true)
 	f.ref.started = append(f.ref.started, f.now)
 }
 
-// inForce returns the oldest and the newest rule that some live holder goes
-// by. A holder that has not seen the last seats written under an older rule
-// counts as going by that rule, and so does a request that was admitted under
-// an older rule and is not yet sent.
+// inForce returns the oldest and the newest version of the rule that any running holder applies. A
+// holder that has not seen the last seats written under an older rule counts as applying that rule,
+// and so does a request that was admitted under an older rule and is not sent yet.
 func (f *fleet) inForce() (oldest, newest int64) {
 	oldest = int64(len(f.log))
-	for _, n := range f.live() {
+	for _, n := range f.running() {
 		oldest = min(oldest, n.h.Rule().Version)
 		newest = max(newest, n.h.Rule().Version)
 		for _, p := range n.held {
@@ -232,12 +231,12 @@
 		}
 	}
 	for i, entry := range f.log {
-		if entry.seats == nil || entry.writerRule >= newest {
+		if entry.seats == nil || entry.writerRuleVersion >= newest {
 			continue
 		}
-		for _, n := range f.live() {
-			if n.h.Seen() < int64(i+1) {
-				oldest = min(oldest, entry.writerRule)
+		for _, n := range f.running() {
+			if n.h.SeatsVersion() < int64(i+1) {
+				oldest = min(oldest, entry.writerRuleVersion)
 			}
 		}
 	}
--- a/steering/caps/holder.go
+++ b/steering/caps/holder.go
@@ -4,11 +4,11 @@
 
 // Rule is one version of a cap.
 type Rule struct {
-	Version  int64 // of the Cap object
+	Version  int64 // version of the Cap object
 	Requests int
 	Window   time.Duration
-	// TermWindows is the term of loans in windows, for experiments; 0 takes the
-	// usual one. All holders of a cap must go by the same.
+	// TermWindows overrides the term of loans, in windows, for experiments; 0 selects the default of
+	// TermsFor. All holders of a cap must use the same value.
 	TermWindows int
 }
 
@@ -19,55 +19,55 @@
 	return TermsFor(r.Window)
 }
 
-// Holder keeps the books of one incarnation of an entry VM under one cap. It
-// is not safe for concurrent use.
+// Holder tracks the permits of one incarnation of an entry VM under one cap. It is not safe for
+// concurrent use.
 type Holder struct {
-	base  time.Time // instants count from here
+	base  time.Time // the zero instant
 	rule  Rule
 	terms Terms
-	// longest is the longest window that the seats record for this cap.
+	// longest is the longest window that the record of the seats has for this cap.
 	longest time.Duration
-	// seen is the platform's version of the seats last acted on.
-	seen int64
+	// seatsVersion is the version of the last record of the seats that was applied.
+	seatsVersion int64
 
-	// ceiling bounds the own permits: what comes back above it is dropped.
-	ceiling int
+	// maxOwn bounds the number of own permits: those above it are dropped, pinned ones once returned.
+	maxOwn int
 
-	// The own permits are free, held, used, lent or fresh; see own.
+	// Each own permit is in one of these states; see Own.
 	free  int
-	held  int   // taken, not yet sent or given up
-	used  queue // sent, wait Terms.reuse
-	lent  queue // lent, wait Terms.loan
-	fresh queue // new in the seat, wait Terms.SeatWait
+	held  int   // taken by a request that is not sent or given up yet
+	used  queue // request was sent, free after Terms.reuseWait
+	lent  queue // lent, free after Terms.loanWait
+	added queue // added to the seat, free after seatWait
 
 	loans     []*loan
 	lastNonce uint64
-	asked     *loan // the request that is out, nil when none is
-	given     map[LoanKey]given
+	pending   *loan // the request for a loan that is not answered yet, nil if there is none
+	answered  map[LoanKey]answered
 	demand    demand
 }
 
-// Permit is one taken permit. The zero value is an own one.
+// Permit identifies one taken permit. The zero value is a permit of the holder's own seat.
 type Permit struct {
-	loan uint64
+	loan uint64 // nonce of the loan, 0 for an own permit
 }
 
 // NewHolder returns a holder without permits.
 func NewHolder(now time.Time, rule Rule) *Holder {
-	return &Holder{base: now, rule: rule, terms: rule.terms(), given: map[LoanKey]given{}}
+	return &Holder{base: now, rule: rule, terms: rule.terms(), answered: map[LoanKey]answered{}}
 }
 
 func (h *Holder) at(now time.Time) instant { return now.Sub(h.base) }
 
-// Rule returns the version of the cap in force here.
+// Rule returns the version of the cap that the holder applies.
 func (h *Holder) Rule() Rule { return h.rule }
 
-// Terms returns the times in force here.
+// Terms returns the durations that follow from the cap that the holder applies.
 func (h *Holder) Terms() Terms { return h.terms }
 
-// Configure puts a version of the cap into force; an older one is ignored. Free
-// borrowed permits of the version before are dropped: the new version does not
-// count them. The caller lowers its seat when the cap is lower (see Plan).
+// Configure applies a version of the cap; a version that is not newer is ignored. Free permits that
+// were borrowed under the previous version are dropped, because the new version does not count them.
+// If the new cap is lower, the caller has to lower its seat; see Plan.
 func (h *Holder) Configure(rule Rule) {
 	if rule.Version <= h.rule.Version {
 		return
@@ -75,103 +75,104 @@
 	h.rule = rule
 	h.terms = rule.terms()
 	for _, l := range h.loans {
-		l.until = 0
+		l.expiresAt = 0
 		l.fire(eventTermOver)
 	}
 }
 
-// Own returns the permits of the own seat as the holder counts them.
+// Own returns how many permits of its own seat the holder has, those it has lent included.
 func (h *Holder) Own() int {
-	return h.free + h.held + h.used.total + h.lent.total + h.fresh.total
+	return h.free + h.held + h.used.total + h.lent.total + h.added.total
 }
 
-// Pinned returns the own permits that cannot be given away now: held ones may
-// be sent late, and lent ones are in another's hands.
+// Pinned returns how many of the own permits cannot be given up now: those held by requests that may
+// still be sent, and those lent to other holders.
 func (h *Holder) Pinned() int { return h.held + h.lent.total }
 
-// Seen returns the version of the seats last acted on.
-func (h *Holder) Seen() int64 { return h.seen }
+// SeatsVersion returns the version of the last record of the seats that was applied.
+func (h *Holder) SeatsVersion() int64 { return h.seatsVersion }
 
-// Adopt acts on the platform's record of the own seat at a version of the
-// seats. An older or equal version is ignored: it could raise the seat again
-// after the holder gave permits away. A newer version settles every write that
-// was conditional on an older one, so its permits count even after a write
-// whose reply was lost.
+// Adopt applies the platform's record of the seats at a version: permits is the holder's own seat
+// in it and longest the longest window that it has. A version that is not newer is ignored, because
+// it could raise the seat again after the holder gave up permits. A newer version decides the
+// outcome of every write that was conditional on an older one, so its number of permits is valid
+// even if the reply to a write was lost.
 //
-// over says that the seats together exceed the cap: it was lowered while some
-// permits could not be given away. The record then raises nothing. Taken for a
-// raise, it would bring back the permits that Shrink gave up, each as soon as it
-// returns from its loan, and the place would get more than the lowered cap.
-func (h *Holder) Adopt(now time.Time, version int64, permits int, longest time.Duration, over bool) {
-	if version <= h.seen {
+// exceeds is set if the seats together exceed the cap, which happens when the cap was lowered while
+// some permits were pinned. Such a record raises nothing. Otherwise it would restore the permits
+// that Shrink gave up, each as soon as its loan ends, and the place would get more requests than
+// the lowered cap allows.
+func (h *Holder) Adopt(now time.Time, version int64, permits int, longest time.Duration, exceeds bool) {
+	if version <= h.seatsVersion {
 		return
 	}
-	at := h.settle(now)
-	h.seen = version
+	at := h.advance(now)
+	h.seatsVersion = version
 	h.longest = longest
-	if over {
-		h.ceiling = min(h.ceiling, permits)
-		h.trim()
+	if exceeds {
+		h.maxOwn = min(h.maxOwn, permits)
+		h.dropExcess()
 		return
 	}
-	h.ceiling = permits
+	h.maxOwn = permits
 	if more := permits - h.Own(); more > 0 {
-		h.fresh.push(at, h.terms.granule(), more)
+		h.added.push(at, h.terms.granularity(), more)
 		return
 	}
-	h.trim()
+	h.dropExcess()
 }
 
-// Shrink stops using own permits until at most to are left, and returns how
-// many are left: more than to when some are pinned; those are dropped as they
-// come back. It must be called before the lower number is written to the
-// platform. Only a newer record of the seats raises the number again.
+// Shrink gives up own permits until at most to are left, and returns how many are left. More than
+// to are left if some are pinned; those are dropped as they are returned. Shrink must be called
+// before the lower number is written to the platform. Only a newer record of the seats raises the
+// number again.
 func (h *Holder) Shrink(now time.Time, to int) int {
-	h.ceiling = min(h.ceiling, max(to, 0))
-	h.settle(now)
+	h.maxOwn = min(h.maxOwn, max(to, 0))
+	h.advance(now)
 	return h.Own()
 }
 
-// trim drops own permits above the ceiling, the least useful first.
-func (h *Holder) trim() {
-	excess := h.Own() - h.ceiling
+// dropExcess drops own permits above maxOwn: first those that were added to the seat and are not
+// usable yet, then free ones, then those whose requests were sent.
+func (h *Holder) dropExcess() {
+	excess := h.Own() - h.maxOwn
 	if excess <= 0 {
 		return
 	}
-	excess -= h.fresh.drop(excess)
+	excess -= h.added.drop(excess)
 	cut := min(h.free, excess)
 	h.free -= cut
 	h.used.drop(excess - cut)
 }
 
-// settle moves permits whose wait is over to the free ones and forgets loans
-// that have ended.
-func (h *Holder) settle(now time.Time) instant {
+// advance makes permits free whose wait is over, removes loans that have ended, and returns now as
+// an instant.
+func (h *Holder) advance(now time.Time) instant {
 	at := h.at(now)
-	h.free += h.used.pop(at, h.terms.reuse())
-	h.free += h.lent.pop(at, h.terms.loan())
-	h.free += h.fresh.pop(at, h.seatWait())
-	h.trim()
-	h.settleLoans(at)
+	h.free += h.used.pop(at, h.terms.reuseWait())
+	h.free += h.lent.pop(at, h.terms.loanWait())
+	h.free += h.added.pop(at, h.seatWait())
+	h.dropExcess()
+	h.advanceLoans(at)
 	return at
 }
 
-// seatWait is the wait for permits new in the seat. It follows the longest
-// window the cap has had: their old holder may have followed that one.
+// seatWait returns the wait before permits that were added to the seat may be used. It is based on
+// the longest recorded window of the cap, because the previous holder may have used that one.
 func (h *Holder) seatWait() time.Duration {
 	longest := h.rule
 	longest.Window = max(h.longest, h.rule.Window)
 	return longest.terms().SeatWait()
 }
 
-// Arrive counts a request that wants a permit, for the estimate of the own
-// demand. It is called once per request, however often Take is tried for it.
+// Arrive counts a request that needs a permit, for the estimate of the demand at this holder. It
+// must be called once per request, however often Take is called for it.
 func (h *Holder) Arrive(now time.Time) { h.demand.count(h.at(now), h.terms.Window) }
 
-// Take takes a permit that is usable at now: a borrowed one first, for those
-// end sooner.
+// Take takes a permit that is free at now, and returns false if there is none. It prefers borrowed
+// permits, because those expire sooner.
 func (h *Holder) Take(now time.Time) (Permit, bool) {
-	h.settle(now)
+	h.advance(now)
 	for _, l := range h.loans {
 		if l.free > 0 {
 			l.free--
@@ -187,25 +188,25 @@
 	return Permit{}, true
 }
 
-// Done ends the holding of a permit. A sent one waits a window from now on; one
-// that was not sent is free at once.
+// Done returns a permit that was taken. If its request was sent, the permit is free one window from
+// now, otherwise at once.
 func (h *Holder) Done(now time.Time, p Permit, sent bool) {
 	if p.loan != 0 {
-		h.doneBorrowed(h.at(now), p, sent)
+		h.releaseBorrowed(h.at(now), p, sent)
 		return
 	}
 	h.held--
 	if sent {
-		h.used.push(h.at(now), h.terms.granule(), 1)
+		h.used.push(h.at(now), h.terms.granularity(), 1)
 	} else {
 		h.free++
 	}
-	h.trim()
+	h.dropExcess()
 }
 
-// Free returns the permits usable at now, own and borrowed.
+// Free returns how many permits, own and borrowed, are free at now.
 func (h *Holder) Free(now time.Time) int {
-	h.settle(now)
+	h.advance(now)
 	n := h.free
 	for _, l := range h.loans {
 		n += l.free
@@ -213,10 +214,10 @@
 	return n
 }
 
-// InUse returns the own and borrowed permits that are held or were sent less
-// than a window ago.
+// InUse returns how many permits, own and borrowed, are in use: held by a request that is not sent
+// yet, or by one that was sent less than a window ago.
 func (h *Holder) InUse(now time.Time) int {
-	h.settle(now)
+	h.advance(now)
 	n := h.held + h.used.total
 	for _, l := range h.loans {
 		n += l.held + l.used.total
@@ -224,23 +225,23 @@
 	return n
 }
 
-// NextFree returns how long until some permit may come free; a window when
-// nothing is known to come.
+// NextFree returns how long to wait before a permit may be free: 0 if one is free now, otherwise the
+// time until the next wait of a permit ends, but at most one window.
 func (h *Holder) NextFree(now time.Time) time.Duration {
 	if h.Free(now) > 0 {
 		return 0
 	}
 	wait, at := h.terms.Window, h.at(now)
 	soonest := func(q *queue, d time.Duration) {
-		if first, ok := q.first(); ok {
-			wait = min(wait, first+d-at)
+		if oldest, ok := q.oldest(); ok {
+			wait = min(wait, oldest+d-at)
 		}
 	}
-	soonest(&h.used, h.terms.reuse())
-	soonest(&h.lent, h.terms.loan())
-	soonest(&h.fresh, h.seatWait())
+	soonest(&h.used, h.terms.reuseWait())
+	soonest(&h.lent, h.terms.loanWait())
+	soonest(&h.added, h.seatWait())
 	for _, l := range h.loans {
-		soonest(&l.used, h.terms.reuse())
+		soonest(&l.used, h.terms.reuseWait())
 	}
 	return max(wait, time.Millisecond)
 }
--- a/steering/caps/holder_test.go
+++ b/steering/caps/holder_test.go
@@ -11,23 +11,23 @@
 	"heatherlock/steering/routing"
 )
 
-// at returns a time after the epoch.
+// at returns the time that is ms milliseconds after the epoch.
 func at(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
 
-var second = Rule{Version: 1, Requests: 10, Window: time.Second, TermWindows: testTerm}
+var oneSecondRule = Rule{Version: 1, Requests: 10, Window: time.Second, TermWindows: testTermWindows}
 
-// seated returns a holder whose permits are ready to use at 0.
-func seated(rule Rule, permits int) *Holder {
+// newReadyHolder returns a holder whose permits are usable from at(0) on.
+func newReadyHolder(rule Rule, permits int) *Holder {
 	h := NewHolder(at(-60000), rule)
 	h.Adopt(at(-60000), 1, permits, rule.Window, false)
 	return h
 }
 
-// Symptom: a permit is used by borrower and lender in one window. Sequence: the
-// answer to a request for a loan comes late, just within the term. Cause: a
-// borrower that counts the term from the answer.
-func TestTermRunsFromTheRequest(t *testing.T) {
-	lender, borrower := seated(second, 4), seated(second, 0)
+// Guards against borrower and lender using the same permit within one window. This happened if the
+// answer to a request for a loan came late, just within the term, and the borrower counted the term
+// from the answer.
+func TestLoanTermStartsAtTheRequest(t *testing.T) {
+	lender, borrower := newReadyHolder(oneSecondRule, 4), newReadyHolder(oneSecondRule, 0)
 	ask := borrower.Ask(at(0), 4)
 	n := lender.Lend(at(1), LoanKey{"b", ask.Nonce}, ask.Version, ask.Permits)
 	assert.Equal(t, n, 4)
@@ -35,7 +35,7 @@
 	_, ok := borrower.Take(at(1899))
 	assert.Assert(t, ok)
 	_, ok = borrower.Take(at(1900))
-	assert.Assert(t, !ok, "the term of 2 s less the margin of 100 ms is over")
+	assert.Assert(t, !ok, "the term of 2 s less the margin of 100 ms has ended")
 	_, ok = lender.Take(at(3100))
 	assert.Assert(t, !ok, "the last start under the loan may be less than a window old")
 	_, ok = lender.Take(at(3110))
@@ -46,25 +46,25 @@
 	golden.Assert(t, LoanChart(), "../../../docs/charts/caploan.md")
 }
 
-// Symptom: a lower cap is exceeded by borrowed permits. Sequence: a loan is
-// made, then the cap is lowered. Cause: a loan that outlives its cap's version.
-func TestLoansEndWithTheirVersionOfTheCap(t *testing.T) {
-	borrower := seated(second, 0)
+// Guards against exceeding a lower cap with borrowed permits: a loan that was made before the cap
+// was lowered must not stay valid under the new version.
+func TestLoansEndWhenTheCapChanges(t *testing.T) {
+	borrower := newReadyHolder(oneSecondRule, 0)
 	ask := borrower.Ask(at(0), 4)
 	assert.Equal(t, borrower.Granted(at(2), ask.Nonce, 4, 2*time.Second), 4)
-	lower := second
+	lower := oneSecondRule
 	lower.Version, lower.Requests = 2, 1
 	borrower.Configure(lower)
 	_, ok := borrower.Take(at(3))
 	assert.Assert(t, !ok)
 }
 
-// Symptom: a cap is exceeded after a VM was replaced. Sequence: the window was
-// long, loans under it run, the window is shortened, the lender dies and its
-// seat passes to a VM that only knows the short window. Cause: a loan that is
-// longer than the record lets the next holder know.
-func TestNothingIsLentBeforeTheRecordShowsTheWindow(t *testing.T) {
-	long := second
+// Guards against exceeding a cap after a VM was replaced: loans are made under a long window, the
+// window is shortened, the lender crashes, and its seat goes to a VM that knows only the short
+// window. That VM would wait too short if loans could last longer than the window in the record
+// implies.
+func TestNoLoanBeforeTheRecordHasTheWindow(t *testing.T) {
+	long := oneSecondRule
 	long.Window = 3 * time.Second
 	h := NewHolder(at(-60000), long)
 	h.Adopt(at(-60000), 1, 4, time.Second, false)
@@ -73,21 +73,20 @@
 	assert.Equal(t, h.Lend(at(1), LoanKey{"b", 1}, 1, 4), 4)
 }
 
-// Symptom: a place gets a request under a cap that was lowered to nothing.
-// Sequence: a permit is lent, the cap is lowered, the lender gives up all
-// permits and writes its seat with the lent one, which it cannot give away yet;
-// it reads that record, and the loan ends. Cause: taking its own record, which
-// confirms what is bound, for a raise.
-func TestRecordOfBoundPermitsBringsNoneBack(t *testing.T) {
-	lender, borrower := seated(second, 2), seated(second, 0)
+// Guards against a request under a cap that was lowered to 0: a permit is lent, the cap is lowered,
+// the lender gives up its permits and writes its seat with the lent one, which is pinned. It then
+// reads that record, and the loan ends. The lender must not treat the record as a raise of its
+// seat.
+func TestRecordOfPinnedPermitsRaisesNothing(t *testing.T) {
+	lender, borrower := newReadyHolder(oneSecondRule, 2), newReadyHolder(oneSecondRule, 0)
 	ask := borrower.Ask(at(0), 1)
 	assert.Equal(t, lender.Lend(at(1), LoanKey{"b", ask.Nonce}, ask.Version, ask.Permits), 1)
-	lower := second
+	lower := oneSecondRule
 	lower.Version, lower.Requests = 2, 0
 	lender.Configure(lower)
 	assert.Equal(t, lender.Shrink(at(10), 0), 1)
 	record := &routing.CapSeats{Seats: []routing.CapSeat{{VM: "a", Permits: 1}}}
-	lender.Adopt(at(20), 2, 1, second.Window, Exceeds(record, lower))
+	lender.Adopt(at(20), 2, 1, oneSecondRule.Window, Exceeds(record, lower))
 	_, ok := lender.Take(at(10_000))
 	assert.Assert(t, !ok)
 }
@@ -105,11 +104,11 @@
 	}}
 }
 
-// Symptom: a permit that is held for a request is handed to another VM.
-// Sequence: the cap is lowered while permits are held and lent. Cause: a seat
-// written below what cannot be given away. They are dropped as they come back.
+// Guards against assigning a permit to another VM while a request still holds it: when the cap is
+// lowered while permits are held and lent, the seat must not be written below the pinned permits.
+// The holder drops those as they are returned.
 func TestPinnedPermitsStayInTheSeat(t *testing.T) {
-	lower := second
+	lower := oneSecondRule
 	lower.Version, lower.Requests = 2, 4
 	c := Plan(view(lower, "a", 5, 4, record(1, 5, 5)))
 	assert.Equal(t, c.Keep, 2)
@@ -117,11 +116,10 @@
 	assert.Equal(t, seatOf(c.Seats, "b").Permits, 5, "only the holder lowers its seat")
 }
 
-// Symptom: permits that no longer exist are handed out. Sequence: the cap was
-// lowered, one VM has not heard of it. Cause: a writer that trusts its own
-// older cap over the record's newer one.
-func TestAWriterWithAnOlderCapWritesNothing(t *testing.T) {
-	c := Plan(view(second, "a", 2, 0, record(2, 2, 2)))
+// Guards against assigning permits that no longer exist: after the cap was lowered, a VM that has
+// not received the change must not write seats based on its older version of the cap.
+func TestPlanWithAnOlderCapWritesNothing(t *testing.T) {
+	c := Plan(view(oneSecondRule, "a", 2, 0, record(2, 2, 2)))
 	assert.Assert(t, c.Seats == nil)
 	assert.Equal(t, c.Keep, 2)
 }
--- a/steering/caps/lifecycle.go
+++ b/steering/caps/lifecycle.go
@@ -24,9 +24,9 @@
 )
 
 //go:embed caploan.json
-var loanSource []byte
+var loanChartJSON []byte
 
-var loanLife = chart.MustLoad("caploan.json", loanSource, chart.Bindings[*loan]{
+var loanLifecycle = chart.MustLoad("caploan.json", loanChartJSON, chart.Bindings[*loan]{
 	States: []chart.State{loanAsked, loanOpen, loanClosing, loanOver, loanLost},
 	Events: []chart.Event{eventGranted, eventSpent, eventReplaced, eventTermOver, eventReturned},
 	Guards: map[string]func(*loan) bool{"held": func(l *loan) bool { return l.held > 0 }},
@@ -36,12 +36,13 @@
 	}},
 })
 
-// fire moves a loan on; an event that its state does not know changes nothing.
+// fire applies an event to a loan; an event without a transition from the loan's state has no
+// effect.
 func (l *loan) fire(event chart.Event) {
-	if next, err := loanLife.Fire(l, l.state, event); err == nil {
+	if next, err := loanLifecycle.Fire(l, l.state, event); err == nil {
 		l.state = next
 	}
 }
 
-// LoanChart renders the loan's state chart for the documentation.
-func LoanChart() string { return loanLife.Markdown() }
+// LoanChart returns the state chart of a loan in Markdown, for the documentation.
+func LoanChart() string { return loanLifecycle.Markdown() }
--- a/steering/caps/queue.go
+++ b/steering/caps/queue.go
@@ -2,63 +2,64 @@
 
 import "time"
 
-// instant is a time on the own monotone clock, counted from the holder's start.
-// Rounding a time.Time would strip its monotone reading and expose the books to
-// steps of the wall clock.
+// instant is a time on the process's monotonic clock, counted from when the holder was created.
+// time.Time is not used, because rounding it strips the monotonic reading, and the recorded times
+// would be affected by steps of the wall clock.
 type instant = time.Duration
 
-// batch is a number of permits that started waiting at one time.
+// batch is a number of permits that started to wait at the same time.
 type batch struct {
-	at instant
-	n  int
+	since   instant
+	permits int
 }
 
-// queue holds waiting permits in the sequence in which they started to wait.
-// Times are rounded up to a granule and equal times merge, so that its length
-// is bounded by the wait over the granule, not by the number of permits.
+// queue holds waiting permits in the order in which they started to wait. Times are rounded up to a
+// multiple of the granularity and permits with equal times share a batch, so that the number of
+// batches is bounded by the wait divided by the granularity, not by the number of permits.
 type queue struct {
 	batches []batch
 	total   int
 }
 
-// push adds n permits that wait from at on. A time before the last one (a
-// clock is monotone, but calls may race for the lock) counts as the last one.
-func (q *queue) push(at instant, granule time.Duration, n int) {
-	if n <= 0 {
+// push adds permits that wait from since on. A time before that of the last batch is replaced by
+// it: the clock is monotonic, but concurrent callers may read it in one order and get the lock in
+// another.
+func (q *queue) push(since instant, granularity time.Duration, permits int) {
+	if permits <= 0 {
 		return
 	}
-	q.total += n
-	at = (at + granule - 1).Truncate(granule)
-	if last := len(q.batches) - 1; last >= 0 && q.batches[last].at >= at {
-		q.batches[last].n += n
+	q.total += permits
+	since = (since + granularity - 1).Truncate(granularity)
+	if last := len(q.batches) - 1; last >= 0 && q.batches[last].since >= since {
+		q.batches[last].permits += permits
 		return
 	}
-	q.batches = append(q.batches, batch{at, n})
+	q.batches = append(q.batches, batch{since, permits})
 }
 
-// pop removes the permits that have waited for wait and returns their number.
+// pop removes the permits that have waited for at least wait, and returns their number.
 func (q *queue) pop(now instant, wait time.Duration) int {
-	n, i := 0, 0
-	for ; i < len(q.batches) && q.batches[i].at+wait <= now; i++ {
-		n += q.batches[i].n
+	permits, i := 0, 0
+	for ; i < len(q.batches) && q.batches[i].since+wait <= now; i++ {
+		permits += q.batches[i].permits
 	}
 	if i > 0 {
 		q.batches = append(q.batches[:0], q.batches[i:]...)
-		q.total -= n
+		q.total -= permits
 	}
-	return n
+	return permits
 }
 
-// drop removes up to n permits, the longest waiting last, and returns how many
-// it removed.
-func (q *queue) drop(n int) int {
+// drop removes up to the given number of permits, starting with those that have waited for the
+// shortest time, and returns how many it removed.
+func (q *queue) drop(permits int) int {
 	dropped := 0
-	for dropped < n && len(q.batches) > 0 {
+	for dropped < permits && len(q.batches) > 0 {
 		last := &q.batches[len(q.batches)-1]
-		take := min(last.n, n-dropped)
-		last.n -= take
+		take := min(last.permits, permits-dropped)
+		last.permits -= take
 		dropped += take
-		if last.n == 0 {
+		if last.permits == 0 {
 			q.batches = q.batches[:len(q.batches)-1]
 		}
 	}
@@ -66,10 +67,11 @@
 	return dropped
 }
 
-// first returns when the first waiting permits started to wait.
-func (q *queue) first() (instant, bool) {
+// oldest returns when the permits that have waited longest started to wait, and false if the queue
+// is empty.
+func (q *queue) oldest() (instant, bool) {
 	if len(q.batches) == 0 {
 		return 0, false
 	}
-	return q.batches[0].at, true
+	return q.batches[0].since, true
 }
--- a/steering/caps/reference_test.go
+++ b/steering/caps/reference_test.go
@@ -6,33 +6,33 @@
 	"pgregory.net/rapid"
 )
 
-// reference knows nothing of permits: it collects when requests started and
-// which rules were in force, and counts every window.
+// reference checks the cap without a notion of permits: it records when requests started and which
+// rules were in force, and counts the starts in every window.
 type reference struct {
 	rules   []Rule
 	started []time.Duration
-	eras    []era
+	periods []period
 }
 
-// era is a time in which the rules in force did not change.
-type era struct {
+// period is a period in which the rules in force did not change.
+type period struct {
 	from           time.Duration
 	oldest, newest int64 // versions
 }
 
 func (r *reference) mark(now time.Duration, oldest, newest int64) {
-	if n := len(r.eras); n > 0 && r.eras[n-1].oldest == oldest && r.eras[n-1].newest == newest {
+	if n := len(r.periods); n > 0 && r.periods[n-1].oldest == oldest && r.periods[n-1].newest == newest {
 		return
 	}
-	r.eras = append(r.eras, era{now, oldest, newest})
+	r.periods = append(r.periods, period{now, oldest, newest})
 }
 
-// bound returns the largest cap and the shortest window among the rules in
-// force at some time after from.
+// bound returns the largest cap and the shortest window among the rules that were in force at any
+// time after from.
 func (r *reference) bound(from time.Duration) (requests int, window time.Duration) {
 	window = time.Hour
-	for i, e := range r.eras {
-		if i+1 < len(r.eras) && r.eras[i+1].from <= from {
+	for i, e := range r.periods {
+		if i+1 < len(r.periods) && r.periods[i+1].from <= from {
 			continue
 		}
 		for _, rule := range r.rules {
@@ -45,8 +45,8 @@
 	return requests, window
 }
 
-// check counts the window that ends now; every window that could exceed the
-// cap ends with a start, so checking at each start checks them all.
+// check counts the starts in the window that ends now. Among the windows that exceed the cap, there
+// is always one that ends with a start, so it is enough to check at each start.
 func (r *reference) check(t *rapid.T, now time.Duration) {
 	longest := time.Duration(0)
 	for _, rule := range r.rules {
