--- a/steering/pool/config.go
+++ b/steering/pool/config.go
@@ -2,61 +2,61 @@
 
 import "time"
 
-// Choice says which of the targets with a free slot gets the next request.
+// Choice selects which of the targets with a free slot gets the next request.
 type Choice uint8
 
-// Ways to choose a target. docs/measurements/balance.md compares them.
+// Values of Choice. docs/measurements/balance.md compares them.
 const (
-	// ChooseFastest takes the target with the smallest product of its mean
-	// service time and the requests it would then run.
+	// ChooseFastest takes the target with the smallest product of its mean service time and the
+	// number of requests that it would then run.
 	ChooseFastest Choice = iota
-	// ChooseLeastLoaded takes the target with the smallest share of its slots
-	// in use, the least recently used one among equals.
+	// ChooseLeastLoaded takes the target with the smallest fraction of its slots in use, and among
+	// equals the least recently used one.
 	ChooseLeastLoaded
-	// ChooseFirst takes the target used least recently, whatever its load.
+	// ChooseFirst takes the least recently used target, regardless of its load.
 	ChooseFirst
 )
 
-// Config bounds a pool. The zero value of a field takes the default named
-// beside it.
+// Config sets the bounds and times of a pool. A field that is zero takes the default given in the
+// comment beside it.
 type Config struct {
 	Choice Choice
-	// QueuePerSlot bounds the queue to this many waiting requests per working
-	// slot. Negative means no queue: what finds no free slot is refused.
+	// QueuePerSlot bounds the queue to this many waiting requests per working slot. If it is
+	// negative, there is no queue: a request that finds no free slot is refused.
 	QueuePerSlot float64 // 4
-	// MaxWait refuses a request whose estimated wait is longer, so that another
-	// place can still serve it promptly. Zero leaves only the deadline.
+	// MaxWait bounds the estimated wait: a request that would wait longer is refused, so that
+	// another place can still serve it promptly. If it is zero, only the deadline bounds the wait.
 	MaxWait time.Duration
-	// WaitPart also bounds the wait to this part of the mean service time, but
-	// not below MinWait. Zero sets no such bound.
+	// WaitPart also bounds the wait, to this multiple of the mean service time, but not below
+	// MinWait. If it is zero, this bound does not apply.
 	WaitPart float64
 	MinWait  time.Duration // 25 ms
-	// StandingAfter is the time for which a queue must not have been empty to
-	// be a standing one. A burst is worth waiting out for who has nowhere else
-	// to go; in a standing queue a longer wait serves nobody more, it only
-	// serves all of them later, so that there patience counts no more.
+	// StandingAfter is how long a queue must not have been empty to be a standing queue. A short
+	// burst is worth waiting for if a request cannot go elsewhere. In a standing queue, longer
+	// waits do not serve more requests, they only serve all of them later; Request.Patient
+	// therefore has no effect in one.
 	StandingAfter time.Duration // 500 ms
-	// ForeignMaxWait is MaxWait for work from other zones, which has already
-	// spent time on its way and can be refused at less cost.
+	// ForeignMaxWait replaces MaxWait for requests from other zones. They have already spent time
+	// on the way, and refusing them costs less.
 	ForeignMaxWait time.Duration // MaxWait
-	// ServiceTime is the mean service time assumed before any was measured.
+	// ServiceTime is the mean service time that is assumed before the first sample.
 	ServiceTime time.Duration // 50 ms
-	// Linger is how long a slot stays taken after its request ended without the
-	// target saying so: the target may still run it.
+	// Linger is how long a slot stays in use after its request ended without an answer from the
+	// target, which may still run the request.
 	Linger time.Duration // 500 ms
-	// OrphanLinger is Linger for the grants of a holder that died.
+	// OrphanLinger replaces Linger for the grants of an entry VM that is gone.
 	OrphanLinger time.Duration // 5 s
-	// ReportFor is how long a reported load beyond the pool's own counts.
+	// ReportFor is how long a report of load beyond the pool's own requests is valid.
 	ReportFor time.Duration // 2 s
-	// RegrowAfter is the first wait before a lowered limit grows by one. It
-	// doubles each time the target sheds again, up to RegrowMax.
+	// RegrowAfter is the first wait before a lowered limit is raised by one. The wait doubles, up
+	// to RegrowMax, each time the limit is lowered again.
 	RegrowAfter time.Duration // 2 s
 	RegrowMax   time.Duration // 60 s
-	// ShedPause is the first pause of a target that sheds its only request. It
-	// doubles each time, up to ShedPauseMax.
+	// ShedPause is for how long a target that sheds its only request gets no new ones. It doubles
+	// each time, up to ShedPauseMax.
 	ShedPause    time.Duration // 100 ms
 	ShedPauseMax time.Duration // 5 s
-	// RetryAfterMax bounds the time to come back that a refusal gives.
+	// RetryAfterMax bounds the RetryAfter of a refusal.
 	RetryAfterMax time.Duration // 1 s
 }
 
@@ -74,9 +74,10 @@
 	defaultShedPauseMax  = 5 * time.Second
 	defaultRetryAfterMax = time.Second
 
-	// minRetryAfter keeps a refused caller from coming back at once.
+	// minRetryAfter keeps a refused caller from retrying at once.
 	minRetryAfter = 20 * time.Millisecond
-	// noQueuePerSlot is how Config says that nothing may wait.
+	// noQueuePerSlot disables the queue. Config uses a negative QueuePerSlot for this, because zero
+	// selects the default.
 	noQueuePerSlot = 0
 )
 
--- a/steering/pool/model_test.go
+++ b/steering/pool/model_test.go
@@ -15,25 +15,25 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// modelTarget and modelWaiter are an independent account of a pool: plain
-// lists, searched from end to end.
+// modelTarget and modelWaiter are the state of a simple model of a pool, which keeps plain lists
+// and searches them linearly.
 type modelTarget struct {
 	name     steering.Target
 	slots    int
 	stopped  bool
-	closed   bool
+	ejected  bool
 	inFlight int
 }
 
 type modelWaiter struct {
-	ticket   Ticket
-	rank     int
-	giveUp   time.Time
-	deadline time.Time
-	avoid    []steering.Target
+	ticket    Ticket
+	rank      int
+	expiresAt time.Time
+	deadline  time.Time
+	avoid     []steering.Target
 }
 
-// machine drives a pool and the model side by side.
+// machine applies the same actions to a pool and to the model.
 type machine struct {
 	pool    *Pool
 	now     time.Time
@@ -41,18 +41,18 @@
 	waiters []modelWaiter
 	held    map[GrantID]*modelTarget
 	order   []GrantID
-	// exact holds while nothing happened that the model does not follow:
-	// learned limits, reports and lingering requests.
-	exact   bool
-	ceiling int
-	choice  Choice
-	picky   int // of 4: how likely a request avoids a target
+	// exact is set if the run has only actions that the model covers: no learned limits, reports or
+	// lingering requests.
+	exact     bool
+	ceiling   int
+	choice    Choice
+	avoidOdds int // of 4: how likely a request avoids each target
 }
 
 func newMachine(t *rapid.T) *machine {
 	m := &machine{now: start, ceiling: NoCeiling, held: map[GrantID]*modelTarget{}, exact: rapid.Bool().Draw(t, "exact")}
 	m.choice = Choice(rapid.IntRange(0, int(ChooseFirst)).Draw(t, "choice"))
-	m.picky = rapid.IntRange(0, 3).Draw(t, "picky")
+	m.avoidOdds = rapid.IntRange(0, 3).Draw(t, "picky")
 	m.pool = New(start, Config{
 		Choice:       m.choice,
 		QueuePerSlot: rapid.SampledFrom([]float64{-1, 0.5, 4}).Draw(t, "queue"),
@@ -82,25 +82,25 @@
 	m.apply(t, m.pool.SetTargets(m.now, declared, stopped))
 }
 
-// servable says whether the model would give a request a slot.
+// servable reports whether the model would grant a request a slot.
 func (m *machine) servable(avoid []steering.Target) bool {
 	if len(m.held) >= m.ceiling {
 		return false
 	}
 	return slices.ContainsFunc(m.targets, func(t *modelTarget) bool {
-		return !t.stopped && !t.closed && t.inFlight < t.slots && !slices.Contains(avoid, t.name)
+		return !t.stopped && !t.ejected && t.inFlight < t.slots && !slices.Contains(avoid, t.name)
 	})
 }
 
-// first returns the waiter that has to be served next, or -1.
-func (m *machine) first() int {
+// nextToServe returns the index of the waiter that has to be served next, or -1.
+func (m *machine) nextToServe() int {
 	best := -1
 	for i, w := range m.waiters {
 		if !m.servable(w.avoid) {
 			continue
 		}
 		if best < 0 || w.rank < m.waiters[best].rank ||
-			w.rank == m.waiters[best].rank && w.giveUp.Before(m.waiters[best].giveUp) {
+			w.rank == m.waiters[best].rank && w.expiresAt.Before(m.waiters[best].expiresAt) {
 			best = i
 		}
 	}
@@ -109,9 +109,9 @@
 
 func (m *machine) grant(t *rapid.T, id GrantID, name steering.Target, avoid []steering.Target) {
 	target := m.target(name)
-	assert.Assert(t, m.held[id] == nil, "grant %d given twice", id)
-	assert.Assert(t, !target.stopped && !target.closed, "%s gets nothing new", name)
-	assert.Assert(t, !slices.Contains(avoid, name), "%s was to be avoided", name)
+	assert.Assert(t, m.held[id] == nil, "grant ID %d used twice", id)
+	assert.Assert(t, !target.stopped && !target.ejected, "%s must not get new requests", name)
+	assert.Assert(t, !slices.Contains(avoid, name), "%s was chosen although the request avoids it", name)
 	if m.exact && m.choice == ChooseLeastLoaded {
 		m.checkLeastLoaded(t, target, avoid)
 	}
@@ -124,34 +124,34 @@
 
 func (m *machine) checkLeastLoaded(t *rapid.T, chosen *modelTarget, avoid []steering.Target) {
 	for _, other := range m.targets {
-		if other.stopped || other.closed || slices.Contains(avoid, other.name) {
+		if other.stopped || other.ejected || slices.Contains(avoid, other.name) {
 			continue
 		}
 		assert.Assert(t, chosen.inFlight*other.slots <= other.inFlight*chosen.slots,
-			"%s was chosen although %s has a smaller share in use", chosen.name, other.name)
+			"%s was chosen although %s has a smaller fraction of its slots in use", chosen.name, other.name)
 	}
 }
 
 func (m *machine) remove(t *rapid.T, ticket Ticket) modelWaiter {
 	i := slices.IndexFunc(m.waiters, func(w modelWaiter) bool { return w.ticket == ticket })
-	assert.Assert(t, i >= 0, "ticket %d answered, but it does not wait", ticket)
+	assert.Assert(t, i >= 0, "ticket %d was served or dropped, but does not wait", ticket)
 	w := m.waiters[i]
 	m.waiters = slices.Delete(m.waiters, i, i+1)
 	return w
 }
 
-// apply follows what a call did to waiting requests.
+// apply updates the model by what a call did to waiting requests, and checks it.
 func (m *machine) apply(t *rapid.T, e Effects) {
 	for _, d := range e.Dropped {
 		m.remove(t, d.Ticket)
-		assert.Assert(t, d.RetryAfter > 0, "a refusal has to say when to come back")
+		assert.Assert(t, d.RetryAfter > 0, "a refusal must have a RetryAfter")
 	}
 	for _, s := range e.Served {
 		if m.exact {
-			first := m.waiters[m.first()]
+			nextToServe := m.waiters[m.nextToServe()]
 			chosen := m.waiters[slices.IndexFunc(m.waiters, func(w modelWaiter) bool { return w.ticket == s.Ticket })]
-			assert.Equal(t, chosen.rank, first.rank, "served out of order")
-			assert.Assert(t, chosen.giveUp.Equal(first.giveUp), "served out of order")
+			assert.Equal(t, chosen.rank, nextToServe.rank, "served out of order")
+			assert.Assert(t, chosen.expiresAt.Equal(nextToServe.expiresAt), "served out of order")
 		}
 		w := m.remove(t, s.Ticket)
 		assert.Assert(t, m.now.Before(w.deadline), "served after its deadline")
@@ -166,7 +166,7 @@
 		Deadline: m.now.Add(time.Duration(rapid.IntRange(-1, 200).Draw(t, "deadline")) * time.Millisecond),
 	}
 	for _, target := range m.targets {
-		if rapid.IntRange(0, 3).Draw(t, "avoid") < m.picky {
+		if rapid.IntRange(0, 3).Draw(t, "avoid") < m.avoidOdds {
 			r.Avoid = append(r.Avoid, target.name)
 		}
 	}
@@ -175,22 +175,22 @@
 	d := m.pool.Acquire(m.now, r)
 	if m.exact {
 		mustGrant := m.servable(r.Avoid) && r.Deadline.After(m.now)
-		assert.Equal(t, d.Verdict == Granted, mustGrant, "a free slot is granted at once, and only that")
+		assert.Equal(t, d.Verdict == Granted, mustGrant, "a request must be granted a slot if and only if one is free")
 	}
 	switch d.Verdict {
 	case Granted:
 		m.grant(t, d.Grant, d.Target.Name, r.Avoid)
 	case Queued:
-		assert.Assert(t, usable, "queued although nothing can ever serve it")
-		giveUp := r.Deadline.Add(-typical)
-		assert.Assert(t, giveUp.After(m.now), "queued although it can't be served in time")
-		m.waiters = append(m.waiters, modelWaiter{d.Ticket, rankOf(&r), giveUp, r.Deadline, r.Avoid})
+		assert.Assert(t, usable, "queued although no target can serve it")
+		expiresAt := r.Deadline.Add(-typical)
+		assert.Assert(t, expiresAt.After(m.now), "queued although it cannot be served in time")
+		m.waiters = append(m.waiters, modelWaiter{d.Ticket, rankOf(&r), expiresAt, r.Deadline, r.Avoid})
 	case Refused:
 		assert.Assert(t, d.RetryAfter > 0 || d.Reason == steering.ReasonDeadline)
 	}
 }
 
-// Burst makes queues long enough for their order to show.
+// Burst makes queues long enough to check their order.
 func (m *machine) Burst(t *rapid.T) {
 	for range rapid.IntRange(4, 16).Draw(t, "burst") {
 		m.Acquire(t)
@@ -199,7 +199,7 @@
 
 func (m *machine) Release(t *rapid.T) {
 	if len(m.order) == 0 {
-		t.Skip("nothing held")
+		t.Skip("no slot is granted")
 	}
 	i := rapid.IntRange(0, len(m.order)-1).Draw(t, "grant")
 	id := m.order[i]
@@ -213,12 +213,12 @@
 	m.held[id].inFlight--
 	delete(m.held, id)
 	m.apply(t, m.pool.Release(m.now, id, o))
-	m.apply(t, m.pool.Release(m.now, id, o)) // repeated: no effect
+	m.apply(t, m.pool.Release(m.now, id, o)) // released twice: no effect
 }
 
 func (m *machine) Cancel(t *rapid.T) {
 	if len(m.waiters) == 0 {
-		t.Skip("nobody waits")
+		t.Skip("no request waits")
 	}
 	w := m.waiters[rapid.IntRange(0, len(m.waiters)-1).Draw(t, "waiter")]
 	if m.pool.Cancel(w.ticket) {
@@ -235,8 +235,8 @@
 
 func (m *machine) Close(t *rapid.T) {
 	target := rapid.SampledFrom(m.targets).Draw(t, "target")
-	target.closed = !target.closed
-	m.apply(t, m.pool.SetClosed(m.now, target.name, target.closed))
+	target.ejected = !target.ejected
+	m.apply(t, m.pool.SetClosed(m.now, target.name, target.ejected))
 }
 
 func (m *machine) Ceiling(t *rapid.T) {
@@ -246,7 +246,7 @@
 
 func (m *machine) Learn(t *rapid.T) {
 	if m.exact {
-		t.Skip("the model follows no reports")
+		t.Skip("the model does not cover reports")
 	}
 	target := rapid.SampledFrom(m.targets).Draw(t, "target")
 	if rapid.Bool().Draw(t, "share") {
@@ -261,15 +261,15 @@
 	m.apply(t, m.pool.Tick(m.now))
 }
 
-// Check holds after every action.
+// Check compares the pool with the model and runs after every action.
 func (m *machine) Check(t *rapid.T) {
 	p := m.pool
 	inFlight, free, slots := 0, 0, 0
 	for i := range p.targets {
 		target := &p.targets[i]
 		inFlight += target.inFlight
-		free += target.room(p.now)
-		if target.open(p.now) {
+		free += target.freeSlots(p.now)
+		if target.accepting(p.now) {
 			slots += target.capacity()
 		}
 		assert.Assert(t, target.limit >= 1 && target.limit <= target.Slots, "limit %d of %d", target.limit, target.Slots)
@@ -287,9 +287,9 @@
 	}
 }
 
-// Promise: no target ever gets more than its slots, waiting requests are
-// served by class, origin and deadline, none waits past its deadline, and a
-// free slot is never kept from a request that may use it.
+// Checks against the model that no target gets more requests than its slots, that waiting requests
+// are served in the order of class, origin and deadline and not after their deadline, and that no
+// slot is free while a request that may use it waits.
 func TestPoolAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine(t)
@@ -300,11 +300,11 @@
 	})
 }
 
-// Promise: the search past avoided targets and past waiters that avoid the
-// free target finds what a search through all of them finds.
-func TestSearchPastAvoided(t *testing.T) {
+// Checks that the search past avoided targets, and past waiters that avoid the free targets, finds
+// the same as a linear search.
+func TestSearchSkipsAvoidedTargets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &machine{now: start, ceiling: NoCeiling, held: map[GrantID]*modelTarget{}, exact: true, picky: 3}
+		m := &machine{now: start, ceiling: NoCeiling, held: map[GrantID]*modelTarget{}, exact: true, avoidOdds: 3}
 		m.choice = ChooseLeastLoaded
 		m.pool = New(start, Config{Choice: m.choice, QueuePerSlot: 10, ServiceTime: time.Millisecond})
 		for i := range 12 {
--- a/steering/pool/pool.go
+++ b/steering/pool/pool.go
@@ -11,20 +11,20 @@
 // grant is one slot in use.
 type grant struct {
 	generation uint32
-	target     int // notReady when the entry is vacant
-	at         instant
+	target     int     // index in Pool.targets
+	at         instant // when the slot was granted
 }
 
-// Pool counts the slots of one pool and queues for them.
+// Pool counts the slots in use of one pool and queues requests for them.
 type Pool struct {
 	cfg   Config
 	epoch time.Time
 	now   instant
 
-	targets []target
-	vacant  []int // entries of targets that left
-	byName  map[steering.Target]int
-	ready   []int // heap of targets with room
+	targets       []target
+	vacantTargets []int // unused indexes of targets
+	byName        map[steering.Target]int
+	ready         []int // heap of the targets with free slots
 
 	grants     []grant
 	freeGrants []uint32
@@ -33,41 +33,41 @@
 	freeWaiters []uint32
 	queues      [ranks][]uint32
 
-	free     int
-	slots    int
-	usable   int // targets that are declared and not stopped
-	inFlight int
-	ceiling  int // most in flight over all targets
-	queued   int
-	uses     uint64
-	wake     instant // when time alone may change a target's room
+	free         int
+	slots        int
+	usable       int // number of targets that are declared and not stopped
+	inFlight     int
+	ceiling      int // bound on the requests in flight over all targets
+	queued       int
+	grantCount   uint64
+	nextChangeAt instant // when the free slots of a target may next change without a call
 
-	times   serviceTimes
-	emptyAt instant // when the queue was empty last
-	leanAt  instant // when speeds of targets fade next
-	returns instant // when the last refused caller was told to come back
+	times       serviceTimes
+	lastEmptyAt instant // when the queue was last empty
+	nextDecayAt instant // when decayServiceTimes acts next
+	lastRetryAt instant // the retry time that the last refused caller got
 
 	effects Effects
 }
 
-// New returns an empty pool.
+// New returns a pool without targets.
 func New(now time.Time, cfg Config) *Pool {
 	cfg = cfg.withDefaults()
 	return &Pool{
-		cfg:     cfg,
-		epoch:   now,
-		byName:  map[steering.Target]int{},
-		wake:    never,
-		ceiling: NoCeiling,
-		times:   newServiceTimes(cfg.ServiceTime),
+		cfg:          cfg,
+		epoch:        now,
+		byName:       map[steering.Target]int{},
+		nextChangeAt: never,
+		ceiling:      NoCeiling,
+		times:        newServiceTimes(cfg.ServiceTime),
 	}
 }
 
-// SetTargets replaces the declared targets and the set of stopped ones. What
-// was learned of a target that stays is kept; a target that left keeps its
-// grants until they are released. stopped may be nil.
+// SetTargets replaces the declared targets and the set of stopped ones. A target that stays keeps
+// what the pool learned about it; a target that is removed keeps its grants until they are
+// released. stopped may be nil.
 func (p *Pool) SetTargets(now time.Time, targets []routing.Target, stopped func(steering.Target) bool) Effects {
-	at := p.begin(now)
+	at := p.beginCall(now)
 	for i := range p.targets {
 		p.targets[i].declared = false
 	}
@@ -78,45 +78,44 @@
 	}
 	for i := range p.targets {
 		p.refresh(i, at)
-		p.forgetIfIdle(i)
+		p.removeIfIdle(i)
 	}
 	p.dispatch(at)
 	p.dropUnservable()
 	return p.effects
 }
 
-// SetShare sets the part of a target's slots that its warm-up allows, 0..1.
+// SetShare sets the fraction of a target's slots, from 0 to 1, that it may use while it warms up.
 // At least one slot stays usable.
 func (p *Pool) SetShare(now time.Time, name steering.Target, share float64) Effects {
-	return p.change(now, name, func(t *target, _ instant) { t.share = share })
+	return p.updateTarget(now, name, func(t *target, _ instant) { t.share = share })
 }
 
-// SetCeiling bounds what is in flight over all targets together, at one or
-// more. What is in flight above it runs on.
+// SetCeiling bounds the number of requests in flight over all targets together; the minimum is one.
+// Requests in flight above the bound keep running.
 func (p *Pool) SetCeiling(now time.Time, ceiling int) Effects {
-	at := p.begin(now)
+	at := p.beginCall(now)
 	p.ceiling = max(1, ceiling)
 	p.dispatch(at)
 	return p.effects
 }
 
-// NoCeiling lets every target use its slots.
+// NoCeiling is the ceiling of a pool that is bounded only by its targets' slots.
 const NoCeiling = math.MaxInt
 
-// SetClosed keeps a target from getting new work, or opens it again.
-func (p *Pool) SetClosed(now time.Time, name steering.Target, closed bool) Effects {
-	return p.change(now, name, func(t *target, _ instant) { t.closed = closed })
+// SetClosed sets whether a target is ejected: an ejected target gets no new requests.
+func (p *Pool) SetClosed(now time.Time, name steering.Target, ejected bool) Effects {
+	return p.updateTarget(now, name, func(t *target, _ instant) { t.ejected = ejected })
 }
 
-// Report takes a target's own figures from its load endpoint. They must have
-// been read after everything the pool was told so far, or they count requests
-// that have ended since.
+// Report applies the figures that a target reports at its load endpoint. They must have been read
+// after the last call that changed the pool. Otherwise they count requests that have ended since.
 func (p *Pool) Report(now time.Time, name steering.Target, inFlight, slots int) Effects {
-	return p.change(now, name, func(t *target, at instant) { t.report(at, inFlight, slots, &p.cfg) })
+	return p.updateTarget(now, name, func(t *target, at instant) { t.applyReport(at, inFlight, slots, &p.cfg) })
 }
 
-func (p *Pool) change(now time.Time, name steering.Target, f func(*target, instant)) Effects {
-	at := p.begin(now)
+func (p *Pool) updateTarget(now time.Time, name steering.Target, f func(*target, instant)) Effects {
+	at := p.beginCall(now)
 	i, ok := p.byName[name]
 	if !ok {
 		return p.effects
@@ -127,15 +126,15 @@
 	return p.effects
 }
 
-// Acquire asks for a slot. The request is granted one, queued or refused.
+// Acquire requests a slot. The request is granted one, queued or refused.
 func (p *Pool) Acquire(now time.Time, r Request) Decision {
 	at := p.advance(now)
 	deadline := r.Deadline.Sub(p.epoch)
 	if deadline <= at {
 		return Decision{Verdict: Refused, Reason: steering.ReasonDeadline}
 	}
-	if i := p.next(r.Avoid); i != notReady {
-		id := p.take(i, at)
+	if i := p.pickTarget(r.Avoid); i != noIndex {
+		id := p.grantSlot(i, at)
 		return Decision{Verdict: Granted, Grant: id, Target: p.targets[i].Target}
 	}
 	if p.usable == 0 {
@@ -150,22 +149,22 @@
 	if at+wait+p.times.typical() > deadline {
 		return p.refuse(at, steering.ReasonNoSlot, wait)
 	}
-	giveUp := deadline - p.times.typical()
+	expiresAt := deadline - p.times.typical()
 	if bound := p.maxWait(at, r); bound > 0 {
 		if wait > bound {
 			return p.refuse(at, steering.ReasonNoSlot, wait)
 		}
-		giveUp = min(giveUp, at+bound)
+		expiresAt = min(expiresAt, at+bound)
 	}
-	if p.queued >= p.queueLimit() && !p.makeRoom(at, rank, wait) {
+	if p.queued >= p.queueLimit() && !p.evictLower(at, rank, wait) {
 		return p.refuse(at, steering.ReasonQueueFull, wait)
 	}
-	return Decision{Verdict: Queued, Ticket: p.enqueue(rank, giveUp, r.Avoid)}
+	return Decision{Verdict: Queued, Ticket: p.enqueue(rank, expiresAt, r.Avoid)}
 }
 
-// makeRoom drops the worst waiter of a lower rank. The drop is reported by
-// the next call that returns effects.
-func (p *Pool) makeRoom(at instant, rank int, wait time.Duration) bool {
+// evictLower drops the last waiting request of the lowest rank below rank. The next call that
+// returns Effects reports the drop.
+func (p *Pool) evictLower(at instant, rank int, wait time.Duration) bool {
 	worst, position := p.worstBelow(rank)
 	if position == noWaiter {
 		return false
@@ -174,13 +173,13 @@
 	p.effects.pending = append(p.effects.pending, Dropped{
 		Ticket:     ticket,
 		Reason:     steering.ReasonQueueFull,
-		RetryAfter: p.comeBack(at, wait),
+		RetryAfter: p.retryAfter(at, wait),
 	})
 	return true
 }
 
-// Cancel removes a waiting request. It returns false when the ticket no
-// longer waits: it was served or dropped, and the caller has to look at that.
+// Cancel removes a waiting request. It returns false if the request does not wait any more because
+// it was served or dropped; the caller has to handle that result.
 func (p *Pool) Cancel(ticket Ticket) bool {
 	rank, position, ok := p.findWaiter(ticket)
 	if !ok {
@@ -190,25 +189,26 @@
 	return true
 }
 
-// Hold registers a slot that is already in use, granted by an earlier owner of
-// the pool. It may take a target over its slots: the work is there anyway.
+// Hold registers a slot that is already in use because an earlier owner of the pool granted it. It
+// may exceed the target's slots, because the target runs the request in any case. It returns false
+// if the target is unknown.
 func (p *Pool) Hold(now time.Time, name steering.Target) (GrantID, bool) {
 	at := p.advance(now)
 	i, ok := p.byName[name]
 	if !ok {
 		return 0, false
 	}
-	return p.take(i, at), true
+	return p.grantSlot(i, at), true
 }
 
-// take uses one slot of a target.
-func (p *Pool) take(i int, at instant) GrantID {
+// grantSlot grants one slot of a target.
+func (p *Pool) grantSlot(i int, at instant) GrantID {
 	t := &p.targets[i]
 	t.inFlight++
 	p.inFlight++
-	p.uses++
-	t.used = p.uses
-	t.notePeak(at)
+	p.grantCount++
+	t.lastUsed = p.grantCount
+	t.recordPeak(at)
 	p.refresh(i, at)
 	g := p.newGrant()
 	p.grants[g].target = i
@@ -226,10 +226,10 @@
 	return uint32(len(p.grants) - 1)
 }
 
-// Release gives a slot back and serves waiting requests. A grant that was
-// released before is ignored, so that a repeated release does no harm.
+// Release returns a slot and serves waiting requests. It ignores a grant that was released before,
+// so that it may be called repeatedly.
 func (p *Pool) Release(now time.Time, id GrantID, o Outcome) Effects {
-	at := p.begin(now)
+	at := p.beginCall(now)
 	generation, g := unpackID(uint64(id))
 	if int(g) >= len(p.grants) || p.grants[g].generation != generation {
 		return p.effects
@@ -238,51 +238,51 @@
 	held := at - p.grants[g].at
 	p.grants[g].generation++
 	p.freeGrants = append(p.freeGrants, g)
-	p.learn(&p.targets[i], at, held, o)
+	p.recordOutcome(&p.targets[i], at, held, o)
 	p.refresh(i, at)
-	p.forgetIfIdle(i)
+	p.removeIfIdle(i)
 	p.dispatch(at)
 	return p.effects
 }
 
-// learn draws from an outcome what it says about the target, and uncounts the
-// request.
-func (p *Pool) learn(t *target, at instant, held time.Duration, o Outcome) {
-	t.notePeak(at)
+// recordOutcome updates what the pool knows about the target by an outcome, and removes the request
+// from the requests in flight.
+func (p *Pool) recordOutcome(t *target, at instant, held time.Duration, o Outcome) {
+	t.recordPeak(at)
 	switch o.End {
 	case EndShed:
-		t.shed(at, &p.cfg)
+		t.recordShed(at, &p.cfg)
 	case EndFailed:
 		p.times.add(held)
 		t.addServiceTime(time.Duration(failurePenalty * p.times.mean))
 	case EndDone:
 		p.times.add(held)
 		t.addServiceTime(held)
-		t.succeeded()
+		t.recordSuccess()
 	}
 	t.inFlight--
 	p.inFlight--
 	if o.ReportedInFlight != NoReport || o.ReportedSlots != NoReport {
-		t.report(at, o.ReportedInFlight, o.ReportedSlots, &p.cfg)
+		t.applyReport(at, o.ReportedInFlight, o.ReportedSlots, &p.cfg)
 	}
 	switch o.End {
 	case EndUncertain:
-		t.uncertain(at, p.cfg.Linger)
+		t.addLingering(at, p.cfg.Linger)
 	case EndOrphaned:
-		t.uncertain(at, p.cfg.OrphanLinger)
+		t.addLingering(at, p.cfg.OrphanLinger)
 	}
 }
 
-// Tick lets time act: old reports fade, lowered limits grow back and requests
-// that waited too long are dropped.
+// Tick applies the changes that depend on time alone: it expires old reports, raises lowered limits
+// and drops requests that waited too long.
 func (p *Pool) Tick(now time.Time) Effects {
-	at := p.begin(now)
-	p.lean(at)
-	if at >= p.wake {
-		p.wake = never
+	at := p.beginCall(now)
+	p.decayServiceTimes(at)
+	if at >= p.nextChangeAt {
+		p.nextChangeAt = never
 		for i := range p.targets {
-			p.targets[i].fade(at)
-			p.targets[i].regrow(at)
+			p.targets[i].expireReports(at)
+			p.targets[i].raiseLimit(at)
 			p.refresh(i, at)
 		}
 	}
@@ -291,13 +291,12 @@
 	return p.effects
 }
 
-// Next returns when Tick has something to do, and false when nothing waits for
-// time.
+// Next returns when Tick has to be called next, and false if nothing depends on time.
 func (p *Pool) Next() (time.Time, bool) {
-	next := p.wake
+	next := p.nextChangeAt
 	for _, q := range p.queues {
 		if len(q) > 0 {
-			next = min(next, p.waiters[q[0]].giveUp)
+			next = min(next, p.waiters[q[0]].expiresAt)
 		}
 	}
 	if len(p.effects.pending) > 0 {
@@ -309,7 +308,7 @@
 	return p.epoch.Add(next), true
 }
 
-// dispatch drops what waited too long and gives free slots to waiters.
+// dispatch drops the requests that waited too long and grants free slots to waiting requests.
 func (p *Pool) dispatch(at instant) {
 	for rank := range p.queues {
 		p.expire(rank, at)
@@ -328,13 +327,13 @@
 func (p *Pool) serve(rank, position int, at instant) {
 	i := p.bestReady(0, p.waiters[p.queues[rank][position]].avoid)
 	ticket := p.dequeue(rank, position)
-	id := p.take(i, at)
+	id := p.grantSlot(i, at)
 	p.effects.Served = append(p.effects.Served, Served{Ticket: ticket, Grant: id, Target: p.targets[i].Target})
 }
 
 func (p *Pool) expire(rank int, at instant) {
-	for len(p.queues[rank]) > 0 && p.waiters[p.queues[rank][0]].giveUp <= at {
-		p.drop(rank, 0, steering.ReasonNoSlot, p.comeBack(at, p.waitFor(rank)))
+	for len(p.queues[rank]) > 0 && p.waiters[p.queues[rank][0]].expiresAt <= at {
+		p.drop(rank, 0, steering.ReasonNoSlot, p.retryAfter(at, p.waitFor(rank)))
 	}
 }
 
@@ -343,7 +342,7 @@
 	p.effects.Dropped = append(p.effects.Dropped, Dropped{Ticket: ticket, Reason: reason, RetryAfter: retryAfter})
 }
 
-// dropUnservable refuses all waiters once no target is left to serve them.
+// dropUnservable refuses all waiting requests if no target is left that could serve them.
 func (p *Pool) dropUnservable() {
 	if p.queued == 0 || p.usable > 0 {
 		return
--- a/steering/pool/pool_test.go
+++ b/steering/pool/pool_test.go
@@ -18,16 +18,15 @@
 
 var noReport = Outcome{ReportedInFlight: NoReport, ReportedSlots: NoReport}
 
-// Symptom: a target with two working slots out of four declared refuses every
-// third request. Sequence: the pool fills its four slots, the target sheds.
-// Cause: the pool believed the configuration. The limit has to settle at two,
-// try three only now and then, and find the truth once the target is mended.
-func TestLimitFollowsTruth(t *testing.T) {
+// Guards against a target with two working slots out of four declared refusing every third request,
+// because the pool fills the four slots that the configuration declares. The limit has to settle at
+// two, try three only from time to time, and return to four once the target has recovered.
+func TestLimitFollowsWorkingSlots(t *testing.T) {
 	const working = 2
 	now := start
 	p := New(now, Config{})
 	p.SetTargets(now, []routing.Target{{Name: "a", Slots: 4}}, nil)
-	run := func(d time.Duration, truth int) (sheds int) {
+	run := func(d time.Duration, workingSlots int) (sheds int) {
 		for end := now.Add(d); now.Before(end); {
 			var held []GrantID
 			for {
@@ -41,7 +40,7 @@
 			now = now.Add(20 * time.Millisecond)
 			for i := len(held) - 1; i >= 0; i-- {
 				o := noReport
-				if i >= truth {
+				if i >= workingSlots {
 					o.End = EndShed
 					sheds++
 				}
@@ -59,10 +58,10 @@
 	assert.Equal(t, p.Limit("a"), 4)
 }
 
-// Symptom: a target serves well while callers queue. Sequence: its load report
-// freezes at "all slots in use". Cause: the report outranked what the pool saw
-// at first hand.
-func TestFrozenReportIsDoubted(t *testing.T) {
+// Guards against slots that stay unused while callers queue: a target works well, but its load
+// report is stuck at all slots in use, and the pool preferred the report to the successes that it
+// saw itself.
+func TestSuccessesOutweighAStaleReport(t *testing.T) {
 	now := start
 	p := New(now, Config{})
 	p.SetTargets(now, []routing.Target{{Name: "a", Slots: 4}}, nil)
@@ -88,11 +87,10 @@
 	assert.Equal(t, peak, 4)
 }
 
-// Symptom: a zone refuses work while a target that serves well is used with one
-// slot out of four. Sequence: its reports say one slot and 99 requests in
-// flight. Cause: its word lowered the limit although it ran more than that
-// without shedding.
-func TestReportedSlotsThatAreRefutedDoNotLowerTheLimit(t *testing.T) {
+// Guards against a target that works well being limited to one slot out of four, so that its zone
+// refuses requests: its reports say one slot and 99 requests in flight, and lowered the limit
+// although the target ran more requests than that without shedding.
+func TestContradictedSlotReportDoesNotLowerTheLimit(t *testing.T) {
 	now := start
 	p := New(now, Config{})
 	p.SetTargets(now, []routing.Target{{Name: "a", Slots: 4}}, nil)
@@ -120,9 +118,9 @@
 	assert.Equal(t, p.Limit("a"), 4)
 }
 
-// Symptom: a target runs more than its slots after callers go away. Sequence:
-// requests time out, their slots are given out again, the target still runs
-// the first ones. Cause: an end at the caller's side is no end at the target.
+// Guards against a target running more requests than its slots after callers disconnect: the
+// requests time out and their slots are granted again while the target still runs the first
+// requests, because an end on the caller's side does not end the request at the target.
 func TestUncertainEndKeepsTheSlot(t *testing.T) {
 	now := start
 	p := New(now, Config{Linger: time.Second})
@@ -133,17 +131,17 @@
 	p.Release(now, first.Grant, o)
 	assert.Equal(t, p.Free(), 1)
 	p.Report(now, first.Target.Name, 0, NoReport)
-	assert.Equal(t, p.Free(), 2, "the target's own word that it is idle ends the wait")
+	assert.Equal(t, p.Free(), 2, "a report that the target is idle frees the slot")
 	again := p.Acquire(now, Request{Deadline: now.Add(time.Second)})
 	p.Release(now, again.Grant, o)
 	p.Tick(now.Add(time.Second))
-	assert.Equal(t, p.Free(), 2, "the wait is bounded")
+	assert.Equal(t, p.Free(), 2, "the slot is free again after Linger")
 }
 
-// Symptom: most requests fail although five of six targets are well. Sequence:
-// one target fails each request at once, so that it always has free slots and
-// looks fastest. Cause: quick failures counted as speed.
-func TestTargetThatFailsAtOnceDrawsNoMoreWork(t *testing.T) {
+// Guards against most requests failing although five of six targets work: one target fails each
+// request at once, always has free slots and looked fastest because quick failures counted as short
+// service times.
+func TestFastFailingTargetGetsNoExtraRequests(t *testing.T) {
 	now := start
 	p := New(now, Config{ServiceTime: 50 * time.Millisecond})
 	var declared []routing.Target
@@ -190,11 +188,11 @@
 		}
 		all = append(all, r)
 	}
-	assert.Assert(t, failed*2 <= sent, "%d of %d requests went to the target that fails", failed, sent)
+	assert.Assert(t, failed*2 <= sent, "%d of %d requests went to the failing target", failed, sent)
 }
 
-// Symptom: a full queue of sheddable work turns away a pass check. Cause: the
-// bound was first come, first served.
+// Guards against a queue full of sheddable requests refusing a critical one, as it did when the
+// queue bound was first come, first served.
 func TestFullQueueMakesRoomForCriticalWork(t *testing.T) {
 	now := start
 	p := New(now, Config{QueuePerSlot: 1})
@@ -213,9 +211,9 @@
 	assert.Equal(t, e.Dropped[0].Reason, steering.ReasonQueueFull)
 }
 
-// Symptom: refused callers come back as one burst and are refused again.
-// Cause: all were told the same time.
-func TestRefusedCallersAreToldDifferentTimes(t *testing.T) {
+// Guards against refused callers retrying in one burst and being refused again, because all of them
+// got the same RetryAfter.
+func TestRefusedCallersGetDifferentRetryTimes(t *testing.T) {
 	now := start
 	p := New(now, Config{QueuePerSlot: -1})
 	p.SetTargets(now, twoOf(1), nil)
@@ -223,7 +221,7 @@
 	for range 12 {
 		d := p.Acquire(now, Request{Deadline: now.Add(time.Second)})
 		if d.Verdict == Refused {
-			assert.Assert(t, !seen[d.RetryAfter], "%v told twice", d.RetryAfter)
+			assert.Assert(t, !seen[d.RetryAfter], "RetryAfter %v given twice", d.RetryAfter)
 			seen[d.RetryAfter] = true
 		}
 	}
--- a/steering/pool/queue.go
+++ b/steering/pool/queue.go
@@ -5,7 +5,8 @@
 	"heatherlock/steering/routing"
 )
 
-// ranks is the number of queues: each class, own work before foreign work.
+// ranks is the number of queues: two for each class, the zone's own requests before those from
+// other zones.
 const ranks = 2 * (int(routing.Sheddable) + 1)
 
 // noWaiter stands for no position in a queue.
@@ -16,7 +17,7 @@
 	generation uint32
 	rank       int
 	position   int
-	giveUp     instant // when it can no longer be served in time
+	expiresAt  instant // when it can no longer be served in time, or has waited too long
 	avoid      []steering.Target
 }
 
@@ -29,7 +30,7 @@
 }
 
 func (p *Pool) queueLess(q []uint32, a, b int) bool {
-	return p.waiters[q[a]].giveUp < p.waiters[q[b]].giveUp
+	return p.waiters[q[a]].expiresAt < p.waiters[q[b]].expiresAt
 }
 
 func (p *Pool) queueSwap(q []uint32, a, b int) {
@@ -67,13 +68,13 @@
 }
 
 // enqueue adds a waiting request and returns its ticket.
-func (p *Pool) enqueue(rank int, giveUp instant, avoid []steering.Target) Ticket {
+func (p *Pool) enqueue(rank int, expiresAt instant, avoid []steering.Target) Ticket {
 	if p.queued == 0 {
-		p.emptyAt = p.now
+		p.lastEmptyAt = p.now
 	}
 	w := p.newWaiter()
 	p.waiters[w].rank = rank
-	p.waiters[w].giveUp = giveUp
+	p.waiters[w].expiresAt = expiresAt
 	p.waiters[w].avoid = avoid
 	p.queues[rank] = append(p.queues[rank], w)
 	last := len(p.queues[rank]) - 1
@@ -116,7 +117,8 @@
 	return ticket
 }
 
-// findWaiter returns the waiter that a ticket names, if it still waits.
+// findWaiter returns the rank and position of the waiter that a ticket identifies, if it still
+// waits.
 func (p *Pool) findWaiter(ticket Ticket) (rank, position int, ok bool) {
 	generation, w := unpackID(uint64(ticket))
 	if int(w) >= len(p.waiters) || p.waiters[w].generation != generation {
@@ -125,14 +127,14 @@
 	return p.waiters[w].rank, p.waiters[w].position, true
 }
 
-// firstServable returns the position of the first waiter, in order, whom a
-// target with room may serve, or noWaiter. Only waiters that avoid all those
-// targets are skipped.
+// firstServable returns the position of the first waiter in the order of the queue that a target
+// with free slots may serve, or noWaiter. It searches the heap q from index i down, and passes over
+// a waiter only if it avoids all those targets.
 func (p *Pool) firstServable(q []uint32, i int) int {
 	if i >= len(q) {
 		return noWaiter
 	}
-	if p.bestReady(0, p.waiters[q[i]].avoid) != notReady {
+	if p.bestReady(0, p.waiters[q[i]].avoid) != noIndex {
 		return i
 	}
 	left := p.firstServable(q, 2*i+1)
@@ -146,8 +148,8 @@
 	return left
 }
 
-// worstBelow returns the waiter that a request of the given rank may replace
-// in a full queue: the last in order of the lowest rank below it.
+// worstBelow returns the waiter that a request of the given rank may replace in a full queue: the
+// one that expires last in the lowest rank below the given one.
 func (p *Pool) worstBelow(rank int) (worstRank, position int) {
 	for r := ranks - 1; r > rank; r-- {
 		q := p.queues[r]
@@ -165,7 +167,7 @@
 	return 0, noWaiter
 }
 
-// packID joins a generation and an index into an identifier that is not reused.
+// packID combines a generation and an index into an identifier that is not reused.
 func packID(generation, index uint32) uint64 {
 	return uint64(generation)<<32 | uint64(index)
 }
--- a/steering/pool/ready.go
+++ b/steering/pool/ready.go
@@ -2,8 +2,8 @@
 
 import "heatherlock/steering"
 
-// The heap of targets with room is kept by hand: container/heap would box
-// every index on the hot path.
+// The heap of the targets with free slots does not use container/heap, which would allocate an
+// interface value for every index on the hot path.
 
 func (p *Pool) readyLess(a, b int) bool {
 	return p.targets[p.ready[a]].score < p.targets[p.ready[b]].score
@@ -51,7 +51,7 @@
 
 func (p *Pool) readyRemove(i int) {
 	last := len(p.ready) - 1
-	p.targets[p.ready[i]].ready = notReady
+	p.targets[p.ready[i]].ready = noIndex
 	if i != last {
 		p.ready[i] = p.ready[last]
 		p.targets[p.ready[i]].ready = i
@@ -63,19 +63,19 @@
 	}
 }
 
-// next returns the target that a request gets now, or notReady.
-func (p *Pool) next(avoid []steering.Target) int {
+// pickTarget returns the index of the target that a request gets now, or noIndex.
+func (p *Pool) pickTarget(avoid []steering.Target) int {
 	if p.inFlight >= p.ceiling {
-		return notReady
+		return noIndex
 	}
 	return p.bestReady(0, avoid)
 }
 
-// bestReady returns the best target with room that is not to be avoided, or
-// notReady. It looks at two more targets for each avoided one.
+// bestReady returns the index of the best target with free slots, in the heap from position i down,
+// that is not in avoid, or noIndex. For each avoided target on the way, it searches both children.
 func (p *Pool) bestReady(i int, avoid []steering.Target) int {
 	if i >= len(p.ready) {
-		return notReady
+		return noIndex
 	}
 	t := p.ready[i]
 	if !avoided(p.targets[t].Name, avoid) {
@@ -83,24 +83,24 @@
 	}
 	left := p.bestReady(2*i+1, avoid)
 	right := p.bestReady(2*i+2, avoid)
-	if left == notReady {
+	if left == noIndex {
 		return right
 	}
-	if right != notReady && p.targets[right].score < p.targets[left].score {
+	if right != noIndex && p.targets[right].score < p.targets[left].score {
 		return right
 	}
 	return left
 }
 
-// refresh brings a target's place in the heap and its part of the totals in
-// line with its state.
+// refresh updates a target's position in the heap and its contribution to the totals after its
+// state has changed.
 func (p *Pool) refresh(i int, now instant) {
 	t := &p.targets[i]
-	room := t.room(now)
-	p.free += room - t.free
-	t.free = room
+	freeSlots := t.freeSlots(now)
+	p.free += freeSlots - t.free
+	t.free = freeSlots
 	working := 0
-	if t.open(now) {
+	if t.accepting(now) {
 		working = t.capacity()
 	}
 	p.slots += working - t.working
@@ -109,14 +109,14 @@
 		t.usable = usable
 		p.usable += sign(usable)
 	}
-	t.rescore(p.cfg.Choice)
-	p.wake = min(p.wake, t.nextChange(now))
+	t.updateScore(p.cfg.Choice)
+	p.nextChangeAt = min(p.nextChangeAt, t.nextChange(now))
 	switch {
-	case room == 0 && t.ready != notReady:
+	case freeSlots == 0 && t.ready != noIndex:
 		p.readyRemove(t.ready)
-	case room > 0 && t.ready == notReady:
+	case freeSlots > 0 && t.ready == noIndex:
 		p.readyAdd(i)
-	case room > 0:
+	case freeSlots > 0:
 		p.readyDown(t.ready)
 		p.readyUp(t.ready)
 	}
--- a/steering/pool/region_test.go
+++ b/steering/pool/region_test.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	regionService = steering.Service("tickets")
-	foreignWait   = 100 * time.Millisecond
+	regionService  = steering.Service("tickets")
+	maxForeignWait = 100 * time.Millisecond
 )
 
-// receiver is a place that work moves into: its link, its slots, and counts of
-// the test's own beside them.
+// receiver is a place that requests are forwarded to: its link, its slots, and the test's own
+// counts of both.
 type receiver struct {
-	name    steering.Place
-	link    *pool.Pool
-	slots   *pool.Pool
-	waiting map[pool.Ticket]*moved // for a slot
-	running map[steering.Target]int
-	onLink  int
-	limit   int
-	each    int // slots of a target
-}
-
-// moved is a request of the moving region.
-type moved struct {
+	name           steering.Place
+	link           *pool.Pool
+	slots          *pool.Pool
+	waiting        map[pool.Ticket]*forwarded // requests that wait for a slot
+	running        map[steering.Target]int
+	onLink         int
+	limit          int
+	slotsPerTarget int
+}
+
+// forwarded is a request that was forwarded to a receiver.
+type forwarded struct {
 	at     *receiver
 	link   pool.GrantID
 	slot   pool.GrantID
@@ -42,13 +42,13 @@
 	since  time.Time
 }
 
-// region is several receivers and the senders that hand work to them, each
-// with hints of its own that may be old.
+// region consists of several receivers and of the senders that forward requests to them, each with
+// its own hints, which may be outdated.
 type region struct {
 	now       time.Time
 	receivers []*receiver
 	senders   []*spill.Table
-	running   []*moved
+	running   []*forwarded
 	refused   int
 }
 
@@ -56,15 +56,15 @@
 	g := &region{now: time.Unix(1_000_000, 0)}
 	for i := range rapid.IntRange(1, 3).Draw(t, "receivers") {
 		r := &receiver{
-			name: steering.Place(fmt.Sprint("place-", i)), waiting: map[pool.Ticket]*moved{}, running: map[steering.Target]int{},
-			limit: rapid.IntRange(1, 12).Draw(t, "link"), each: rapid.IntRange(1, 4).Draw(t, "slots"),
+			name: steering.Place(fmt.Sprint("place-", i)), waiting: map[pool.Ticket]*forwarded{}, running: map[steering.Target]int{},
+			limit: rapid.IntRange(1, 12).Draw(t, "link"), slotsPerTarget: rapid.IntRange(1, 4).Draw(t, "slots"),
 		}
-		cfg := pool.Config{MaxWait: 500 * time.Millisecond, ForeignMaxWait: foreignWait}
+		cfg := pool.Config{MaxWait: 500 * time.Millisecond, ForeignMaxWait: maxForeignWait}
 		r.slots = pool.New(g.now, cfg)
 		r.link = pool.New(g.now, pool.Config{QueuePerSlot: -1})
 		var targets []routing.Target
 		for k := range rapid.IntRange(1, 4).Draw(t, "targets") {
-			targets = append(targets, routing.Target{Name: steering.Target(fmt.Sprintf("t-%d-%d", i, k)), Slots: r.each})
+			targets = append(targets, routing.Target{Name: steering.Target(fmt.Sprintf("t-%d-%d", i, k)), Slots: r.slotsPerTarget})
 		}
 		r.slots.SetTargets(g.now, targets, nil)
 		r.link.SetTargets(g.now, []routing.Target{{Name: "link", Slots: r.limit}}, nil)
@@ -76,7 +76,7 @@
 	return g
 }
 
-// MoveRegion hands a whole region's requests over at once.
+// MoveRegion forwards the requests of a whole region at once.
 func (g *region) MoveRegion(t *rapid.T) {
 	for range rapid.IntRange(1, 60).Draw(t, "requests") {
 		g.send(t, rapid.SampledFrom(g.senders).Draw(t, "sender"))
@@ -102,14 +102,14 @@
 	return pool.Request{Foreign: true, Deadline: g.now.Add(2 * time.Second)}
 }
 
-// admit returns whether the receiver took the request, to run or to wait.
+// admit reports whether the receiver accepted the request, to run or to wait.
 func (g *region) admit(t *rapid.T, r *receiver) bool {
 	link := r.link.Acquire(g.now, g.request())
 	if link.Verdict != pool.Granted {
 		return false
 	}
 	r.onLink++
-	m := &moved{at: r, link: link.Grant, since: g.now}
+	m := &forwarded{at: r, link: link.Grant, since: g.now}
 	d := r.slots.Acquire(g.now, g.request())
 	switch d.Verdict {
 	case pool.Granted:
@@ -117,20 +117,20 @@
 	case pool.Queued:
 		r.waiting[d.Ticket] = m
 	default:
-		g.leaveLink(m)
+		g.releaseLink(m)
 		return false
 	}
 	return true
 }
 
-func (g *region) start(t *rapid.T, m *moved, id pool.GrantID, target steering.Target) {
+func (g *region) start(t *rapid.T, m *forwarded, id pool.GrantID, target steering.Target) {
 	m.slot, m.target = id, target
 	m.at.running[target]++
-	assert.Assert(t, m.at.running[target] <= m.at.each, "%s runs more than its slots", target)
+	assert.Assert(t, m.at.running[target] <= m.at.slotsPerTarget, "%s runs more requests than its slots", target)
 	g.running = append(g.running, m)
 }
 
-func (g *region) leaveLink(m *moved) {
+func (g *region) releaseLink(m *forwarded) {
 	m.at.onLink--
 	m.at.link.Release(g.now, m.link, ended(pool.EndDone))
 }
@@ -139,9 +139,9 @@
 	return pool.Outcome{End: how, ReportedInFlight: pool.NoReport, ReportedSlots: pool.NoReport}
 }
 
-func (g *region) settle(t *rapid.T, r *receiver, e pool.Effects) {
+func (g *region) applyEffects(t *rapid.T, r *receiver, e pool.Effects) {
 	for _, d := range e.Dropped {
-		g.leaveLink(r.waiting[d.Ticket])
+		g.releaseLink(r.waiting[d.Ticket])
 		delete(r.waiting, d.Ticket)
 		g.refused++
 	}
@@ -152,21 +152,21 @@
 	}
 }
 
-// Finish ends a running request, well or not.
+// Finish ends a running request, successfully or not.
 func (g *region) Finish(t *rapid.T) {
 	if len(g.running) == 0 {
-		t.Skip("nothing runs")
+		t.Skip("no request runs")
 	}
 	i := rapid.IntRange(0, len(g.running)-1).Draw(t, "request")
 	m := g.running[i]
 	g.running = slices.Delete(g.running, i, i+1)
 	m.at.running[m.target]--
-	g.leaveLink(m)
+	g.releaseLink(m)
 	how := rapid.SampledFrom([]pool.End{pool.EndDone, pool.EndDone, pool.EndFailed, pool.EndUncertain}).Draw(t, "end")
-	g.settle(t, m.at, m.at.slots.Release(g.now, m.slot, ended(how)))
+	g.applyEffects(t, m.at, m.at.slots.Release(g.now, m.slot, ended(how)))
 }
 
-// Hint tells a sender a headroom that may be old or wrong.
+// Hint gives a sender a hint about free slots, which may be outdated or wrong.
 func (g *region) Hint(t *rapid.T) {
 	table := rapid.SampledFrom(g.senders).Draw(t, "sender")
 	place := rapid.SampledFrom(g.receivers).Draw(t, "receiver").name
@@ -177,24 +177,24 @@
 func (g *region) Pass(t *rapid.T) {
 	g.now = g.now.Add(time.Duration(rapid.IntRange(1, 150).Draw(t, "ms")) * time.Millisecond)
 	for _, r := range g.receivers {
-		g.settle(t, r, r.slots.Tick(g.now))
+		g.applyEffects(t, r, r.slots.Tick(g.now))
 		r.link.Tick(g.now)
 	}
 }
 
 func (g *region) Check(t *rapid.T) {
 	for _, r := range g.receivers {
-		assert.Assert(t, r.onLink <= r.limit, "%d on a link of %d", r.onLink, r.limit)
+		assert.Assert(t, r.onLink <= r.limit, "%d requests on a link with a limit of %d", r.onLink, r.limit)
 		for _, m := range r.waiting {
-			assert.Assert(t, g.now.Sub(m.since) < foreignWait, "moved work waits for %v", g.now.Sub(m.since))
+			assert.Assert(t, g.now.Sub(m.since) < maxForeignWait, "a forwarded request waits for %v", g.now.Sub(m.since))
 		}
 	}
 }
 
-// Promise: whatever moves, however old or wrong the hints, no target gets more
-// than its slots and no link more than its limit, and what is not served soon
+// Checks that, whatever is forwarded and however outdated or wrong the hints are, no target gets
+// more requests than its slots, no link more than its limit, and a request that is not served soon
 // is refused.
-func TestRegionIsNotOverloadedByWhatMovesIn(t *testing.T) {
+func TestRegionIsNotOverloadedByForwardedRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newRegion(t)
 		t.Repeat(map[string]func(*rapid.T){
--- a/steering/pool/state.go
+++ b/steering/pool/state.go
@@ -7,60 +7,59 @@
 	"heatherlock/steering/routing"
 )
 
-// advance moves the pool's time on; it never goes back.
+// advance sets the pool's time, which never goes back, and returns it.
 func (p *Pool) advance(now time.Time) instant {
 	p.now = max(p.now, now.Sub(p.epoch))
 	return p.now
 }
 
-// begin starts a call that reports effects.
-func (p *Pool) begin(now time.Time) instant {
+// beginCall starts a call that returns Effects.
+func (p *Pool) beginCall(now time.Time) instant {
 	p.effects.Served = p.effects.Served[:0]
 	p.effects.Dropped = append(p.effects.Dropped[:0], p.effects.pending...)
 	p.effects.pending = p.effects.pending[:0]
 	return p.advance(now)
 }
 
-// ensureTarget returns the entry of a declared target.
+// ensureTarget returns the index of a declared target and adds the target if it is new.
 func (p *Pool) ensureTarget(declared routing.Target) int {
 	i, ok := p.byName[declared.Name]
 	if !ok {
 		i = p.newTarget()
-		p.targets[i] = target{Target: declared, share: 1, limit: declared.Slots, ready: notReady, regrowAt: never, serviceTime: p.times.mean}
+		p.targets[i] = target{Target: declared, share: 1, limit: declared.Slots, ready: noIndex, regrowAt: never, serviceTime: p.times.mean}
 		p.byName[declared.Name] = i
 		return i
 	}
 	t := &p.targets[i]
 	if t.Slots != declared.Slots {
-		t.limit = declared.Slots // a new declaration is tried afresh
+		t.limit = declared.Slots // the limit learned for another number of slots does not apply
 	}
 	t.Target = declared
 	return i
 }
 
 func (p *Pool) newTarget() int {
-	if n := len(p.vacant); n > 0 {
-		i := p.vacant[n-1]
-		p.vacant = p.vacant[:n-1]
+	if n := len(p.vacantTargets); n > 0 {
+		i := p.vacantTargets[n-1]
+		p.vacantTargets = p.vacantTargets[:n-1]
 		return i
 	}
 	p.targets = append(p.targets, target{})
 	return len(p.targets) - 1
 }
 
-// forgetIfIdle drops a target that left the configuration once it holds
-// nothing.
-func (p *Pool) forgetIfIdle(i int) {
+// removeIfIdle removes a target that is not declared any more once it has no requests in flight.
+func (p *Pool) removeIfIdle(i int) {
 	t := &p.targets[i]
 	if t.declared || t.inFlight > 0 || t.Name == "" {
 		return
 	}
 	delete(p.byName, t.Name)
-	p.targets[i] = target{ready: notReady, regrowAt: never}
-	p.vacant = append(p.vacant, i)
+	p.targets[i] = target{ready: noIndex, regrowAt: never}
+	p.vacantTargets = append(p.vacantTargets, i)
 }
 
-// Stats returns the pool's state at a glance.
+// Stats returns the current state of the pool.
 func (p *Pool) Stats() Stats {
 	s := Stats{Slots: min(p.slots, p.ceiling), Free: p.Free(), InFlight: p.inFlight, Queued: p.queued}
 	for i := range p.targets {
@@ -76,10 +75,10 @@
 	return s
 }
 
-// Free returns the slots that a request could get now.
+// Free returns the number of slots that requests could get now.
 func (p *Pool) Free() int { return max(0, min(p.free, p.ceiling-p.inFlight)) }
 
-// InFlight returns the requests granted on a target.
+// InFlight returns the number of requests that are granted and not released on a target.
 func (p *Pool) InFlight(name steering.Target) int {
 	i, ok := p.byName[name]
 	if !ok {
@@ -88,7 +87,7 @@
 	return p.targets[i].inFlight
 }
 
-// Limit returns the learned limit of a target.
+// Limit returns the learned limit of a target, or 0 if the target is unknown.
 func (p *Pool) Limit(name steering.Target) int {
 	i, ok := p.byName[name]
 	if !ok {
@@ -97,8 +96,8 @@
 	return p.targets[i].limit
 }
 
-// Draining appends the targets that get nothing new, by a planned stop or
-// because they left the configuration, and still run something.
+// Draining appends to the slice the targets that get no new requests, because of a planned stop or
+// because they are not declared any more, and still run some.
 func (p *Pool) Draining(to []Draining) []Draining {
 	for i := range p.targets {
 		t := &p.targets[i]
@@ -109,7 +108,7 @@
 	return to
 }
 
-// Targets appends the declared targets.
+// Targets appends the declared targets to the slice.
 func (p *Pool) Targets(to []routing.Target) []routing.Target {
 	for i := range p.targets {
 		if p.targets[i].declared {
@@ -119,12 +118,12 @@
 	return to
 }
 
-// Unsure appends the targets that only their own reports tell more about:
-// those that may still run requests whose ends were uncertain, and closed ones.
+// Unsure appends to the slice the targets whose state only their own reports can show: those that
+// may still run requests with an uncertain end, and ejected ones.
 func (p *Pool) Unsure(to []routing.Target) []routing.Target {
 	for i := range p.targets {
 		t := &p.targets[i]
-		if t.lingering > 0 || t.closed && t.declared {
+		if t.lingering > 0 || t.ejected && t.declared {
 			to = append(to, t.Target)
 		}
 	}
--- a/steering/pool/target.go
+++ b/steering/pool/target.go
@@ -8,127 +8,126 @@
 	"heatherlock/steering/routing"
 )
 
-// instant is time since the pool was made. Working in durations keeps the
-// monotonic clock and makes comparisons cheap.
+// instant is the time since the pool was created. A duration keeps the monotonic clock reading and
+// is cheap to compare.
 type instant = time.Duration
 
 const never = instant(math.MaxInt64)
 
-// notReady marks a target that is not in the heap of targets with free slots.
-const notReady = -1
+// noIndex stands for no position in the heap of targets with free slots, and for no target.
+const noIndex = -1
 
-// target is what the pool knows of one target.
+// target is the state that the pool keeps for one target.
 type target struct {
 	routing.Target
-	declared bool // still in the configuration
+	declared bool // whether it is still in the configuration
 	stopped  bool
-	closed   bool    // ejected by the health judgement
-	share    float64 // part of the slots that warm-up allows, 0..1
+	ejected  bool    // by the health checks
+	share    float64 // fraction of the slots that it may use while it warms up, 0 to 1
 
 	inFlight int
 	limit    int // learned; never above the declared slots
-	ready    int // position in the heap, or notReady
+	ready    int // position in Pool.ready, or noIndex
 	score    uint64
-	used     uint64 // sequence number of the last grant
+	lastUsed uint64 // sequence number of the last grant
 	free     int    // contribution to Pool.free
 	working  int    // contribution to Pool.slots
 	usable   bool   // contribution to Pool.usable
 
-	extra      int // reported load beyond our own
-	extraUntil instant
-	doubt      int // how far first-hand successes contradict extra
-	successes  int // in a row, granted where the reports left no more room
+	externalLoad        int // reported load beyond the requests that this pool granted
+	externalUntil       instant
+	reportDiscount      int // part of externalLoad that successful requests have contradicted
+	successesOverReport int // consecutive successes while the report left no more free slots
 
-	lingering   int // ended without proof that the target stopped running them
+	lingering   int // requests that ended without proof that the target stopped running them
 	lingerUntil instant
 
-	peaks   [2]int // most of ours in flight in this and the last peakWindow
+	peaks   [2]int // most requests in flight in this and in the previous peakWindow
 	peakEnd instant
 
-	strikes int // sheds since the last success at the limit
+	shedsSinceSuccess int // sheds since the last success at the limit
 
 	regrowAt    instant
 	regrowAfter time.Duration
 	pausedUntil instant
 	pauseAfter  time.Duration
 
-	serviceTime float64 // mean, nanoseconds; the pool's before the first
+	serviceTime float64 // mean in nanoseconds; the mean of the pool before the first sample
 }
 
-// open says whether the target may get new work at all.
-func (t *target) open(now instant) bool {
-	return t.declared && !t.stopped && !t.closed && now >= t.pausedUntil
+// accepting reports whether the target may get new requests at all.
+func (t *target) accepting(now instant) bool {
+	return t.declared && !t.stopped && !t.ejected && now >= t.pausedUntil
 }
 
-// believedExtra is the load beyond our own granted requests. What lingers is
-// part of what the target reports, so the two are not added.
-func (t *target) believedExtra() int {
-	return max(0, t.extra-t.doubt, t.lingering)
+// effectiveExternalLoad returns the load beyond the requests that this pool has in flight. The
+// target's report includes lingering requests, so the two are not added.
+func (t *target) effectiveExternalLoad() int {
+	return max(0, t.externalLoad-t.reportDiscount, t.lingering)
 }
 
-// allowed is how many requests may be in flight, without extra load.
-func (t *target) allowed() int {
+// slotLimit returns how many requests may be in flight if there is no external load.
+func (t *target) slotLimit() int {
 	if t.share >= 1 {
 		return t.limit
 	}
 	return max(1, int(math.Ceil(float64(t.limit)*t.share)))
 }
 
-// capacity is how many of our requests may be in flight, given the load that
-// is not ours. A report alone never takes the last slot: were it false, nothing
-// would ever show it.
+// capacity returns how many requests of this pool may be in flight, given the external load. A
+// report alone never takes the last slot: if the report were false, only a successful request could
+// show it.
 func (t *target) capacity() int {
 	floor := 1
 	if t.lingering > 0 {
 		floor = 0
 	}
-	return max(floor, t.allowed()-t.believedExtra())
+	return max(floor, t.slotLimit()-t.effectiveExternalLoad())
 }
 
-// room is how many more requests the target may get now.
-func (t *target) room(now instant) int {
-	if !t.open(now) {
+// freeSlots returns how many more requests the target may get now.
+func (t *target) freeSlots(now instant) int {
+	if !t.accepting(now) {
 		return 0
 	}
 	return max(0, t.capacity()-t.inFlight)
 }
 
-// strikesToLower is how many sheds without a success at the limit lower it.
-// A single one may be a race: the caller has its answer a moment before the
-// target has counted the request out.
-const strikesToLower = 2
+// shedsToLower is the number of sheds, without a success at the limit in between, that lower the
+// limit. A single shed may be a race: the caller receives its answer a moment before the target
+// stops counting the request.
+const shedsToLower = 2
 
-// shed learns from a typed refusal of the target. inFlight still counts the
-// refused request.
+// recordShed records that the target shed a request, which inFlight still includes.
 //
-// A target with fewer working slots than declared would otherwise be offered
-// the same refused request again and again; the refusals by reason shed would
-// show it. Lowering the limit to what the target was running stops that.
-func (t *target) shed(now instant, cfg *Config) {
+// A target with fewer working slots than declared would otherwise get the same excess request again
+// and again and refuse it each time, and the number of refusals with reason "shed" would rise.
+// Lowering the limit to what the target was running prevents that.
+func (t *target) recordShed(now instant, cfg *Config) {
 	others := t.inFlight - 1
-	t.doubt = 0
-	t.successes = 0
-	t.strikes++
+	t.reportDiscount = 0
+	t.successesOverReport = 0
+	t.shedsSinceSuccess++
 	if others == 0 {
 		t.pauseAfter = nextBackoff(t.pauseAfter, cfg.ShedPause, cfg.ShedPauseMax)
 		t.pausedUntil = now + t.pauseAfter
 	}
-	running := others + max(t.extra, t.lingering)
-	if running >= t.limit || t.strikes < strikesToLower {
-		return // load that is not ours explains it, or it may be a race
+	running := others + max(t.externalLoad, t.lingering)
+	if running >= t.limit || t.shedsSinceSuccess < shedsToLower {
+		return // external load explains the shed, or it may be a race
 	}
-	t.lower(now, running, cfg)
+	t.lowerLimit(now, running, cfg)
 }
 
-func (t *target) lower(now instant, limit int, cfg *Config) {
-	t.strikes = 0
+func (t *target) lowerLimit(now instant, limit int, cfg *Config) {
+	t.shedsSinceSuccess = 0
 	t.limit = max(1, limit)
 	t.regrowAfter = nextBackoff(t.regrowAfter, cfg.RegrowAfter, cfg.RegrowMax)
 	t.regrowAt = now + t.regrowAfter
 }
 
-// regrow raises a lowered limit by one when its wait is over.
-func (t *target) regrow(now instant) {
+// raiseLimit raises a lowered limit by one once its wait has passed.
+func (t *target) raiseLimit(now instant) {
 	if t.limit >= t.Slots || now < t.regrowAt {
 		return
 	}
@@ -136,11 +135,11 @@
 	t.regrowAt = now + t.regrowAfter
 }
 
-// peakWindow is at least as long as a release is on its way to the owner.
+// peakWindow is at least as long as a release takes to reach the owner of the pool.
 const peakWindow = 200 * time.Millisecond
 
-// notePeak remembers how many of ours were in flight lately.
-func (t *target) notePeak(now instant) {
+// recordPeak updates the most requests in flight in this and in the previous peakWindow.
+func (t *target) recordPeak(now instant) {
 	if now >= t.peakEnd {
 		t.peaks[1] = t.peaks[0]
 		if now >= t.peakEnd+peakWindow {
@@ -152,93 +151,92 @@
 	t.peaks[0] = max(t.peaks[0], t.inFlight)
 }
 
-// report takes the target's own figures.
+// applyReport applies the figures that the target reports.
 //
-// Figures travel with replies, and replies of requests that ran together are
-// released one by one: compared with what is in flight now, a report would
-// show our own ended requests as somebody else's, and free slots would stay
-// unused. It is therefore compared with the most that was in flight lately.
-func (t *target) report(now instant, inFlight, slots int, cfg *Config) {
-	t.notePeak(now)
+// The figures arrive with the replies, and replies of requests that ran at the same time are
+// released one by one. Compared with what is in flight now, a report would therefore count requests
+// that have just ended as external load, and free slots would stay unused. It is compared with the
+// recent peak in flight instead.
+func (t *target) applyReport(now instant, inFlight, slots int, cfg *Config) {
+	t.recordPeak(now)
 	peak := max(t.peaks[0], t.peaks[1])
-	if slots > 0 && slots < t.limit && !t.refutes(slots, peak) {
-		t.lower(now, slots, cfg)
+	if slots > 0 && slots < t.limit && !t.contradicts(slots, peak) {
+		t.lowerLimit(now, slots, cfg)
 	}
 	if inFlight < 0 {
 		return
 	}
-	t.extra = min(t.Slots, max(0, inFlight-peak)) // more would only take longer to doubt
-	t.extraUntil = now + cfg.ReportFor
-	if t.extra == 0 {
-		t.doubt = 0
+	t.externalLoad = min(t.Slots, max(0, inFlight-peak)) // a larger value would only take longer to discount
+	t.externalUntil = now + cfg.ReportFor
+	if t.externalLoad == 0 {
+		t.reportDiscount = 0
 	}
-	// Requests of ours may be on their way to the target, so what it runs
-	// beyond them is not known; only that no more linger than it runs at all.
+	// Granted requests may still be on their way to the target, so the report does not show how many
+	// of the running requests are lingering ones, only that no more linger than it runs in total.
 	t.lingering = min(t.lingering, inFlight)
 }
 
-// refutes says whether the target ran more of ours lately, without shedding,
-// than the slots it reports. A false report would shut out most of a target
-// that serves well; if it is true after all, sheds will lower the limit.
-func (t *target) refutes(slots, peak int) bool {
-	return peak > slots && t.strikes == 0
+// contradicts reports whether the target has recently run more requests of this pool than the slots
+// it reports, without shedding any. A false report would otherwise exclude most slots of a target
+// that works well. If the report is true after all, sheds will lower the limit.
+func (t *target) contradicts(slots, peak int) bool {
+	return peak > slots && t.shedsSinceSuccess == 0
 }
 
-// successesBeforeDoubt is how many requests in a row must succeed on a target
-// whose reports leave no more room before one more is tried.
-const successesBeforeDoubt = 8
+// successesPerDiscount is how many consecutive requests must succeed on a target, while its reports
+// leave no more free slots, before one more is tried.
+const successesPerDiscount = 8
 
-// succeeded notes a first-hand success. inFlight still counts the request.
+// recordSuccess records a successful request, which inFlight still includes.
 //
-// A report that is frozen at a high load, or false, would shut out a target
-// that serves well; its free slots would stay unused while callers queue.
-// Successes where the report left no room outweigh it one step at a time, and
-// the first shed takes the doubt back.
-func (t *target) succeeded() {
+// A report that is stuck at a high load, or false, would exclude a target that works well: its free
+// slots would stay unused while callers queue. Successes while the report leaves no free slots
+// therefore reduce its weight by one slot at a time, and the first shed restores its full weight.
+func (t *target) recordSuccess() {
 	t.pauseAfter = 0
 	if t.inFlight >= t.limit {
-		t.strikes = 0
+		t.shedsSinceSuccess = 0
 	}
 	if t.inFlight >= t.Slots {
 		t.regrowAfter = 0
 	}
-	if t.extra <= t.doubt {
-		t.successes = 0
+	if t.externalLoad <= t.reportDiscount {
+		t.successesOverReport = 0
 		return
 	}
-	t.successes++
-	if t.successes < successesBeforeDoubt {
+	t.successesOverReport++
+	if t.successesOverReport < successesPerDiscount {
 		return
 	}
-	t.successes = 0
-	t.doubt++
+	t.successesOverReport = 0
+	t.reportDiscount++
 }
 
-// uncertain keeps a slot taken for a while after an end that does not prove
-// that the target stopped running the request.
-func (t *target) uncertain(now instant, linger time.Duration) {
+// addLingering keeps a slot in use for a time after an end that does not prove that the target
+// stopped running the request.
+func (t *target) addLingering(now instant, linger time.Duration) {
 	t.lingering++
 	t.lingerUntil = max(t.lingerUntil, now+linger)
 }
 
-// fade forgets load beyond our own that is too old.
-func (t *target) fade(now instant) {
-	if now >= t.extraUntil {
-		t.extra = 0
+// expireReports clears external load and lingering requests that are too old.
+func (t *target) expireReports(now instant) {
+	if now >= t.externalUntil {
+		t.externalLoad = 0
 	}
 	if now >= t.lingerUntil {
 		t.lingering = 0
 	}
 }
 
-// nextChange is when time alone will change the room of the target.
+// nextChange returns when the free slots of the target next change by time alone, or never.
 func (t *target) nextChange(now instant) instant {
 	next := never
 	if t.limit < t.Slots {
 		next = min(next, t.regrowAt)
 	}
-	if t.extra > 0 {
-		next = min(next, t.extraUntil)
+	if t.externalLoad > 0 {
+		next = min(next, t.externalUntil)
 	}
 	if t.lingering > 0 {
 		next = min(next, t.lingerUntil)
@@ -249,25 +247,25 @@
 	return next
 }
 
-// Scores order targets with room; the smaller is chosen. The upper bits hold
-// the choice's own measure, the lower ones the time of last use.
+// The score orders the targets with free slots; the smallest is chosen. Its upper bits hold the load
+// score of the pool's Choice, its lower ones the sequence number of the last grant.
 const (
-	usedBits = 40
-	usedMask = 1<<usedBits - 1
-	loadUnit = 1 << 20
+	usedBits  = 40
+	usedMask  = 1<<usedBits - 1
+	loadScale = 1 << 20
 )
 
-func (t *target) rescore(choice Choice) {
-	t.score = t.measure(choice)<<usedBits | t.used&usedMask
+func (t *target) updateScore(choice Choice) {
+	t.score = t.loadScore(choice)<<usedBits | t.lastUsed&usedMask
 }
 
-func (t *target) measure(choice Choice) uint64 {
+func (t *target) loadScore(choice Choice) uint64 {
 	switch choice {
 	case ChooseLeastLoaded:
-		return uint64(t.inFlight+t.believedExtra()) * loadUnit / uint64(max(1, t.allowed()))
+		return uint64(t.inFlight+t.effectiveExternalLoad()) * loadScale / uint64(max(1, t.slotLimit()))
 	case ChooseFastest:
 		const unit = float64(16 * time.Microsecond)
-		return min(loadUnit, uint64(t.serviceTime*float64(t.inFlight+1)/unit))
+		return min(loadScale, uint64(t.serviceTime*float64(t.inFlight+1)/unit))
 	default:
 		return 0
 	}
--- a/steering/pool/types.go
+++ b/steering/pool/types.go
@@ -10,114 +10,114 @@
 // Request asks for one slot.
 type Request struct {
 	Class routing.Criticality
-	// Foreign marks work that came from another zone. It waits behind the
-	// zone's own work of the same class.
+	// Foreign marks a request that came from another zone. It waits behind the zone's own requests
+	// of the same class.
 	Foreign bool
-	// Patient marks a request that no other place takes. Its wait is bounded
-	// by MaxWait alone, unless the queue has been standing.
+	// Patient marks a request that no other place accepts. Only MaxWait bounds its wait, unless the
+	// queue is a standing queue; see Config.StandingAfter.
 	Patient  bool
 	Deadline time.Time
-	// Avoid lists targets that must not be chosen. The pool keeps the slice
-	// while the request waits; it must not change.
+	// Avoid lists targets that must not be chosen. The pool keeps the slice while the request
+	// waits, so the caller must not modify it.
 	Avoid []steering.Target
 }
 
-// GrantID names one granted slot. It is never zero and never used twice.
+// GrantID identifies one granted slot. It is never zero and never reused.
 type GrantID uint64
 
-// Ticket names one waiting request. It is never zero and never used twice.
+// Ticket identifies one waiting request. It is never zero and never reused.
 type Ticket uint64
 
 // Verdict is the kind of a Decision.
 type Verdict uint8
 
-// Verdicts.
+// Kinds of a Decision.
 const (
 	Refused Verdict = iota
 	Granted
 	Queued
 )
 
-// Decision answers Acquire.
+// Decision is the result of Acquire.
 type Decision struct {
 	Verdict Verdict
-	// Grant and Target are set when granted.
+	// Grant and Target are set if the request was granted a slot.
 	Grant  GrantID
 	Target routing.Target
-	// Ticket is set when queued. The request is answered by a Grant or an
-	// Expired entry of a later call, unless it is cancelled first.
+	// Ticket is set if the request was queued. Its result is an entry in Effects.Served or
+	// Effects.Dropped of a later call, unless it is canceled first.
 	Ticket Ticket
-	// Reason and RetryAfter are set when refused.
+	// Reason and RetryAfter are set if the request was refused.
 	Reason     steering.Reason
 	RetryAfter time.Duration
 }
 
-// Served is a waiting request that now has a slot.
+// Served is a waiting request that was granted a slot.
 type Served struct {
 	Ticket Ticket
 	Grant  GrantID
 	Target routing.Target
 }
 
-// Dropped is a waiting request that is refused.
+// Dropped is a waiting request that was refused.
 type Dropped struct {
 	Ticket     Ticket
 	Reason     steering.Reason
 	RetryAfter time.Duration
 }
 
-// Effects lists what a call changed for waiting requests. The slices are
-// valid until the next call on the same pool.
+// Effects lists the waiting requests that a call served or dropped. The slices are valid until the
+// next call on the same pool.
 type Effects struct {
 	Served  []Served
 	Dropped []Dropped
-	// pending holds drops decided by a call that returns no effects.
+	// pending holds the drops of calls that return no Effects, until the next call that does.
 	pending []Dropped
 }
 
-// End says how a granted request ended.
+// End is the way in which a granted request ended.
 type End uint8
 
 // Ways a granted request ends.
 const (
-	// EndDone is a whole answer.
+	// EndDone means that the target sent a complete answer.
 	EndDone End = iota
-	// EndFailed is an answer that says that the request failed.
+	// EndFailed means that the target answered that the request failed.
 	EndFailed
-	// EndShed is the target's typed refusal.
+	// EndShed means that the target refused the request without running it.
 	EndShed
-	// EndUnreachable means that no byte was sent.
+	// EndUnreachable means that no byte was sent to the target.
 	EndUnreachable
-	// EndUncertain means that the target may still run the request: the
-	// connection broke, the deadline passed or the caller went away.
+	// EndUncertain means that the target may still run the request: the connection broke, the
+	// deadline passed or the caller disconnected.
 	EndUncertain
-	// EndOrphaned means that the holder died with the request in its hands.
+	// EndOrphaned means that the entry VM that held the grant is gone.
 	EndOrphaned
 )
 
-// NoReport stands for a figure that the target did not give.
+// NoReport stands for a figure that the target did not report.
 const NoReport = -1
 
-// Outcome tells the pool how a granted request ended.
+// Outcome describes how a granted request ended.
 type Outcome struct {
 	End End
-	// ReportedInFlight and ReportedSlots are the target's own figures, taken
-	// when the request had left it; NoReport when it gave none.
+	// ReportedInFlight and ReportedSlots are the target's own figures, taken after the request
+	// ended there; NoReport if it gave none.
 	ReportedInFlight int
 	ReportedSlots    int
 }
 
-// Stats is a pool's state at a glance.
+// Stats describes the current state of a pool.
 type Stats struct {
-	Slots    int // working slots of open targets, after learned limits
-	Declared int // declared slots of targets that are not stopped
+	Slots    int // slots of the targets that accept requests, after learned limits and external load
+	Declared int // declared slots of the targets that are not stopped
 	Free     int // slots that a request could get now
 	InFlight int // granted and not released
 	Queued   int
-	Lowered  int // targets whose learned limit is below the declared slots
+	Lowered  int // targets whose learned limit is below their declared slots
 }
 
-// Draining is a target that gets nothing new and still runs something.
+// Draining is a target that gets no new requests and still runs some.
 type Draining struct {
 	Target   steering.Target
 	InFlight int
