--- a/steering/capacity/capacity.go
+++ b/steering/capacity/capacity.go
@@ -1,34 +1,35 @@
-// Package capacity says what an entry VM bears, for the choice of those that do the
-// work of control.
+// Package capacity estimates how many requests per second an entry VM can forward. The estimate
+// decides which VMs do control work and, with Named, which VMs callers get from a directory lookup.
 //
-// A deployment's VMs differ by five in processor and by twenty in bandwidth. All
-// others wait for the one that reads the entries of all targets and tells them. So
-// the most able read first and fetch first for their zone.
+// The VMs of one deployment differ by a factor of 5 in CPU and of 20 in bandwidth. One VM reads the
+// entries of all targets, and all others wait until it has sent them. The VMs with the highest
+// capacity therefore read first, and fetch first for their zone.
 package capacity
 
 import "math"
 
 const (
-	// perCore is the requests per second that a whole core is taken to forward: an
-	// estimate, not measured. Only the order of VMs rests on it.
-	perCore = 3000
-	// perMbps is the requests per second that 1 Mbit/s of a link is taken to carry, at
-	// 4 kB a request with its answer: an estimate as well.
-	perMbps = 30
+	// requestsPerCore is an estimate of the requests per second that one CPU core forwards. A rough
+	// value is enough, because it serves to order VMs, and headroomFactor covers its error in
+	// Named.
+	requestsPerCore = 3000
+	// requestsPerMbps is an estimate of the requests per second that 1 Mbit/s of a link carries, at
+	// 4 kB per request with its answer.
+	requestsPerMbps = 30
 )
 
-// Of returns the requests per second that a VM forwards with a share of a core and a
-// link in Mbit/s. What is 0 is unknown and does not count; without either it is 0.
+// Of returns how many requests per second a VM can forward with a share of a CPU core and a link
+// bandwidth in Mbit/s. A value of 0 is unknown and sets no limit; if both are 0, Of returns 0.
 func Of(cpuShare, linkMbps float64) float64 {
-	bears := math.Inf(1)
+	rate := math.Inf(1)
 	if cpuShare > 0 {
-		bears = cpuShare * perCore
+		rate = cpuShare * requestsPerCore
 	}
 	if linkMbps > 0 {
-		bears = math.Min(bears, linkMbps*perMbps)
+		rate = math.Min(rate, linkMbps*requestsPerMbps)
 	}
-	if math.IsInf(bears, 1) {
+	if math.IsInf(rate, 1) {
 		return 0
 	}
-	return bears
+	return rate
 }
--- a/steering/capacity/capacity_test.go
+++ b/steering/capacity/capacity_test.go
@@ -8,7 +8,7 @@
 	"heatherlock/steering/capacity"
 )
 
-func TestTheScarcerOfProcessorAndLinkCounts(t *testing.T) {
+func TestScarcerOfProcessorAndLinkLimits(t *testing.T) {
 	assert.Equal(t, capacity.Of(0.8, 200), 2400.0)
 	assert.Equal(t, capacity.Of(0.16, 10), 300.0)
 	assert.Equal(t, capacity.Of(1, 0), 3000.0)
--- a/steering/capacity/named.go
+++ b/steering/capacity/named.go
@@ -1,34 +1,37 @@
 package capacity
 
-// Callers choose evenly among the VMs that a look-up names, so each of those named has to
-// bear an equal part of the demand.
+// Callers spread their requests evenly over the VMs that a lookup returns, so each of these VMs has
+// to serve an equal share of the demand.
 const (
-	// headroom is how many times its part of the demand a named VM bears: capacities are
-	// estimates, and bursts, losses of other VMs and control come on top.
-	headroom = 8
-	// assumedUse is the part of what all VMs bear that callers are taken to ask while their
-	// demand is not known.
-	assumedUse = 0.05
+	// headroomFactor is how many times its share of the demand a returned VM must be able to serve,
+	// because capacities are estimates, and bursts, losses of other VMs and control work come on
+	// top.
+	headroomFactor = 8
+	// assumedUtilization is the fraction of the total capacity of all VMs that is taken as the
+	// demand while the demand is unknown.
+	assumedUtilization = 0.05
 )
 
-// Named returns how many of the most able VMs are to be named to callers, at least fewest
-// if there are as many. capacities are in descending order; demand is in requests per
-// second, 0 if it is not known. Without a number of VMs that bear the demand all are named.
+// Named returns how many of the VMs, taken in descending order of capacity, a lookup should return to
+// callers. It is at least minimum if there are that many VMs. capacities must be in descending order;
+// demand is in requests per second, 0 if it is unknown. If no number of VMs can serve the demand with
+// headroom, Named returns the number of all VMs.
 //
-// Load this answers: in a zone with a few able VMs and many small ones each VM meets each
-// target seldom, opens a connection for nearly every request, and knows of targets only
-// what it saw long ago. The fewer VMs callers use, the fresher is what these know.
+// Without this limit, in a zone with a few large VMs and many small ones, each VM sends requests to
+// each target rarely. It then opens a connection for nearly every request, and its information
+// about the targets is old. The fewer VMs callers use, the more recent is the information that
+// these VMs have.
 //
-// Trade-off: more callers lose their connections when one VM ends. The others are named
-// within a heartbeat.
-func Named(capacities []float64, demand float64, fewest int) int {
+// The drawback is that more callers lose their connections when one VM stops. Lookups return the
+// other VMs within one heartbeat.
+func Named(capacities []float64, demand float64, minimum int) int {
 	if demand <= 0 {
 		for _, c := range capacities {
-			demand += assumedUse * c
+			demand += assumedUtilization * c
 		}
 	}
-	for k := min(fewest, len(capacities)); k <= len(capacities) && k > 0; k++ {
-		if capacities[k-1] >= headroom*demand/float64(k) && capacities[k-1] > 0 {
+	for k := min(minimum, len(capacities)); k <= len(capacities) && k > 0; k++ {
+		if capacities[k-1] >= headroomFactor*demand/float64(k) && capacities[k-1] > 0 {
 			return k
 		}
 	}
--- a/steering/capacity/named_test.go
+++ b/steering/capacity/named_test.go
@@ -10,24 +10,25 @@
 	"heatherlock/steering/capacity"
 )
 
-func able(n, small int) []float64 {
-	all := slices.Repeat([]float64{capacity.Of(0.8, 200)}, n)
+func largeAndSmallVMs(large, small int) []float64 {
+	all := slices.Repeat([]float64{capacity.Of(0.8, 200)}, large)
 	return append(all, slices.Repeat([]float64{capacity.Of(0.16, 10)}, small)...)
 }
 
-func TestFewAbleVMsAreNamedWhileTheyBearTheZone(t *testing.T) {
-	assert.Equal(t, capacity.Named(able(2, 13), 330, 2), 2)
-	assert.Equal(t, capacity.Named(able(2, 13), 0, 2), 2, "before there is demand")
-	assert.Equal(t, capacity.Named(able(3, 20), 800, 2), 3)
-	assert.Equal(t, capacity.Named(able(2, 13), 900, 2), 15, "more than they bear")
-	assert.Equal(t, capacity.Named(able(1, 13), 330, 2), 9, "one of them is gone")
-	assert.Equal(t, capacity.Named(able(0, 12), 60, 2), 2)
-	assert.Equal(t, capacity.Named([]float64{0, 0, 0}, 100, 2), 3, "nothing is known of them")
+func TestFewLargeVMsAreNamedWhileTheyCarryTheZone(t *testing.T) {
+	assert.Equal(t, capacity.Named(largeAndSmallVMs(2, 13), 330, 2), 2)
+	assert.Equal(t, capacity.Named(largeAndSmallVMs(2, 13), 0, 2), 2, "the demand is unknown")
+	assert.Equal(t, capacity.Named(largeAndSmallVMs(3, 20), 800, 2), 3)
+	assert.Equal(t, capacity.Named(largeAndSmallVMs(2, 13), 900, 2), 15, "the large VMs cannot serve the demand with headroom")
+	assert.Equal(t, capacity.Named(largeAndSmallVMs(1, 13), 330, 2), 9, "one large VM is gone")
+	assert.Equal(t, capacity.Named(largeAndSmallVMs(0, 12), 60, 2), 2)
+	assert.Equal(t, capacity.Named([]float64{0, 0, 0}, 100, 2), 3, "the capacities are unknown")
 	assert.Equal(t, capacity.Named(nil, 100, 2), 0)
 }
 
-// Guards against a VM that is named to more callers than it bears while others could help.
-func TestEachNamedVMBearsItsPart(t *testing.T) {
+// Guards against directing callers to a VM that cannot serve its share of the demand while others
+// could serve part of it.
+func TestEachNamedVMCarriesItsShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacities := rapid.SliceOfN(rapid.Float64Range(0, 3000), 0, 40).Draw(t, "capacities")
 		slices.Sort(capacities)
@@ -39,6 +40,6 @@
 			assert.Assert(t, capacities[k-1]*float64(k) >= 4*demand, "%d of %v for %f", k, capacities, demand)
 		}
 		more := capacity.Named(capacities, demand*1.5, 2)
-		assert.Assert(t, more >= k, "more demand names fewer")
+		assert.Assert(t, more >= k, "a higher demand returns fewer VMs")
 	})
 }
