--- a/steering/caps/holder_test.go
+++ b/steering/caps/holder_test.go
@@ -23,9 +23,9 @@
 	return h
 }
 
-// Guards against borrower and lender using the same permit within one window. This happened if the
-// answer to a request for a loan came late, just within the term, and the borrower counted the term
-// from the answer.
+// Guards against borrower and lender using the same permit within one window. This would happen if
+// the answer to a request for a loan came late, just within the term, and the borrower counted the
+// term from the answer.
 func TestLoanTermStartsAtTheRequest(t *testing.T) {
 	lender, borrower := newReadyHolder(oneSecondRule, 4), newReadyHolder(oneSecondRule, 0)
 	ask := borrower.Ask(at(0), 4)
--- a/steering/pool/pool_test.go
+++ b/steering/pool/pool_test.go
@@ -19,7 +19,7 @@
 var noReport = Outcome{ReportedInFlight: NoReport, ReportedSlots: NoReport}
 
 // Guards against a target with two working slots out of four declared refusing every third request,
-// because the pool fills the four slots that the configuration declares. The limit has to settle at
+// because the pool fills all four slots that the configuration declares. The limit has to settle at
 // two, try three only from time to time, and return to four once the target has recovered.
 func TestLimitFollowsWorkingSlots(t *testing.T) {
 	const working = 2
@@ -59,8 +59,8 @@
 }
 
 // Guards against slots that stay unused while callers queue: a target works well, but its load
-// report is stuck at all slots in use, and the pool preferred the report to the successes that it
-// saw itself.
+// report is stuck at all slots in use. The pool must not give the report precedence over the
+// successes that it sees itself.
 func TestSuccessesOutweighAStaleReport(t *testing.T) {
 	now := start
 	p := New(now, Config{})
@@ -88,8 +88,8 @@
 }
 
 // Guards against a target that works well being limited to one slot out of four, so that its zone
-// refuses requests: its reports say one slot and 99 requests in flight, and lowered the limit
-// although the target ran more requests than that without shedding.
+// refuses requests. Its reports say one slot and 99 requests in flight; they must not lower the
+// limit, because the target runs more requests than that without shedding.
 func TestContradictedSlotReportDoesNotLowerTheLimit(t *testing.T) {
 	now := start
 	p := New(now, Config{})
@@ -139,7 +139,7 @@
 }
 
 // Guards against most requests failing although five of six targets work: one target fails each
-// request at once, always has free slots and looked fastest because quick failures counted as short
+// request at once, always has free slots, and would look fastest if quick failures counted as short
 // service times.
 func TestFastFailingTargetGetsNoExtraRequests(t *testing.T) {
 	now := start
@@ -191,8 +191,8 @@
 	assert.Assert(t, failed*2 <= sent, "%d of %d requests went to the failing target", failed, sent)
 }
 
-// Guards against a queue full of sheddable requests refusing a critical one, as it did when the
-// queue bound was first come, first served.
+// Guards against a queue full of sheddable requests refusing a critical one, which would happen if
+// the queue bound were first come, first served.
 func TestFullQueueMakesRoomForCriticalWork(t *testing.T) {
 	now := start
 	p := New(now, Config{QueuePerSlot: 1})
