--- a/steering/poison/doc.go
+++ b/steering/poison/doc.go
@@ -1,32 +1,45 @@
-// Package poison remembers requests that take down the targets that run them,
-// and refuses them after the second target lost.
+// Package poison detects requests that crash the targets that run them, and
+// refuses them after the second target is lost.
 //
-// Now and then one request crashes every target that runs it, and its caller
-// sends it again. Unrecognised, it takes down a pool target by target; one would
-// notice targets dying one after the other with the same request in hand.
+// A poison request crashes every target that runs it, and its caller retries
+// it. Without detection it takes down a pool target by target: targets crash
+// one after the other, each with the same request in flight.
 //
-// A loss is recorded against every request that the lost target held, under the
-// request's content fingerprint, under its key, and under the fingerprint with
-// each further header: the harm may lie in a header that others do not send. Most of them are innocent,
-// so suspicion has to narrow:
+// A List records each loss of a target against every request that the target
+// was running: under the fingerprint of the request's content, under its
+// request key, and under the fingerprint combined with each further header,
+// because the crash may be caused by a header that other requests do not have.
+// Most of the requests that were in flight are harmless, so the following rules
+// narrow the suspicion down:
 //
-//   - a like request that finishes normally clears the suspicion;
-//   - a suspect is tried alone: one like request at a time, and not on a target
-//     on which another suspect is being tried, so that a second loss names one
-//     request and not four;
-//   - a fingerprint that finished normally in the last minutes (a schedule page
-//     that everybody reads) is refused only when a trial on its own is lost;
-//     the copies that were in flight when a zone failed count once;
-//   - losses amid a mass loss (several targets within a second) are weak: two
-//     of them hold a request back for seconds, not for a quarter of an hour;
-//   - what a harmful request shares with harmless ones (its page, when the harm
-//     is in a header) is refused only together with the rest of its signature.
+//   - A normal response to a request clears every ID of that request.
+//   - A suspected request is sent on trial: one request with the same ID at a
+//     time, and not to a target that is running another trial, so that a second
+//     loss points to one request and not to, say, four.
+//   - An ID that completed within the last minutes (a schedule page that many
+//     callers read) is refused only after a trial of it lost its target; all
+//     losses outside of trials count as one, because copies may have been in
+//     flight on every target of a zone that failed.
+//   - Losses that are part of a mass loss (several targets within a second)
+//     are weak: two of them block a request for seconds instead of a quarter of
+//     an hour.
+//   - An ID that a poison request shares with harmless requests (its page, when
+//     a header causes the crash) is refused only in combination with the other
+//     IDs of the signature.
 //
-// Limits. Two targets lost for another reason, one after the other, with requests
-// of the same content in hand and none finished in between, hold that content
-// back for KeepFor. Copies already sent when the first loss becomes known cannot be
-// recalled. A request that changes its content and its key with each repeat is
-// a new request. Of a body larger than FingerprintBytes only the beginning and
-// the length are known before it is sent, so such a request is never cleared by
-// another one. A request that sometimes finishes normally is not recognised.
+// Entry VMs exchange what they recorded as Facts.
+//
+// Limitations:
+//
+//   - If two targets are lost for another reason, one after the other, each with
+//     a request of the same content in flight, and no such request finishes in
+//     between, that content is refused for Config.LossTTL.
+//   - Copies that were sent before the first loss became known cannot be
+//     recalled.
+//   - A request that changes its content and its key with each retry counts as a
+//     new request each time.
+//   - Of a body larger than FingerprintBytes only the beginning and the length
+//     are known before the request is sent, so such a request is never cleared
+//     by the response to another one.
+//   - A request that only sometimes crashes its target is not detected.
 package poison
--- a/steering/poison/fingerprint.go
+++ b/steering/poison/fingerprint.go
@@ -8,59 +8,64 @@
 	"heatherlock/steering"
 )
 
-// FingerprintBytes is how much of a body goes into a fingerprint. The sender
-// holds this much back until it is known, so that a suspect is recognised
-// before a target gets any of it.
+// FingerprintBytes is the number of bytes of a body that go into a fingerprint.
+// The forwarder has to read this much, or the whole body, before it sends any of
+// it, so that a suspected request is recognized before a target receives a part
+// of it.
 const FingerprintBytes = 16 << 10
 
-// ID identifies like requests. All entry VMs compute the same one.
+// ID identifies requests that have something in common: the content, the request
+// key, or the content and one header. All entry VMs compute the same IDs. Zero is
+// not a valid ID.
 type ID uint64
 
-// MaxTraits bounds the headers by which a request is remembered.
-const MaxTraits = 12
+// MaxHeaderIDs is the maximum number of headers of a request that have an ID.
+const MaxHeaderIDs = 12
 
-// Mark is how a request is remembered: by its content, by its key, and by its
-// content together with each further header. What takes down a target may be in
-// a header, and some headers differ with each repeat; a header that does harm is
-// the one with which no request ever finishes.
+// Mark holds the IDs of a request: of its content, of its key, and of its content
+// combined with each further header. Headers have separate IDs because a header
+// may be what crashes the target, and some headers differ with each retry. The
+// header that causes the crash is the one with which no request ever finishes.
 type Mark struct {
 	Content ID
-	// Key is the ID of the request's key; zero when it has none.
+	// Key is the ID of the request key, or zero if the request has none.
 	Key ID
-	// Whole says that the whole body went into Content.
+	// Whole reports whether the whole body went into Content.
 	Whole bool
 
-	traits [MaxTraits]ID
-	count  int
+	headerIDs   [MaxHeaderIDs]ID
+	headerCount int
 }
 
-// AddTrait remembers the request by a header too. Of more than MaxTraits the
-// smallest IDs stay, so that the order of headers does not matter.
+// AddTrait adds the ID of the content combined with a header; Content must be
+// set. If there are more than MaxHeaderIDs headers, the smallest IDs are kept, so
+// that the result does not depend on the order of the headers.
 func (m *Mark) AddTrait(name, value string) {
 	d := xxhash.NewWithSeed(uint64(m.Content))
-	writePart(d, name)
-	writePart(d, value)
+	writeString(d, name)
+	writeString(d, value)
 	id := nonZero(d.Sum64())
-	if m.count < MaxTraits {
-		m.traits[m.count] = id
-		m.count++
+	if m.headerCount < MaxHeaderIDs {
+		m.headerIDs[m.headerCount] = id
+		m.headerCount++
 		return
 	}
 	largest := 0
-	for i := range m.traits {
-		if m.traits[i] > m.traits[largest] {
+	for i := range m.headerIDs {
+		if m.headerIDs[i] > m.headerIDs[largest] {
 			largest = i
 		}
 	}
-	m.traits[largest] = min(m.traits[largest], id)
+	m.headerIDs[largest] = min(m.headerIDs[largest], id)
 }
 
-// maxIDs is the most IDs that a mark has.
-const maxIDs = MaxTraits + 2
+// maxIDs is the maximum number of IDs of a Mark.
+const maxIDs = MaxHeaderIDs + 2
 
-// ids returns all IDs of the mark in buf.
+// ids returns all IDs of the mark, stored in buf. Their order is the same in each
+// call.
 func (m *Mark) ids(buf *[maxIDs]ID) []ID {
-	n := copy(buf[:], m.traits[:m.count])
+	n := copy(buf[:], m.headerIDs[:m.headerCount])
 	buf[n] = m.Content
 	n++
 	if m.Key != 0 {
@@ -70,38 +75,38 @@
 	return buf[:n]
 }
 
-// Content is what goes into a content fingerprint.
+// Content is the part of a request that its content fingerprint covers.
 type Content struct {
 	Service steering.Service
 	Method  string
-	// URI is the path and query.
+	// URI is the path and the query.
 	URI string
-	// Headers are the values of the headers that change what a target does,
-	// in a fixed order. Credentials are among them: one caller's request for
-	// its own data is not like another's.
+	// Headers are the values of the headers that change what a target does, in
+	// a fixed order. Credentials are included, because two callers that read
+	// their own data by the same path send different requests.
 	Headers []string
-	// Length is the body's length; -1 when not known.
+	// Length is the length of the body in bytes, or -1 if unknown.
 	Length int64
-	// Body is the beginning of the body, at most FingerprintBytes.
+	// Body is the beginning of the body, at most FingerprintBytes long.
 	Body []byte
 }
 
-// Sum returns the fingerprint. Every part is preceded by its length, so that
-// different parts never add up to the same text.
+// Sum returns the fingerprint. Every part is hashed after its length, so that
+// different parts never concatenate to the same input.
 func (c Content) Sum() ID {
 	d := xxhash.New()
-	writePart(d, string(c.Service))
-	writePart(d, c.Method)
-	writePart(d, c.URI)
+	writeString(d, string(c.Service))
+	writeString(d, c.Method)
+	writeString(d, c.URI)
 	for _, h := range c.Headers {
-		writePart(d, h)
+		writeString(d, h)
 	}
 	writeInt(d, c.Length)
 	_, _ = d.Write(c.Body)
 	return nonZero(d.Sum64())
 }
 
-// KeyID returns the ID of a request key; zero for no key.
+// KeyID returns the ID of a request key, or zero if the key is empty.
 func KeyID(key steering.Key) ID {
 	if key == "" {
 		return 0
@@ -111,7 +116,7 @@
 	return nonZero(d.Sum64())
 }
 
-func writePart(d *xxhash.Digest, s string) {
+func writeString(d *xxhash.Digest, s string) {
 	writeInt(d, int64(len(s)))
 	_, _ = d.WriteString(s)
 }
--- a/steering/poison/list.go
+++ b/steering/poison/list.go
@@ -10,41 +10,44 @@
 
 // Defaults of Config.
 const (
-	DefaultLimit       = 2
-	DefaultKeepFor     = 15 * time.Minute
-	DefaultWeakFor     = 30 * time.Second
-	DefaultProvenFor   = 10 * time.Minute
-	DefaultMassWindow  = time.Second
-	DefaultMassTargets = 3
-	DefaultMaxRecords  = 4096
+	DefaultLossLimit       = 2
+	DefaultLossTTL         = 15 * time.Minute
+	DefaultWeakLossTTL     = 30 * time.Second
+	DefaultCompletedTTL    = 10 * time.Minute
+	DefaultMassLossWindow  = time.Second
+	DefaultMassLossTargets = 3
+	DefaultMaxRecords      = 4096
 )
 
-// sameLoss is the time within which losses of one target are one loss.
-const sameLoss = time.Second
+// sameLossWindow is the time within which losses of the same target count as one
+// loss.
+const sameLossWindow = time.Second
 
-// Config bounds a List. Zero fields take the defaults.
+// Config configures a List. Zero fields take the defaults.
 type Config struct {
-	// Limit is the number of targets lost after which a request is refused.
-	Limit int
-	// KeepFor is how long a loss is remembered, WeakFor one amid a mass loss.
-	KeepFor time.Duration
-	WeakFor time.Duration
-	// ProvenFor is how long a normal finish speaks for a fingerprint.
-	ProvenFor time.Duration
-	// MassTargets targets lost within MassWindow are a mass loss.
-	MassWindow  time.Duration
-	MassTargets int
-	// MaxRecords bounds the requests remembered; the oldest is forgotten first.
+	// LossLimit is the number of lost targets from which a request is refused.
+	LossLimit int
+	// LossTTL is how long a loss counts, and WeakLossTTL how long a loss counts
+	// that is part of a mass loss.
+	LossTTL     time.Duration
+	WeakLossTTL time.Duration
+	// CompletedTTL is how long an ID counts as completed after a whole response.
+	CompletedTTL time.Duration
+	// MassLossTargets targets lost within MassLossWindow are a mass loss.
+	MassLossWindow  time.Duration
+	MassLossTargets int
+	// MaxRecords is the maximum number of IDs with recorded losses. The IDs whose
+	// last loss is the oldest are evicted first.
 	MaxRecords int
 }
 
 func (c Config) withDefaults() Config {
-	setDefault(&c.Limit, DefaultLimit)
-	setDefault(&c.KeepFor, DefaultKeepFor)
-	setDefault(&c.WeakFor, DefaultWeakFor)
-	setDefault(&c.ProvenFor, DefaultProvenFor)
-	setDefault(&c.MassWindow, DefaultMassWindow)
-	setDefault(&c.MassTargets, DefaultMassTargets)
+	setDefault(&c.LossLimit, DefaultLossLimit)
+	setDefault(&c.LossTTL, DefaultLossTTL)
+	setDefault(&c.WeakLossTTL, DefaultWeakLossTTL)
+	setDefault(&c.CompletedTTL, DefaultCompletedTTL)
+	setDefault(&c.MassLossWindow, DefaultMassLossWindow)
+	setDefault(&c.MassLossTargets, DefaultMassLossTargets)
 	setDefault(&c.MaxRecords, DefaultMaxRecords)
 	c.MaxRecords = max(c.MaxRecords, 2*maxIDs)
 	return c
@@ -56,185 +59,198 @@
 	}
 }
 
-// VerdictKind says how a request may be sent.
+// VerdictKind is the kind of a Verdict.
 type VerdictKind uint8
 
 // Kinds of verdict.
 const (
-	// Clear means: send it.
-	Clear VerdictKind = iota
-	// Trial means: send it alone, on none of the targets in Avoid, and call
-	// End, whatever happens.
+	// Allow means that the request may be sent to any target.
+	Allow VerdictKind = iota
+	// Trial means that the request may be sent to any target that is not in
+	// Avoid, and that requests with a recorded ID of it wait until it has ended.
+	// The caller must call End whatever happens.
 	Trial
-	// Wait means: a like request is on trial, or as many as may still be lost
-	// are in flight; ask again when one ended.
+	// Wait means that a request with the same ID is on trial, or that so many
+	// copies are in flight that their losses would reach the limit. The caller
+	// checks again when one of them has ended.
 	Wait
-	// Hold means: nothing like it finished of late and Limit copies of it are
-	// in flight; ask again when one ended, and send it after a while anyway.
+	// Hold means that no loss is recorded, but that Config.LossLimit copies with an
+	// ID that has not completed recently are in flight. The caller checks again
+	// when one of them has ended, and sends the request after a while anyway.
 	Hold
-	// Refuse means: send the refusal.
+	// Refuse means that the caller gets the Refusal.
 	Refuse
 )
 
-// Verdict is what Check decided.
+// Verdict is the result of Check.
 type Verdict struct {
 	Kind    VerdictKind
 	Avoid   []steering.Target
 	Refusal *steering.Refusal
-	// counted has a bit per ID that is counted as in flight.
-	counted uint16
+	// countedIDs has one bit for each ID of the request, in the order of Mark.ids;
+	// it is set if the request is counted as in flight under that ID.
+	countedIDs uint16
 }
 
-// Ending says how a try ended.
+// Ending is how an attempt to run a request on a target ended.
 type Ending uint8
 
-// Endings of a try.
+// Endings of an attempt.
 const (
-	// Neither says nothing about the request: refused, cancelled, failed while
-	// the target lived on.
+	// Neither means that the attempt proves nothing about the request: it was
+	// refused or canceled, or it failed while the target kept running.
 	Neither Ending = iota
-	// Finished means a whole answer.
+	// Finished means that the target sent a whole response.
 	Finished
-	// Answered means a whole answer that is a failure: the target lived on, but
-	// may have refused the request before it came to the harm.
+	// Answered means that the target sent a whole error response: it kept
+	// running, but may have rejected the request before it reached the code that
+	// crashes.
 	Answered
-	// Lost means that the target went away with the request in hand.
+	// Lost means that the target was lost while it was running the request.
 	Lost
 )
 
-// loss is one target that was lost with a request in hand.
+// loss is the loss of a target that was running a request.
 type loss struct {
-	target steering.Target
-	deaths uint32
-	at     time.Time
-	weak   bool
-	alone  bool // lost on trial
-	// sent is when the target was given the request; zero if a peer told of the loss.
+	target  steering.Target
+	count   uint32 // number of losses of the target
+	at      time.Time
+	weak    bool
+	onTrial bool // the request was on trial
+	// sent is when the request was sent to the target, or zero if unknown, as for a
+	// loss that a peer reported.
 	sent time.Time
-	// takenBack is up to when losses of the target do not count; zero if all do.
-	takenBack time.Time
+	// retractedUntil is the time up to which losses of the target are retracted, or
+	// zero if none is.
+	retractedUntil time.Time
 }
 
-// record is what is held against one ID.
+// record holds the losses recorded against one ID.
 type record struct {
 	losses  []loss
-	cleared time.Time // losses up to here no longer count
-	// signature names the IDs that a culprit is told by; zero means that this
-	// ID alone is enough.
-	signature ID
-	onTrial   bool
-	trialOn   steering.Target
+	cleared time.Time // losses up to this time do not count
+	// signature identifies the set of IDs that a request must have to be refused.
+	// Zero means that this ID alone is enough.
+	signature   ID
+	inTrial     bool
+	trialTarget steering.Target
 }
 
-// List remembers requests that were in hand when targets were lost. It is not
-// safe for concurrent use.
+// List records the requests that were in flight on targets when these were lost.
+// It is not safe for concurrent use.
 type List struct {
-	cfg     Config
-	records map[ID]*record
-	proven  *provenSet
-	recent  []loss // targets lost within the mass window
-	changed []Fact
-	// signatures counts the IDs of each signature that are still accused.
-	signatures map[ID]int
-	flying     map[ID]int // copies in flight of IDs that did not finish of late
-	lives      lives
+	cfg          Config
+	records      map[ID]*record
+	completed    *completedSet
+	recentLosses []loss // of different targets, within MassLossWindow
+	changed      []Fact
+	// signatureSizes is the number of IDs that still belong to each signature.
+	signatureSizes map[ID]int
+	inFlight       map[ID]int // requests in flight by ID, if not completed recently
+	targetStates   targetStates
 }
 
-// New returns an empty list.
+// New returns an empty List.
 func New(cfg Config) *List {
 	return &List{
-		cfg:        cfg.withDefaults(),
-		records:    make(map[ID]*record),
-		proven:     newProvenSet(),
-		flying:     make(map[ID]int),
-		signatures: make(map[ID]int),
-		lives:      make(lives),
+		cfg:            cfg.withDefaults(),
+		records:        make(map[ID]*record),
+		completed:      newCompletedSet(),
+		inFlight:       make(map[ID]int),
+		signatureSizes: make(map[ID]int),
+		targetStates:   make(targetStates),
 	}
 }
 
-// Check decides how a request may be sent, before any target gets it. After
-// Clear and Trial the caller must call End. held says that the request was held
-// back long enough already.
+// Check decides how a request may be sent, before any target receives it. After
+// Allow and Trial the caller must call End or EndSent. held reports that the
+// request was held back for its maximum time; Check then does not return Hold.
 func (l *List) Check(now time.Time, m Mark, held bool) Verdict {
 	count, until := 0, time.Time{}
 	if len(l.records) > 0 {
 		count, until = l.held(now, m)
 	}
-	if count >= l.cfg.Limit {
+	if count >= l.cfg.LossLimit {
 		return Verdict{Kind: Refuse, Refusal: l.refusal(now, count, until)}
 	}
-	crowded := count+l.copies(now, m) >= l.cfg.Limit
+	crowded := count+l.copiesInFlight(now, m) >= l.cfg.LossLimit
 	if count == 0 {
 		if crowded && !held {
 			return Verdict{Kind: Hold}
 		}
-		return Verdict{counted: l.takeOff(now, m)}
+		return Verdict{countedIDs: l.countInFlight(now, m)}
 	}
 	if crowded || l.trialRunning(m) {
 		return Verdict{Kind: Wait}
 	}
-	v := Verdict{Kind: Trial, Avoid: l.trialTargets(), counted: l.takeOff(now, m)}
-	l.eachRecord(m, func(r *record) { r.onTrial = true })
+	v := Verdict{Kind: Trial, Avoid: l.trialTargets(), countedIDs: l.countInFlight(now, m)}
+	l.eachRecord(m, func(r *record) { r.inTrial = true })
 	return v
 }
 
-// Trying names the target of a trial, so that other suspects avoid it.
+// Trying sets the target of a trial, so that Check returns it in Avoid for other
+// trials.
 func (l *List) Trying(m Mark, target steering.Target) {
 	l.eachRecord(m, func(r *record) {
-		if r.onTrial {
-			r.trialOn = target
+		if r.inTrial {
+			r.trialTarget = target
 		}
 	})
 }
 
-// End records how a try on target ended; v is the verdict it was sent under.
+// End records how an attempt on target ended; v is the verdict under which it was
+// sent. The time at which the request was sent counts as unknown.
 func (l *List) End(now time.Time, m Mark, v Verdict, target steering.Target, e Ending) {
 	l.EndSent(now, m, v, target, time.Time{}, e)
 }
 
-// EndSent is End of a try of which it is known when the target was given the request.
-// It reports whether the end is held against the request.
-func (l *List) EndSent(now time.Time, m Mark, v Verdict, target steering.Target, sent time.Time, e Ending) (held bool) {
+// EndSent is like End for an attempt that was sent to the target at sent. It
+// reports whether a loss was recorded against the request: it is not if the
+// target was lost before the request was sent.
+func (l *List) EndSent(now time.Time, m Mark, v Verdict, target steering.Target, sent time.Time, e Ending) (recorded bool) {
 	trial := v.Kind == Trial
-	l.land(m, v)
+	l.uncountInFlight(m, v)
 	if trial {
-		l.eachRecord(m, func(r *record) { r.onTrial, r.trialOn = false, "" })
+		l.eachRecord(m, func(r *record) { r.inTrial, r.trialTarget = false, "" })
 	}
 	switch e {
 	case Finished:
-		l.finished(now, m)
+		l.recordFinish(now, m)
 	case Answered:
-		l.answered(now, m)
+		l.recordErrorResponse(now, m)
 	case Lost:
-		if l.lives.goneBefore(target, sent) {
+		if l.targetStates.lostBefore(target, sent) {
 			return false
 		}
-		l.lives.foundGone(target, now)
-		l.lost(now, m, target, sent, trial)
+		l.targetStates.markLost(target, now)
+		l.recordLoss(now, m, target, sent, trial)
 		return true
 	}
 	return false
 }
 
-// answered notes that targets live through the request. It clears nothing.
-func (l *List) answered(now time.Time, m Mark) {
+// recordErrorResponse marks the IDs of a request as completed. It clears no
+// losses, since the target may have rejected the request early.
+func (l *List) recordErrorResponse(now time.Time, m Mark) {
 	if !m.Whole {
 		return
 	}
 	var buf [maxIDs]ID
 	for _, id := range m.ids(&buf) {
-		l.proven.add(id, now)
+		l.completed.add(id, now)
 	}
 }
 
-// finished clears what is held against a request that a target finished.
-func (l *List) finished(now time.Time, m Mark) {
+// recordFinish marks the IDs of a request as completed and clears their losses.
+// A body that is only known in part proves nothing about other requests with the
+// same beginning.
+func (l *List) recordFinish(now time.Time, m Mark) {
 	if !m.Whole {
 		return
 	}
 	var buf [maxIDs]ID
 	for _, id := range m.ids(&buf) {
-		l.proven.add(id, now)
+		l.completed.add(id, now)
 		if len(l.records) > 0 {
 			l.clear(now, id)
 		}
@@ -243,105 +259,110 @@
 
 func (l *List) clear(now time.Time, id ID) {
 	r, ok := l.records[id]
-	if !ok || r.count(now, l.cfg, false) == 0 {
+	if !ok || r.lossCount(now, l.cfg, false) == 0 {
 		return
 	}
 	r.cleared = now
 	r.losses = nil
-	l.sign(r, 0)
+	l.setSignature(r, 0)
 	l.changed = append(l.changed, Fact{ID: id})
 }
 
-func (l *List) lost(now time.Time, m Mark, target steering.Target, sent time.Time, alone bool) {
-	weak := l.massLoss(now, target, now)
+func (l *List) recordLoss(now time.Time, m Mark, target steering.Target, sent time.Time, onTrial bool) {
+	weak := l.recordTargetLoss(now, target, now)
 	var buf [maxIDs]ID
 	for _, id := range m.ids(&buf) {
 		r := l.record(now, id)
-		r.add(loss{target: target, deaths: 1, at: now, weak: weak, alone: alone, sent: sent})
+		r.addLoss(loss{target: target, count: 1, at: now, weak: weak, onTrial: onTrial, sent: sent})
 	}
-	l.accuse(now, m)
+	l.assignSignature(now, m)
 	for _, id := range m.ids(&buf) {
 		l.changed = append(l.changed, l.factOf(id, target, now))
 	}
 }
 
-func (l *List) isProven(now time.Time, id ID) bool {
-	return l.proven.has(id, now.Add(-l.cfg.ProvenFor))
+func (l *List) recentlyCompleted(now time.Time, id ID) bool {
+	return l.completed.has(id, now.Add(-l.cfg.CompletedTTL))
 }
 
-// add records a loss. Losses of one target close in time are one loss: several
-// copies of a request may be in its hands. A trial was sent after the earlier
-// loss was known, so its loss is always another one.
-func (r *record) add(n loss) {
+// addLoss records a loss. Losses of the same target within sameLossWindow count
+// once, since the target may have been running several copies of the request. The
+// loss of a trial always counts, since the trial was sent after the earlier loss
+// was known.
+func (r *record) addLoss(n loss) {
 	for i := range r.losses {
 		known := &r.losses[i]
 		if known.target != n.target {
 			continue
 		}
-		if n.alone || n.at.Sub(known.at) > sameLoss || known.deaths == 0 {
-			known.deaths++
+		if n.onTrial || n.at.Sub(known.at) > sameLossWindow || known.count == 0 {
+			known.count++
 		}
 		known.at, known.weak, known.sent = n.at, n.weak, n.sent
-		known.alone = known.alone || n.alone
+		known.onTrial = known.onTrial || n.onTrial
 		return
 	}
-	r.keep(n)
+	r.appendLoss(n)
 }
 
-// maxLosses bounds the losses kept in one record; Limit of them decide.
+// maxLosses is the maximum number of targets in a record. Config.LossLimit losses
+// are enough to refuse a request, so older ones can be dropped.
 const maxLosses = 16
 
-func (r *record) keep(n loss) {
+func (r *record) appendLoss(n loss) {
 	if len(r.losses) == maxLosses {
 		r.losses = slices.Delete(r.losses, 0, 1)
 	}
 	r.losses = append(r.losses, n)
 }
 
-// count returns how many losses are held against the record. For a proven
-// fingerprint the losses of copies that were not on trial count once.
-func (r *record) count(now time.Time, cfg Config, proven bool) int {
-	together, alone := 0, 0
+// lossCount returns the number of losses that count against the record. If the ID
+// completed recently, all losses outside of trials count as one.
+func (r *record) lossCount(now time.Time, cfg Config, completed bool) int {
+	shared, onTrial := 0, 0
 	for _, n := range r.losses {
-		if !now.Before(n.until(cfg)) {
+		if !now.Before(n.expiry(cfg)) {
 			continue
 		}
-		if n.alone {
-			alone += int(n.deaths)
+		if n.onTrial {
+			onTrial += int(n.count)
 		} else {
-			together += int(n.deaths)
+			shared += int(n.count)
 		}
 	}
-	if proven {
-		together = min(together, 1)
+	if completed {
+		shared = min(shared, 1)
 	}
-	return together + alone
+	return shared + onTrial
 }
 
-// until returns when the loss is forgotten.
-func (n loss) until(cfg Config) time.Time {
+// expiry returns when the loss stops counting.
+func (n loss) expiry(cfg Config) time.Time {
 	if n.weak {
-		return n.at.Add(cfg.WeakFor)
+		return n.at.Add(cfg.WeakLossTTL)
 	}
-	return n.at.Add(cfg.KeepFor)
+	return n.at.Add(cfg.LossTTL)
 }
 
-func (r *record) firstForgotten(now time.Time, cfg Config) time.Time {
+// firstExpiry returns when the first of the losses that count now expires, or the
+// zero time if there is none.
+func (r *record) firstExpiry(now time.Time, cfg Config) time.Time {
 	var first time.Time
 	for _, n := range r.losses {
-		until := n.until(cfg)
-		if now.Before(until) && (first.IsZero() || until.Before(first)) {
-			first = until
+		expiry := n.expiry(cfg)
+		if now.Before(expiry) && (first.IsZero() || expiry.Before(first)) {
+			first = expiry
 		}
 	}
 	return first
 }
 
-// refusal says when to come back only when the losses may have had a common
-// cause other than the request.
+// refusal returns the refusal of a request. It has a RetryAfter only if a loss
+// expires within WeakLossTTL, as the losses of a mass loss do: these may have had a
+// common cause other than the request.
 func (l *List) refusal(now time.Time, count int, until time.Time) *steering.Refusal {
 	r := steering.Refuse(steering.ReasonPoison, 0, fmt.Sprintf("%d targets were lost with this request in hand", count))
-	if wait := until.Sub(now); wait <= l.cfg.WeakFor {
+	if wait := until.Sub(now); wait <= l.cfg.WeakLossTTL {
 		r.RetryAfter = wait
 	}
 	return r
@@ -349,15 +370,15 @@
 
 func (l *List) trialRunning(m Mark) bool {
 	running := false
-	l.eachRecord(m, func(r *record) { running = running || r.onTrial })
+	l.eachRecord(m, func(r *record) { running = running || r.inTrial })
 	return running
 }
 
 func (l *List) trialTargets() []steering.Target {
 	var targets []steering.Target
 	for _, r := range l.records {
-		if r.trialOn != "" {
-			targets = append(targets, r.trialOn)
+		if r.trialTarget != "" {
+			targets = append(targets, r.trialTarget)
 		}
 	}
 	return targets
@@ -372,13 +393,13 @@
 	}
 }
 
-// record returns the record of an ID and makes it when there is none.
+// record returns the record of an ID, and creates it if there is none.
 func (l *List) record(now time.Time, id ID) *record {
 	if r, ok := l.records[id]; ok {
 		return r
 	}
 	if len(l.records) >= l.cfg.MaxRecords {
-		l.forget(now)
+		l.evict(now)
 	}
 	r := &record{}
 	l.records[id] = r
--- a/steering/poison/measure_test.go
+++ b/steering/poison/measure_test.go
@@ -11,11 +11,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// The measurement in docs/measurements/poison.md: a pool of 12 targets with 3
-// slots behind 4 entry VMs at about 60 % load, unique requests and one page that
-// three in ten callers read. Every two seconds a culprit comes, and its caller
-// sends it up to six times; every ten seconds a target is lost for no reason,
-// and every thirty seconds half of the targets at once.
+// Parameters of the simulation behind docs/measurements/poison.md: a pool of 12 targets
+// with 3 slots each behind 4 entry VMs, at a utilization of about 60 %. Three in ten
+// requests read the same page, and the others are unique. Every two seconds a poison
+// request arrives, and its caller sends it up to six times. Every ten seconds a target is
+// lost for an unrelated reason, and every thirty seconds half of the targets at once.
 const (
 	simTargets = 12
 	simSlots   = 3
@@ -25,20 +25,21 @@
 
 var simTime = flag.Duration("sim", time.Minute, "virtual time of the measurement of false positives")
 
-// policy says how much of the list is used.
+// policy selects the rules of the List that a simulation applies.
 type policy struct {
 	name   string
-	refuse bool // refuse after two losses
-	trials bool // try suspects alone, hold copies back
-	// toOwner is how many of ten requests go to the pool's owner.
+	refuse bool // refuse requests after two losses
+	trials bool // send suspected requests on trial and hold copies back
+	// toOwner is the number of requests out of ten that the pool owner receives; the
+	// others go to a random entry VM.
 	toOwner int
 }
 
 type simRequest struct {
 	mark    Mark
-	culprit bool
+	poison  bool
 	tries   int
-	lost    int // targets lost with it in hand
+	lost    int // targets lost while running the request
 	refused bool
 }
 
@@ -70,17 +71,17 @@
 }
 
 type sim struct {
-	policy policy
-	random *rand.Rand
-	now    time.Time
-	queue  simQueue
-	seq    int
-	lists  [simVMs]*List
-	hands  [simTargets][]*simTry
-	downTo [simTargets]time.Time
+	policy  policy
+	random  *rand.Rand
+	now     time.Time
+	queue   simQueue
+	seq     int
+	lists   [simVMs]*List
+	running [simTargets][]*simTry
+	downTo  [simTargets]time.Time
 
-	innocents, caught, falsely, popular int
-	culprits, crashes, most             int
+	harmless, affected, falseRefusals, pageRefusals int
+	poisonSent, poisonLosses, mostLost              int
 }
 
 func (s *sim) after(d time.Duration, do func()) {
@@ -94,7 +95,7 @@
 
 func (s *sim) send(r *simRequest) {
 	r.tries++
-	vm := 0 // the pool's owner
+	vm := 0 // the owner of the pool
 	if s.random.IntN(10) >= s.policy.toOwner {
 		vm = s.random.IntN(simVMs)
 	}
@@ -116,21 +117,22 @@
 }
 
 func (s *sim) refused(r *simRequest) {
-	if !r.culprit && !r.refused {
-		s.popular += btoi(r.mark.Content == 7)
-		s.falsely++
+	if !r.poison && !r.refused {
+		s.pageRefusals += btoi(r.mark.Content == 7)
+		s.falseRefusals++
 	}
 	r.refused = true
 }
 
-// place puts a try on a free target, or lets it come back.
+// place runs an attempt on a random target with a free slot, or retries it later if there
+// is none.
 func (s *sim) place(try *simTry) {
 	for _, i := range s.random.Perm(simTargets) {
 		avoided := false
 		for _, avoid := range try.verdict.Avoid {
 			avoided = avoided || avoid == targetOf(i)
 		}
-		if avoided || s.now.Before(s.downTo[i]) || len(s.hands[i]) >= simSlots {
+		if avoided || s.now.Before(s.downTo[i]) || len(s.running[i]) >= simSlots {
 			continue
 		}
 		s.run(try, i)
@@ -141,21 +143,21 @@
 }
 
 func (s *sim) run(try *simTry, i int) {
-	s.hands[i] = append(s.hands[i], try)
+	s.running[i] = append(s.running[i], try)
 	if try.verdict.Kind == Trial {
 		s.lists[try.vm].Trying(try.mark, targetOf(i))
 	}
-	if try.culprit {
+	if try.poison {
 		s.after(5*time.Millisecond, func() {
-			if slices.Contains(s.hands[i], try) {
+			if slices.Contains(s.running[i], try) {
 				s.crash(i)
 			}
 		})
 		return
 	}
 	s.after(time.Duration(20+s.random.IntN(40))*time.Millisecond, func() {
-		if at := slices.Index(s.hands[i], try); at >= 0 {
-			s.hands[i] = slices.Delete(s.hands[i], at, at+1)
+		if at := slices.Index(s.running[i], try); at >= 0 {
+			s.running[i] = slices.Delete(s.running[i], at, at+1)
 			s.lists[try.vm].End(s.now, try.mark, try.verdict, targetOf(i), Finished)
 			s.push(try.vm)
 		}
@@ -167,19 +169,19 @@
 		return
 	}
 	s.downTo[i] = s.now.Add(simRestart)
-	for _, try := range s.hands[i] {
-		s.caught += btoi(!try.culprit && try.lost == 0)
-		s.crashes += btoi(try.culprit)
+	for _, try := range s.running[i] {
+		s.affected += btoi(!try.poison && try.lost == 0)
+		s.poisonLosses += btoi(try.poison)
 		try.lost++
-		if try.culprit {
-			s.most = max(s.most, try.lost)
+		if try.poison {
+			s.mostLost = max(s.mostLost, try.lost)
 		}
 		s.lists[try.vm].End(s.now, try.mark, try.verdict, targetOf(i), Lost)
 		if try.tries < 6 {
 			s.after(time.Duration(50+s.random.IntN(100))*time.Millisecond, func() { s.send(try.simRequest) })
 		}
 	}
-	s.hands[i] = nil
+	s.running[i] = nil
 	for vm := range s.lists {
 		s.push(vm)
 	}
@@ -201,10 +203,11 @@
 	}
 }
 
-// arrive has callers send for ever; the mean time between two is about 2 ms.
+// arrive sends a request and schedules the next one; the mean time between two requests
+// is about 2 ms.
 func (s *sim) arrive() {
-	s.innocents++
-	id := ID(1_000_000 + s.innocents)
+	s.harmless++
+	id := ID(1_000_000 + s.harmless)
 	if s.random.IntN(10) < 3 {
 		id = 7
 	}
@@ -220,8 +223,8 @@
 	}
 	s.after(0, s.arrive)
 	s.every(2*time.Second, func() {
-		s.culprits++
-		s.send(&simRequest{mark: Mark{Content: ID(s.culprits + 100), Whole: true}, culprit: true})
+		s.poisonSent++
+		s.send(&simRequest{mark: Mark{Content: ID(s.poisonSent + 100), Whole: true}, poison: true})
 	})
 	s.every(10*time.Second, func() { s.crash(s.random.IntN(simTargets)) })
 	s.every(30*time.Second, func() {
@@ -247,10 +250,10 @@
 		{name: "suspects alone, at the owner", refuse: true, trials: true, toOwner: 10},
 	} {
 		full = simulate(p)
-		t.Logf("%-28s culprits %d, targets lost to them %.2f each, most %d; innocents %d, caught in a loss %d, refused %d (%.2f %% of caught, %d of the page)",
-			p.name, full.culprits, float64(full.crashes)/float64(full.culprits), full.most,
-			full.innocents, full.caught, full.falsely, 100*float64(full.falsely)/float64(full.caught), full.popular)
+		t.Logf("%-28s poison requests %d, targets lost to each %.2f, most %d; harmless requests %d, running on a lost target %d, refused %d (%.2f %% of these, %d for the page)",
+			p.name, full.poisonSent, float64(full.poisonLosses)/float64(full.poisonSent), full.mostLost,
+			full.harmless, full.affected, full.falseRefusals, 100*float64(full.falseRefusals)/float64(full.affected), full.pageRefusals)
 	}
-	assert.Assert(t, full.most <= 2)
-	assert.Assert(t, full.falsely*50 <= full.caught, "more than 2 %% of the innocents caught in a loss are refused")
+	assert.Assert(t, full.mostLost <= 2)
+	assert.Assert(t, full.falseRefusals*50 <= full.affected, "more than 2 %% of the harmless requests that ran on a lost target are refused")
 }
--- a/steering/poison/poison_test.go
+++ b/steering/poison/poison_test.go
@@ -14,48 +14,51 @@
 var start = time.Date(2026, 6, 1, 12, 0, 0, 0, time.UTC)
 
 const (
-	testVMs      = 3
-	testTargets  = 6
-	testCulprits = 2
-	testMarks    = 10
+	testVMs         = 3
+	testTargets     = 6
+	testPoisonMarks = 2
+	testMarks       = 10
 )
 
-// sent is a request in a target's hands.
-type sent struct {
+// sentCopy is a copy of a request that a target is running.
+type sentCopy struct {
 	vm      int
 	mark    int
 	try     int
 	verdict Verdict
 }
 
-// region is a region of entry VMs whose callers repeat one after the other. It
-// is the reference: it counts the targets that each request really took down.
+// region simulates the entry VMs of a region. Copies of a request can be in flight at once
+// through the same entry VM, and are sent through another one only after these have ended.
+// It is the reference model: it counts the targets that were lost while they ran each
+// request.
 type region struct {
-	now    time.Time
-	lists  [testVMs]*List
-	hands  map[steering.Target][]sent
-	flying [testMarks]int // copies in targets' hands
-	via    [testMarks]int // the entry VM they went through
-	losses [testMarks]int // targets lost with the request in hand
-	tries  int
+	now     time.Time
+	lists   [testVMs]*List
+	running map[steering.Target][]sentCopy
+	copies  [testMarks]int // copies running on targets
+	entryVM [testMarks]int // the entry VM that forwarded them
+	losses  [testMarks]int // targets lost while running the request
+	tries   int
 }
 
 func newRegion(cfg Config) *region {
-	g := &region{now: start, hands: map[steering.Target][]sent{}}
+	g := &region{now: start, running: map[steering.Target][]sentCopy{}}
 	for i := range g.lists {
 		g.lists[i] = New(cfg)
 	}
 	return g
 }
 
-// markOf gives culprits (0 and 1) the content of innocents 2 and 3 and a harmful
-// header. Every request has a header that others have too, and one of its own.
+// markOf returns the mark of a request. Requests 0 and 1 are poison requests: they have a
+// harmful header, and the same content as the harmless requests 2 and 3. All requests have
+// one header in common, and the harmless ones have a key.
 func markOf(i int) Mark {
 	m := Mark{Content: ID(100 + i), Whole: true}
-	if i < 2*testCulprits {
-		m.Content = ID(100 + i%testCulprits)
+	if i < 2*testPoisonMarks {
+		m.Content = ID(100 + i%testPoisonMarks)
 	}
-	if i < testCulprits {
+	if i < testPoisonMarks {
 		m.AddTrait("Harmful", fmt.Sprint(i))
 	} else {
 		m.Key = ID(200 + i)
@@ -64,7 +67,7 @@
 	return m
 }
 
-// tryOf is a mark with a header that is new with each try.
+// tryOf returns the mark of an attempt, which has a header that differs in each attempt.
 func tryOf(i, try int) Mark {
 	m := markOf(i)
 	m.AddTrait("Try", fmt.Sprint(try))
@@ -75,35 +78,35 @@
 	return steering.Target(fmt.Sprintf("t%d", i))
 }
 
-// push carries what one entry VM learnt to the others, as happens before the
-// caller gets its answer.
+// push sends the new facts of one entry VM to the others, which in production happens
+// before the caller receives its response.
 func (g *region) push(from int) {
 	facts := g.lists[from].TakeChanged()
 	for i, l := range g.lists {
 		if i != from {
 			l.Learn(g.now, facts)
-			l.Learn(g.now, facts) // a message may come twice
+			l.Learn(g.now, facts) // a message may be duplicated
 		}
 	}
 }
 
-func (g *region) end(s sent, target steering.Target, e Ending) {
-	g.flying[s.mark]--
+func (g *region) end(s sentCopy, target steering.Target, e Ending) {
+	g.copies[s.mark]--
 	g.lists[s.vm].End(g.now, tryOf(s.mark, s.try), s.verdict, target, e)
 }
 
 func (g *region) lose(target steering.Target) {
-	var held [testMarks]bool
-	for _, s := range g.hands[target] {
-		held[s.mark] = true
+	var lost [testMarks]bool
+	for _, s := range g.running[target] {
+		lost[s.mark] = true
 		g.end(s, target, Lost)
 	}
-	for mark := range held {
-		if held[mark] {
+	for mark := range lost {
+		if lost[mark] {
 			g.losses[mark]++
 		}
 	}
-	g.hands[target] = nil
+	g.running[target] = nil
 	for vm := range g.lists {
 		g.push(vm)
 	}
@@ -113,29 +116,29 @@
 	g.sendOne(t, rapid.IntRange(0, testMarks-1).Draw(t, "mark"))
 }
 
-func (g *region) harm(t *rapid.T) {
-	g.sendOne(t, rapid.IntRange(0, testCulprits-1).Draw(t, "culprit"))
+func (g *region) sendPoison(t *rapid.T) {
+	g.sendOne(t, rapid.IntRange(0, testPoisonMarks-1).Draw(t, "culprit"))
 }
 
 func (g *region) sendOne(t *rapid.T, mark int) {
 	vm := rapid.IntRange(0, testVMs-1).Draw(t, "vm")
-	if g.flying[mark] > 0 && g.via[mark] != vm {
-		t.Skip("its caller still waits there")
+	if g.copies[mark] > 0 && g.entryVM[mark] != vm {
+		t.Skip("its caller is waiting for a response through another entry VM")
 	}
 	g.tries++
 	tried := tryOf(mark, g.tries)
 	v := g.lists[vm].Check(g.now, tried, false)
 	if v.Kind == Refuse {
 		alike := g.losses[mark]
-		if mark < 2*testCulprits {
-			alike = g.losses[mark%testCulprits] + g.losses[mark%testCulprits+testCulprits]
+		if mark < 2*testPoisonMarks {
+			alike = g.losses[mark%testPoisonMarks] + g.losses[mark%testPoisonMarks+testPoisonMarks]
 		}
 		assert.Assert(t, alike >= 2, "request %d is refused after %d losses", mark, alike)
 		assert.Equal(t, v.Refusal.Ran, steering.RanNo)
 		return
 	}
 	if v.Kind == Wait || v.Kind == Hold {
-		assert.Assert(t, g.inFlight() > 0, "request %d waits for nothing", mark)
+		assert.Assert(t, g.inFlight() > 0, "request %d waits although no request is in flight", mark)
 		return
 	}
 	target := targetOf(rapid.IntRange(0, testTargets-1).Draw(t, "target"))
@@ -145,63 +148,65 @@
 			return
 		}
 	}
-	g.flying[mark]++
-	g.via[mark] = vm
+	g.copies[mark]++
+	g.entryVM[mark] = vm
 	g.lists[vm].Trying(tried, target)
-	g.hands[target] = append(g.hands[target], sent{vm, mark, g.tries, v})
+	g.running[target] = append(g.running[target], sentCopy{vm, mark, g.tries, v})
 }
 
 func (g *region) inFlight() (n int) {
-	for _, copies := range g.flying {
-		n += copies
+	for _, running := range g.copies {
+		n += running
 	}
 	return n
 }
 
-// finish lets a target end its oldest request, or die of a culprit in its hands.
+// finish makes a target finish its oldest request, or crash if it is running a poison
+// request.
 func (g *region) finish(t *rapid.T) {
 	target := targetOf(rapid.IntRange(0, testTargets-1).Draw(t, "target"))
-	if len(g.hands[target]) == 0 {
-		t.Skip("it holds nothing")
+	if len(g.running[target]) == 0 {
+		t.Skip("the target is not running any request")
 	}
-	for _, s := range g.hands[target] {
-		if s.mark >= testCulprits {
+	for _, s := range g.running[target] {
+		if s.mark >= testPoisonMarks {
 			continue
 		}
 		g.lose(target)
 		assert.Assert(t, g.losses[s.mark] <= 2, "request %d took down a third target", s.mark)
 		return
 	}
-	s := g.hands[target][0]
-	g.hands[target] = g.hands[target][1:]
+	s := g.running[target][0]
+	g.running[target] = g.running[target][1:]
 	g.end(s, target, Finished)
 	g.push(s.vm)
 	g.losses[s.mark] = 0
 }
 
-// known holds every entry VM to refuse a culprit that took down two targets,
-// whatever each saw itself. Before that they may differ: one where a like
-// request finished knows better of it.
-func (g *region) known(t *rapid.T) {
-	for mark := range testCulprits {
+// checkRefused checks that every entry VM refuses a poison request that took down two
+// targets, whatever that entry VM recorded itself. Below two losses the entry VMs may
+// differ: one through which a request with the same ID finished has cleared the losses.
+func (g *region) checkRefused(t *rapid.T) {
+	for mark := range testPoisonMarks {
 		if g.losses[mark] < 2 {
 			continue
 		}
 		for vm, l := range g.lists {
 			count, _ := l.held(g.now, tryOf(mark, g.tries+1))
-			assert.Assert(t, count >= 2, "request %d took down 2 targets, entry VM %d knows of %d", mark, vm, count)
+			assert.Assert(t, count >= 2, "request %d took down 2 targets, but entry VM %d has recorded %d", mark, vm, count)
 		}
 	}
 }
 
-// TestAtMostTwoTargetsLost is the promise for every interleaving of culprits,
-// innocents, repeats through other entry VMs and targets lost for no reason.
+// TestAtMostTwoTargetsLost checks that a poison request takes down at most two targets,
+// for any interleaving of poison requests, harmless requests, retries through other entry
+// VMs, and targets lost for unrelated reasons.
 func TestAtMostTwoTargetsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := newRegion(Config{MassTargets: 1000})
+		g := newRegion(Config{MassLossTargets: 1000})
 		t.Repeat(map[string]func(*rapid.T){
 			"send":   g.send,
-			"harm":   g.harm,
+			"harm":   g.sendPoison,
 			"finish": g.finish,
 			"end":    g.finish,
 			"lose": func(t *rapid.T) {
@@ -210,34 +215,33 @@
 			"wait": func(t *rapid.T) {
 				g.now = g.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
 			},
-			"": g.known,
+			"": g.checkRefused,
 		})
 	})
 }
 
-// Symptom: one caller's harmful header makes a page unreadable for everybody.
-// Sequence: it takes down two targets; the page's content was there both times.
-// Cause: everything that a culprit shares with harmless requests is refused.
-func TestCulpritIsToldFromWhatItShares(t *testing.T) {
+// Guards against refusing everything that a poison request has in common with harmless
+// ones: the harmful header of one caller takes down two targets, and the page that it
+// requested becomes unreadable for all callers.
+func TestPoisonRequestIsToldApartFromSharedContent(t *testing.T) {
 	l, other := New(Config{}), New(Config{})
-	culprit, reader := markOf(0), markOf(2)
-	l.End(start, culprit, Verdict{}, "t0", Lost)
-	l.End(start, culprit, l.Check(start, culprit, false), "t1", Lost)
+	harmful, reader := markOf(0), markOf(2)
+	l.End(start, harmful, Verdict{}, "t0", Lost)
+	l.End(start, harmful, l.Check(start, harmful, false), "t1", Lost)
 	other.Learn(start, l.TakeChanged())
 	for _, list := range []*List{l, other} {
-		assert.Equal(t, list.Check(start, culprit, false).Kind, Refuse)
+		assert.Equal(t, list.Check(start, harmful, false).Kind, Refuse)
 		v := list.Check(start, reader, false)
 		assert.Equal(t, v.Kind, Trial)
 		list.End(start, reader, v, "t2", Finished)
-		assert.Equal(t, list.Check(start, reader, false).Kind, Clear)
-		assert.Equal(t, list.Check(start, culprit, false).Kind, Refuse)
+		assert.Equal(t, list.Check(start, reader, false).Kind, Allow)
+		assert.Equal(t, list.Check(start, harmful, false).Kind, Refuse)
 	}
 }
 
-// Symptom: after a zone failed, nobody in the region can read the schedule.
-// Sequence: copies of one popular request are in hand on every target of the
-// zone as they go. Cause: each loss counts against the request, though it
-// finished normally elsewhere just before.
+// Guards against refusing a popular request after a zone failed: each target of the zone
+// was running a copy of it when it was lost, and each loss would count against the request
+// although it finished normally on another target just before.
 func TestPopularRequestSurvivesZoneLoss(t *testing.T) {
 	l := New(Config{})
 	schedule := Mark{Content: 1, Whole: true}
@@ -250,12 +254,12 @@
 	assert.Equal(t, v.Kind, Trial)
 	assert.Equal(t, l.Check(now, schedule, false).Kind, Wait)
 	l.End(now, schedule, v, "elsewhere", Finished)
-	assert.Equal(t, l.Check(now, schedule, false).Kind, Clear)
+	assert.Equal(t, l.Check(now, schedule, false).Kind, Allow)
 }
 
-// Symptom: a pass check is refused long after a rack failed. Sequence:
-// its first target and the target of its retry are lost with the rest of the
-// rack. Cause: losses with a common cause count as the request's own.
+// Guards against losses with a common cause that count as caused by the request: its first
+// target and the target of its retry are lost when a rack fails, and the request would be
+// refused long after that.
 func TestMassLossHoldsBackBriefly(t *testing.T) {
 	l := New(Config{})
 	pass := markOf(1)
@@ -267,7 +271,7 @@
 	refused := l.Check(start.Add(time.Second), pass, false)
 	assert.Equal(t, refused.Kind, Refuse)
 	assert.Assert(t, refused.Refusal.RetryAfter > 0)
-	assert.Equal(t, l.Check(start.Add(time.Minute), pass, false).Kind, Clear)
+	assert.Equal(t, l.Check(start.Add(time.Minute), pass, false).Kind, Allow)
 }
 
 func TestRecordsAreBounded(t *testing.T) {
@@ -281,8 +285,9 @@
 	assert.Assert(t, len(l.Facts(last, 3)) == 3)
 }
 
-// TestLearnTakesAnything gives a list whatever a peer may send.
-func TestLearnTakesAnything(t *testing.T) {
+// TestLearnAcceptsArbitraryFacts checks that a List stays within its bounds whatever facts
+// a peer sends.
+func TestLearnAcceptsArbitraryFacts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(Config{MaxRecords: 40})
 		for range rapid.IntRange(1, 200).Draw(t, "facts") {
@@ -296,12 +301,12 @@
 			m := Mark{Content: ID(rapid.Uint64Range(1, 80).Draw(t, "content")), Whole: true}
 			l.End(start, m, l.Check(start, m, false), "t0", Ending(rapid.IntRange(0, 3).Draw(t, "ending")))
 		}
-		assert.Assert(t, len(l.records) <= 40 && len(l.recent) <= 3)
+		assert.Assert(t, len(l.records) <= 40 && len(l.recentLosses) <= 3)
 	})
 }
 
-// BenchmarkZoneLoss takes in the news of a failed zone: 60 targets with 4
-// requests of 8 IDs each, told by two entry VMs.
+// BenchmarkZoneLoss merges the facts about a failed zone: 60 targets that ran 4 requests
+// with 8 IDs each, reported by two entry VMs.
 func BenchmarkZoneLoss(b *testing.B) {
 	var facts []Fact
 	for i := range 60 * 4 * 8 {
@@ -314,7 +319,7 @@
 	}
 }
 
-// BenchmarkFacts lists the facts for a beat when the list is full.
+// BenchmarkFacts selects the facts for one heartbeat from a full List.
 func BenchmarkFacts(b *testing.B) {
 	l := New(Config{})
 	for i := range DefaultMaxRecords {
--- a/steering/poison/share.go
+++ b/steering/poison/share.go
@@ -8,23 +8,26 @@
 	"heatherlock/steering"
 )
 
-// Fact is what entry VMs tell each other: targets lost with a request in hand,
-// or, with no target, that a like request finished normally.
+// Fact is what entry VMs exchange about an ID: the loss of a target that was running a
+// request with that ID or, without a target, that such a request finished normally.
 type Fact struct {
 	ID     ID
-	Target steering.Target // empty: cleared
-	// Deaths counts the losses of the target; 0 takes back those up to Age ago.
+	Target steering.Target // empty if a request finished normally
+	// Deaths is the number of losses of the target. Zero retracts the losses up to
+	// Age ago.
 	Deaths uint32
-	Alone  bool // lost on trial
-	// Signature names the IDs that are accused together.
+	Alone  bool // the request was on trial
+	// Signature identifies the IDs that are refused only in combination.
 	Signature ID
-	Age       time.Duration
+	// Age is the time since the loss or the normal finish.
+	Age time.Duration
 }
 
-// maxFactDeaths bounds what one fact can hold against a request.
-const maxFactDeaths = 16
+// maxFactLosses is the maximum number of losses that one Fact adds to an ID.
+const maxFactLosses = 16
 
-// factOf returns the fact of one loss.
+// factOf returns the Fact about the loss of a target with an ID, or the zero Fact if
+// there is none.
 func (l *List) factOf(id ID, target steering.Target, now time.Time) Fact {
 	r, ok := l.records[id]
 	if !ok {
@@ -39,31 +42,31 @@
 }
 
 func (r *record) fact(id ID, n loss, now time.Time) Fact {
-	return Fact{ID: id, Target: n.target, Deaths: n.deaths, Alone: n.alone, Signature: r.signature, Age: now.Sub(n.at)}
+	return Fact{ID: id, Target: n.target, Deaths: n.count, Alone: n.onTrial, Signature: r.signature, Age: now.Sub(n.at)}
 }
 
-// HasChanged reports whether TakeChanged has anything to return.
+// HasChanged reports whether TakeChanged would return any facts.
 func (l *List) HasChanged() bool { return len(l.changed) > 0 }
 
-// TakeChanged returns the facts that came up here since the last call, to be
-// sent to the peers of the region at once.
+// TakeChanged returns the facts that this List recorded itself since the last call. The
+// caller sends them to the peers of the region at once.
 func (l *List) TakeChanged() []Fact {
 	changed := l.changed
 	l.changed = nil
 	return changed
 }
 
-// Facts returns at most limit facts for peers that missed them: what refuses
-// requests first, and then the newest.
+// Facts returns at most limit facts, for peers that missed earlier messages: facts that
+// cause refusals come first, then the newest.
 func (l *List) Facts(now time.Time, limit int) []Fact {
 	top := topFacts{limit: limit}
 	for id, r := range l.records {
-		refuses := r.count(now, l.cfg, false) >= l.cfg.Limit
-		if !r.cleared.IsZero() && now.Sub(r.cleared) < l.cfg.KeepFor {
+		refuses := r.lossCount(now, l.cfg, false) >= l.cfg.LossLimit
+		if !r.cleared.IsZero() && now.Sub(r.cleared) < l.cfg.LossTTL {
 			top.add(Fact{ID: id, Age: now.Sub(r.cleared)}, refuses)
 		}
 		for _, n := range r.losses {
-			if n.deaths > 0 && now.Before(n.until(l.cfg)) {
+			if n.count > 0 && now.Before(n.expiry(l.cfg)) {
 				top.add(r.fact(id, n, now), refuses)
 			}
 		}
@@ -80,8 +83,8 @@
 	refuses bool
 }
 
-// topFacts keeps the first facts in order, so that a full list is not sorted
-// for each beat.
+// topFacts holds the first limit facts in order, which avoids sorting a full list for
+// each heartbeat.
 type topFacts struct {
 	limit  int
 	ranked []rankedFact
@@ -110,10 +113,10 @@
 	return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.ID, b.ID), cmp.Compare(a.Target, b.Target))
 }
 
-// Learn takes in facts of a peer. Learning one twice changes nothing.
+// Learn merges the facts of a peer. It is idempotent.
 func (l *List) Learn(now time.Time, facts []Fact) {
 	for _, f := range facts {
-		if f.ID == 0 || f.Age < 0 || f.Age >= l.cfg.KeepFor {
+		if f.ID == 0 || f.Age < 0 || f.Age >= l.cfg.LossTTL {
 			continue
 		}
 		if f.Target == "" {
@@ -121,22 +124,23 @@
 			continue
 		}
 		if f.Deaths == 0 {
-			l.learnTakenBack(now, f)
+			l.learnRetraction(now, f)
 			continue
 		}
 		l.learnLoss(now, f)
 	}
 }
 
-// learnTakenBack takes back a loss that a peer no longer holds against a request. The
-// time is that of the loss, as late as the message was; losses so close are one loss.
-func (l *List) learnTakenBack(now time.Time, f Fact) {
+// learnRetraction retracts a loss that a peer retracted. The time of the loss as computed
+// from Age is late by the delay of the message, so the retraction covers losses up to
+// sameLossWindow after it, which count as the same loss anyway.
+func (l *List) learnRetraction(now time.Time, f Fact) {
 	if r, ok := l.records[f.ID]; ok {
-		l.takeBack(now, r, f.Target, now.Add(sameLoss-f.Age))
+		l.retract(now, r, f.Target, now.Add(sameLossWindow-f.Age))
 	}
 }
 
-// learnCleared drops the losses up to the time of the normal finish.
+// learnCleared removes the losses up to the time of a normal finish.
 func (l *List) learnCleared(at time.Time, id ID) {
 	r, ok := l.records[id]
 	if !ok || at.Before(r.cleared) {
@@ -151,42 +155,42 @@
 	}
 	r.losses = kept
 	if len(kept) == 0 {
-		l.sign(r, 0)
+		l.setSignature(r, 0)
 	}
 }
 
 func (l *List) learnLoss(now time.Time, f Fact) {
 	at := now.Add(-f.Age)
-	l.foundGone(now, f.Target, at)
-	weak := l.massLoss(now, f.Target, at)
+	l.markLost(now, f.Target, at)
+	weak := l.recordTargetLoss(now, f.Target, at)
 	r := l.record(now, f.ID)
 	if at.Before(r.cleared) {
 		return
 	}
-	n := loss{target: f.Target, deaths: min(f.Deaths, maxFactDeaths), at: at, weak: weak, alone: f.Alone}
-	r.merge(n)
+	n := loss{target: f.Target, count: min(f.Deaths, maxFactLosses), at: at, weak: weak, onTrial: f.Alone}
+	r.mergeLoss(n)
 	if f.Signature != 0 {
-		l.sign(r, f.Signature)
+		l.setSignature(r, f.Signature)
 	}
 }
 
-// merge takes the larger count of losses of a target, since both sides may have
-// counted the same ones.
-func (r *record) merge(n loss) {
+// mergeLoss merges a loss reported by a peer. It takes the larger of the two counts of a
+// target instead of their sum, since both entry VMs may have counted the same losses.
+func (r *record) mergeLoss(n loss) {
 	for i := range r.losses {
 		known := &r.losses[i]
 		if known.target != n.target {
 			continue
 		}
-		if !n.at.After(known.takenBack) {
+		if !n.at.After(known.retractedUntil) {
 			return
 		}
-		known.deaths = max(known.deaths, n.deaths)
-		known.alone = known.alone || n.alone
-		if n.at.After(known.at.Add(sameLoss)) {
+		known.count = max(known.count, n.count)
+		known.onTrial = known.onTrial || n.onTrial
+		if n.at.After(known.at.Add(sameLossWindow)) {
 			known.at, known.weak = n.at, n.weak
 		}
 		return
 	}
-	r.keep(n)
+	r.appendLoss(n)
 }
--- a/steering/poison/signature.go
+++ b/steering/poison/signature.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// accuse settles by which IDs a request is told that was just lost.
+// assignSignature determines the combination of IDs by which a request that was just
+// lost with its target is refused.
 //
-// What a culprit shares with harmless requests (its page, a header that many
-// send) was there at each loss too. Were each ID refused by itself, nobody could
-// read that page any more, and as nothing with it could finish, it would stay
-// so. The IDs that reached the bar together are therefore one signature: a
-// request that has all of them is refused; one that has some of them is tried
-// alone, and clears those when it finishes.
-func (l *List) accuse(now time.Time, m Mark) {
+// What a poison request shares with harmless requests (its page, or a header that many
+// requests have) was present at each of the losses too. If each ID were refused by
+// itself, nobody could read that page any more, and since no request for it could
+// finish, this would not end. Therefore the IDs of the request that have reached the loss
+// limit form one signature. A request that has all of them is refused. A request that has
+// some of them is sent on trial, and clears those when it finishes normally.
+func (l *List) assignSignature(now time.Time, m Mark) {
 	var buf [maxIDs]ID
 	signature := ID(0)
 	for _, id := range m.ids(&buf) {
-		if l.atBar(now, id) {
+		if l.atLossLimit(now, id) {
 			signature ^= id
 		}
 	}
@@ -22,42 +23,42 @@
 		return
 	}
 	for _, id := range m.ids(&buf) {
-		if l.atBar(now, id) {
-			l.sign(l.records[id], signature)
+		if l.atLossLimit(now, id) {
+			l.setSignature(l.records[id], signature)
 		}
 	}
 }
 
-func (l *List) atBar(now time.Time, id ID) bool {
+func (l *List) atLossLimit(now time.Time, id ID) bool {
 	r, ok := l.records[id]
-	return ok && r.count(now, l.cfg, l.isProven(now, id)) >= l.cfg.Limit
+	return ok && r.lossCount(now, l.cfg, l.recentlyCompleted(now, id)) >= l.cfg.LossLimit
 }
 
-// sign moves a record to another signature; zero takes it out of all.
-func (l *List) sign(r *record, signature ID) {
+// setSignature assigns a record to another signature, or to none if signature is zero.
+func (l *List) setSignature(r *record, signature ID) {
 	if r.signature == signature {
 		return
 	}
 	if r.signature != 0 {
-		l.signatures[r.signature]--
-		if l.signatures[r.signature] == 0 {
-			delete(l.signatures, r.signature)
+		l.signatureSizes[r.signature]--
+		if l.signatureSizes[r.signature] == 0 {
+			delete(l.signatureSizes, r.signature)
 		}
 	}
 	r.signature = signature
 	if signature != 0 {
-		l.signatures[signature]++
+		l.signatureSizes[signature]++
 	}
 }
 
-// matches counts the IDs of a request that belong to a signature.
-type matches struct {
+// signatureMatches counts the IDs of a request by the signature to which they belong.
+type signatureMatches struct {
 	signature [maxIDs]ID
 	count     [maxIDs]int
 	n         int
 }
 
-func (s *matches) add(signature ID) {
+func (s *signatureMatches) add(signature ID) {
 	for i := range s.n {
 		if s.signature[i] == signature {
 			s.count[i]++
@@ -68,11 +69,12 @@
 	s.n++
 }
 
-// held returns the losses held against a request, and when the first of them is
-// forgotten. A request that has only a part of a signature stays under the bar.
-func (l *List) held(now time.Time, m Mark) (count int, until time.Time) {
+// held returns the number of losses that are held against a request, and when the first
+// of them expires. A request that has only some of the IDs of a signature stays below the
+// limit.
+func (l *List) held(now time.Time, m Mark) (lossCount int, until time.Time) {
 	var buf [maxIDs]ID
-	var found matches
+	var found signatureMatches
 	ids := m.ids(&buf)
 	for _, id := range ids {
 		if r, ok := l.records[id]; ok && r.signature != 0 {
@@ -84,26 +86,26 @@
 		if !ok {
 			continue
 		}
-		n := r.count(now, l.cfg, l.isProven(now, id))
-		if n >= l.cfg.Limit && !found.whole(l, r.signature) {
-			n = l.cfg.Limit - 1
+		n := r.lossCount(now, l.cfg, l.recentlyCompleted(now, id))
+		if n >= l.cfg.LossLimit && !found.complete(l, r.signature) {
+			n = l.cfg.LossLimit - 1
 		}
-		if n > count {
-			count = n
-			until = r.firstForgotten(now, l.cfg)
+		if n > lossCount {
+			lossCount = n
+			until = r.firstExpiry(now, l.cfg)
 		}
 	}
-	return count, until
+	return lossCount, until
 }
 
-// whole reports whether the request has every accused ID of a signature.
-func (s *matches) whole(l *List, signature ID) bool {
+// complete reports whether the request has every ID that belongs to a signature.
+func (s *signatureMatches) complete(l *List, signature ID) bool {
 	if signature == 0 {
 		return true
 	}
 	for i := range s.n {
 		if s.signature[i] == signature {
-			return s.count[i] >= l.signatures[signature]
+			return s.count[i] >= l.signatureSizes[signature]
 		}
 	}
 	return false
