--- a/steering/membership/fact.go
+++ b/steering/membership/fact.go
@@ -9,7 +9,7 @@
 	"heatherlock/steering"
 )
 
-// Status is how far an incarnation's life has come. It only grows.
+// Status is the stage that an incarnation has reached. It never decreases.
 type Status uint8
 
 // Statuses of an incarnation.
@@ -19,15 +19,16 @@
 	Gone
 )
 
-// Life orders the incarnations of one VM. The zero Life belongs to a VM that
-// is known from the platform's list or the settings only.
+// Life identifies an incarnation of a VM and orders it among the others. A VM
+// that is known only from the platform's list or the settings has the zero Life.
 type Life struct {
-	// Started is when the process started, in Unix nanoseconds of its own clock.
+	// Started is the start time of the process, in Unix nanoseconds by its own
+	// clock.
 	Started     int64
 	Incarnation steering.Incarnation
 }
 
-// Compare orders lives by start; equal starts are told apart by name.
+// Compare orders incarnations by start time, and equal start times by name.
 func (l Life) Compare(o Life) int {
 	if c := cmp.Compare(l.Started, o.Started); c != 0 {
 		return c
@@ -35,11 +36,11 @@
 	return cmp.Compare(l.Incarnation, o.Incarnation)
 }
 
-// Known tells whether the incarnation has been heard of.
+// Known reports whether l identifies an incarnation, that is, whether the VM is
+// known from more than the platform's list or the settings.
 func (l Life) Known() bool { return l.Incarnation != "" }
 
-// Place says where an incarnation runs and listens. It does not change during
-// a life.
+// Place is where an incarnation runs and listens. It is fixed for an incarnation.
 type Place struct {
 	Zone            steering.Zone
 	Region          steering.Region
@@ -48,7 +49,8 @@
 	OperatorAddress string
 }
 
-// compare gives places a fixed order, so that Join is total.
+// compare defines a total order of places, so that the result of Join does not
+// depend on the order of its arguments.
 func (p Place) compare(o Place) int {
 	return cmp.Or(
 		cmp.Compare(p.Zone, o.Zone),
@@ -59,9 +61,10 @@
 	)
 }
 
-// Load is what an incarnation says of its own work; a newer beat replaces it.
+// Load is the load that an incarnation reports of itself. The Load with the higher
+// heartbeat number replaces the other.
 type Load struct {
-	Beat     uint64
+	Beat     uint64 // heartbeat number
 	InFlight int32
 }
 
@@ -69,19 +72,21 @@
 	return cmp.Or(cmp.Compare(l.Beat, o.Beat), cmp.Compare(l.InFlight, o.InFlight))
 }
 
-// Fact is what is known of one VM.
+// Fact is the part of the state of a VM that all observers share.
 type Fact struct {
 	VM steering.VM
 	Life
 	Place  Place
 	Status Status
-	// ConfigVersion is the highest version known to be in force there.
+	// ConfigVersion is the highest configuration version known to be in force on
+	// the VM.
 	ConfigVersion int64
 	Load          Load
 }
 
-// Join merges two facts on one VM. The later life wins whole; within one life
-// every part grows.
+// Join merges two facts about the same VM. The fact of the later incarnation
+// replaces the other one. For the same incarnation Join returns the maximum of
+// each part.
 func Join(a, b Fact) Fact {
 	if c := a.Life.Compare(b.Life); c != 0 {
 		if c > 0 {
@@ -100,8 +105,9 @@
 	return a
 }
 
-// ID names an incarnation in few bytes. Two of 650 members share one with a
-// chance of about 5 in 100,000; the harm is that one's beats count for both.
+// ID is a short hash that identifies an incarnation. Among 650 members, the
+// probability that any two have the same ID is about 5 in 100,000; a View
+// would then attribute the heartbeats of both to one of them.
 type ID uint32
 
 // IDOf returns the ID of an incarnation of a VM.
@@ -112,9 +118,9 @@
 // ID returns the ID of the fact's incarnation.
 func (f Fact) ID() ID { return IDOf(f.VM, f.Incarnation) }
 
-// digest covers what two views must agree on. Load and ConfigVersion change
-// all the time and are left out; so are gone incarnations, which each view
-// forgets at its own time.
+// digest returns a hash of the parts on which two views must agree. It leaves out
+// Load and ConfigVersion, which change all the time. It is zero for an incarnation
+// that is gone, because each view removes these at a different time.
 func (f Fact) digest() uint64 {
 	if f.Status == Gone {
 		return 0
@@ -129,11 +135,11 @@
 	return d.Sum64()
 }
 
-// Listed is one line of the platform's list of VMs.
+// Listed is an entry of the platform's list of VMs.
 type Listed struct {
 	VM     steering.VM
 	Place  Place
 	Status Status
-	// Since is when the VM came into the state.
+	// Since is when the VM entered the status.
 	Since time.Time
 }
--- a/steering/membership/report.go
+++ b/steering/membership/report.go
@@ -9,43 +9,43 @@
 	"heatherlock/steering"
 )
 
-// Report is what one member says of its whole zone.
+// Report is the state of a whole zone as reported by one of its members.
 type Report struct {
 	Reporter      ID
-	Beat          uint32
-	ConfigVersion int64 // lowest in force in the zone
-	Doubted       []ID
+	Beat          uint32 // heartbeat number of the reporter
+	ConfigVersion int64  // lowest in force in the zone
+	Doubted       []ID   // members that the reporter considers lost
 }
 
 type report struct {
 	Report
-	heard time.Time
+	receivedAt time.Time
 }
 
-// HearReport takes in a report of another member. One report per zone is kept,
-// the last that arrived. A report that its reporter has since renewed is
-// ignored, so that relays do not make old news look fresh; so is one of a
-// reporter whose fact has not come yet. It tells whether the zone's
-// configuration changed.
+// HearReport records a report of another member and reports whether the configuration
+// version of the zone changed. Only the report that arrived last is kept for each
+// zone. HearReport ignores a report that is not newer than the last one of the same
+// reporter, so that relayed copies do not make an old report look recent, and a report
+// of a reporter whose Fact has not been merged yet.
 func (v *View) HearReport(r Report, now time.Time) (advanced bool) {
 	e, ok := v.ids[r.Reporter]
-	if !ok || e.VM == v.self || r.Beat <= e.reportBeat {
+	if !ok || e.VM == v.self || r.Beat <= e.reportHeartbeat {
 		return false
 	}
-	e.reportBeat = r.Beat
+	e.reportHeartbeat = r.Beat
 	old := v.reports[e.Place.Zone]
 	advanced = old == nil || old.ConfigVersion != r.ConfigVersion
-	v.reports[e.Place.Zone] = &report{Report: r, heard: now}
+	v.reports[e.Place.Zone] = &report{Report: r, receivedAt: now}
 	return advanced
 }
 
-// OwnReport is what this observer says of its zone.
+// OwnReport returns this observer's report of its own zone.
 func (v *View) OwnReport(beat uint32, now time.Time) Report {
 	r := Report{Reporter: v.entries[v.self].id, Beat: beat, ConfigVersion: v.entries[v.self].ConfigVersion}
 	for _, e := range v.inZone(v.zone) {
 		m := v.member(e, now)
 		switch {
-		case e.Known() && e.Status != Gone && e.lost(m.State, now):
+		case e.Known() && e.Status != Gone && e.silentInZone(m.State, now):
 			r.Doubted = append(r.Doubted, e.id)
 		case m.State == StateLive:
 			r.ConfigVersion = min(r.ConfigVersion, e.ConfigVersion)
@@ -55,29 +55,32 @@
 }
 
 const (
-	// lostAfter is the silence from which one failed call makes a member suspect.
-	lostAfter = time.Second
-	// reportAfter is the silence from which a member that the reporter cannot
-	// reach is doubted in its report; a relayed beat may take most of it.
-	reportAfter = 3 * time.Second
+	// failedCallMinSilence is the time without heartbeats from which a single failed
+	// call makes a member suspect.
+	failedCallMinSilence = time.Second
+	// reportMinSilence is the time without heartbeats from which the report of the
+	// zone lists a suspect member as lost. Relaying a heartbeat through the zone may
+	// take most of this time.
+	reportMinSilence = 3 * time.Second
 )
 
-// lost tells whether the zone, not only this observer, has lost a member: one
-// that this observer cannot reach but that beats on is not doubted.
-func (e *entry) lost(state State, now time.Time) bool {
+// silentInZone reports whether the whole zone, and not only this observer, has lost
+// contact with a member. It is false for a member that this observer cannot reach but
+// whose heartbeats keep arriving.
+func (e *entry) silentInZone(state State, now time.Time) bool {
 	if state != StateSuspect && state != StateGone {
 		return false
 	}
-	return now.Sub(latest(e.heard, e.learned)) >= reportAfter
+	return now.Sub(latest(e.receivedAt, e.learnedAt)) >= reportMinSilence
 }
 
-// Reports returns up to limit fresh reports of other zones. The offset rotates
-// through them, so that each gets its turn.
+// Reports returns up to limit reports of other zones that have not expired. It starts
+// at offset modulo their number; callers increase offset to rotate through the reports.
 func (v *View) Reports(limit, offset int, now time.Time) []Report {
 	var fresh []Report
 	for _, zone := range slices.Sorted(maps.Keys(v.reports)) {
 		r := v.reports[zone]
-		if zone != v.zone && now.Sub(r.heard) <= v.params.ZoneSilentAfter {
+		if zone != v.zone && now.Sub(r.receivedAt) <= v.params.ZoneSilentAfter {
 			fresh = append(fresh, r.Report)
 		}
 	}
@@ -88,26 +91,26 @@
 	return append(slices.Clone(fresh[start:]), fresh[:start]...)[:limit]
 }
 
-// ZoneStatus is what this observer knows of a zone.
+// ZoneStatus is the state of a zone as this observer sees it.
 type ZoneStatus struct {
 	Zone steering.Zone
-	// Heard is when the zone's newest report arrived; now for the own zone,
-	// zero when none has.
+	// Heard is when the last report of the zone arrived, or zero if none has. For
+	// the observer's zone it is the current time.
 	Heard time.Time
-	// ConfigVersion is the lowest version in force in the zone.
+	// ConfigVersion is the lowest configuration version in force in the zone.
 	ConfigVersion int64
-	// Silent says that no report has arrived for Params.ZoneSilentAfter.
+	// Silent reports that no report has arrived for Params.ZoneSilentAfter.
 	Silent bool
 }
 
-// Zones returns the status of every zone with a member, in order of name.
+// Zones returns the status of every zone that has a member, sorted by name.
 func (v *View) Zones(now time.Time) []ZoneStatus {
 	zones := map[steering.Zone]ZoneStatus{}
 	for _, e := range v.entries {
 		z := ZoneStatus{Zone: e.Place.Zone, Silent: true}
 		if r := v.reports[z.Zone]; r != nil {
-			z.Heard, z.ConfigVersion = r.heard, r.ConfigVersion
-			z.Silent = now.Sub(r.heard) > v.params.ZoneSilentAfter
+			z.Heard, z.ConfigVersion = r.receivedAt, r.ConfigVersion
+			z.Silent = now.Sub(r.receivedAt) > v.params.ZoneSilentAfter
 		}
 		zones[z.Zone] = z
 	}
--- a/steering/membership/view.go
+++ b/steering/membership/view.go
@@ -6,33 +6,36 @@
 	"heatherlock/steering"
 )
 
-// Params sets when silence counts. Zero fields take the defaults.
+// Params sets the timeouts of a View. Fields that are not positive take the defaults.
 type Params struct {
-	// SuspectAfter is how long a member of the own zone may be silent. It must
-	// be well over the time that a beat takes to be relayed through a zone.
+	// SuspectAfter is the time without heartbeats after which a member of the
+	// observer's zone is suspect. It must be well above the time in which a heartbeat
+	// is relayed through a zone.
 	SuspectAfter time.Duration
-	// ZoneSilentAfter is how long no report of another zone may arrive.
+	// ZoneSilentAfter is the time without reports after which the members of another
+	// zone are suspect.
 	ZoneSilentAfter time.Duration
-	// EvidenceHold is how long failed contact with a member of another zone
-	// counts when nobody tries it again.
-	EvidenceHold time.Duration
-	// GoneAfter is the silence after which a member is no longer shown.
+	// CallFailureTTL is how long a failed call to a member of another zone counts
+	// if the member is not called again.
+	CallFailureTTL time.Duration
+	// GoneAfter is the time without heartbeats, reports and successful calls after
+	// which a member counts as gone.
 	GoneAfter time.Duration
-	// ForgetAfter is how long gone incarnations are remembered, so that late
-	// messages do not bring them back.
-	ForgetAfter time.Duration
+	// RemoveAfter is how long the entries of gone incarnations are kept, so that
+	// delayed messages do not bring these back.
+	RemoveAfter time.Duration
 }
 
 // Defaults of Params.
 const (
 	DefaultSuspectAfter    = 4 * time.Second
 	DefaultZoneSilentAfter = 10 * time.Second
-	DefaultEvidenceHold    = 5 * time.Second
+	DefaultCallFailureTTL  = 5 * time.Second
 	DefaultGoneAfter       = 10 * time.Minute
-	DefaultForgetAfter     = 24 * time.Hour
+	DefaultRemoveAfter     = 24 * time.Hour
 )
 
-// WithDefaults fills zero fields.
+// WithDefaults returns p with the defaults in the fields that are not positive.
 func (p Params) WithDefaults() Params {
 	def := func(d *time.Duration, v time.Duration) {
 		if *d <= 0 {
@@ -41,45 +44,48 @@
 	}
 	def(&p.SuspectAfter, DefaultSuspectAfter)
 	def(&p.ZoneSilentAfter, DefaultZoneSilentAfter)
-	def(&p.EvidenceHold, DefaultEvidenceHold)
+	def(&p.CallFailureTTL, DefaultCallFailureTTL)
 	def(&p.GoneAfter, DefaultGoneAfter)
-	def(&p.ForgetAfter, DefaultForgetAfter)
+	def(&p.RemoveAfter, DefaultRemoveAfter)
 	return p
 }
 
-// BucketCount is the number of digests a view splits into.
+// BucketCount is the number of buckets over which the VMs of a view are hashed.
 const BucketCount = 64
 
-// Buckets holds one digest per bucket of VMs.
+// Buckets holds the digest of each bucket of a view.
 type Buckets [BucketCount]uint32
 
-// entry is a fact with what this observer knows about reaching its VM.
+// entry is the Fact of a VM with this observer's record of its reachability.
 type entry struct {
 	Fact
 	id     ID
 	digest uint64
-	// learned is when this life was first known here, changed when the fact
-	// last changed in a way worth telling.
-	learned time.Time
-	changed time.Time
-	// beat is the newest beat known and heard when it arrived.
-	beat  uint32
-	heard time.Time
-	// doubtBeat is the beat at which somebody doubted the member, plus one.
-	doubtBeat uint32
-	// reportBeat is the beat of the newest report by this member.
-	reportBeat uint32
-	// reached and failed are when this observer last called it with and
-	// without success.
-	reached time.Time
-	failed  time.Time
-	// failures counts the calls that failed since one succeeded.
+	// learnedAt is when this observer learned of the incarnation. changedAt is when
+	// the Fact last changed, apart from ConfigVersion, which heartbeats carry too.
+	learnedAt time.Time
+	changedAt time.Time
+	// heartbeat is the number of the newest known heartbeat, and receivedAt is when it
+	// arrived.
+	heartbeat  uint32
+	receivedAt time.Time
+	// suspectedUntil is the number of the heartbeat that ends a suspicion relayed by
+	// a peer: one more than the newest heartbeat at that time. Zero means none.
+	suspectedUntil uint32
+	// reportHeartbeat is the heartbeat number of the newest report by this member.
+	reportHeartbeat uint32
+	// lastSuccess and lastFailure are the times of the last successful and the last
+	// failed call of this observer to the member.
+	lastSuccess time.Time
+	lastFailure time.Time
+	// failures is the number of failed calls since the last successful one.
 	failures int
-	// listed is the last time the platform's list had it live or leaving.
-	listed time.Time
+	// lastListed is when the platform last listed the VM as live or leaving.
+	lastListed time.Time
 }
 
-// View is one observer's knowledge. It is not safe for concurrent use.
+// View is the state of all VMs as one observer sees it. It is not safe for concurrent
+// use.
 type View struct {
 	self    steering.VM
 	life    Life
@@ -90,15 +96,15 @@
 	reports map[steering.Zone]*report
 	digest  uint64
 	buckets [BucketCount]uint64
-	// order and zones list the entries by name, for the whole view and per
-	// zone; they are made anew after a fact changed.
-	order []*entry
-	zones map[steering.Zone][]*entry
-	// lastChange is when a fact last changed.
+	// byName and byZone hold the entries sorted by VM name, of the whole view and of
+	// each zone. They are nil after a change and are rebuilt when they are next used.
+	byName []*entry
+	byZone map[steering.Zone][]*entry
+	// lastChange is the newest changedAt that an entry ever had.
 	lastChange time.Time
 }
 
-// NewView returns a view that knows only its own member.
+// NewView returns a View that contains only the observer itself.
 func NewView(self Fact, params Params, now time.Time) *View {
 	v := &View{
 		self: self.VM, life: self.Life, zone: self.Place.Zone, params: params.WithDefaults(),
@@ -108,15 +114,14 @@
 	return v
 }
 
-// Merge joins a fact into the view and tells whether anything worth telling
-// others changed.
+// Merge joins a Fact into the view and reports whether the view changed.
 func (v *View) Merge(f Fact, now time.Time) bool {
 	old, known := v.entries[f.VM]
 	if !known {
 		if f.Status == Gone {
-			return false // a tombstone of somebody never known protects nothing here
+			return false // there is no incarnation here that a tombstone has to keep out
 		}
-		v.insert(&entry{Fact: f, learned: now, changed: now})
+		v.insert(&entry{Fact: f, learnedAt: now, changedAt: now})
 		return true
 	}
 	joined := Join(old.Fact, f)
@@ -128,49 +133,52 @@
 }
 
 func (v *View) insert(e *entry) {
-	v.order, v.zones = nil, nil
-	v.lastChange = latest(v.lastChange, e.changed)
+	v.byName, v.byZone = nil, nil
+	v.lastChange = latest(v.lastChange, e.changedAt)
 	e.id = e.ID()
 	e.digest = e.Fact.digest()
 	v.entries[e.VM] = e
 	v.ids[e.id] = e
-	v.toggle(e)
+	v.toggleDigest(e)
 }
 
-// toggle adds the entry's digest to the view's, or takes it out again.
-func (v *View) toggle(e *entry) {
+// toggleDigest adds the digest of an entry to the digests of the view and its bucket,
+// or removes it if it was added before, because XOR is its own inverse.
+func (v *View) toggleDigest(e *entry) {
 	v.digest ^= e.digest
 	v.buckets[bucketOf(e.VM)] ^= e.digest
 }
 
 func (v *View) remove(e *entry) {
-	v.order, v.zones = nil, nil
-	v.toggle(e)
+	v.byName, v.byZone = nil, nil
+	v.toggleDigest(e)
 	delete(v.entries, e.VM)
 	delete(v.ids, e.id)
 }
 
-// replace changes an entry's fact. A new life starts with no evidence.
+// replace replaces the Fact of an entry. The entry of a new incarnation starts without
+// heartbeats and recorded calls.
 func (v *View) replace(e *entry, f Fact, now time.Time) {
 	v.remove(e)
 	next := *e
 	next.Fact = f
 	if f.Life != e.Life {
-		next = entry{Fact: f, learned: now, listed: e.listed}
+		next = entry{Fact: f, learnedAt: now, lastListed: e.lastListed}
 	}
-	next.changed = e.changed
+	next.changedAt = e.changedAt
 	if f.digest() != e.digest || f.Status != e.Status || f.Load != e.Load {
-		next.changed = now
+		next.changedAt = now
 	}
 	v.insert(&next)
 }
 
 func bucketOf(vm steering.VM) int { return int(IDOf(vm, "") % BucketCount) }
 
-// Digest is equal for views that hold equal facts.
+// Digest returns a digest that is equal for views with equal facts. It ignores Load,
+// ConfigVersion and incarnations that are gone.
 func (v *View) Digest() uint64 { return v.digest }
 
-// Buckets returns the digest of each bucket.
+// Buckets returns the digests of the buckets of the view.
 func (v *View) Buckets() Buckets {
 	var b Buckets
 	for i, d := range v.buckets {
@@ -179,7 +187,7 @@
 	return b
 }
 
-// Differing returns up to limit facts of the buckets whose digests differ.
+// Differing returns up to limit facts of the buckets whose digests differ from theirs.
 func (v *View) Differing(theirs Buckets, limit int) []Fact {
 	ours := v.Buckets()
 	var facts []Fact
@@ -192,30 +200,31 @@
 	return facts
 }
 
-// Platform takes in the platform's list of VMs, which lags: a line about a VM
-// says nothing about an incarnation that started after the line's time.
+// Platform merges the platform's list of VMs and reports whether the view changed. The
+// list may be outdated: an entry does not apply to an incarnation that started after the
+// entry's Since time.
 func (v *View) Platform(list []Listed, now time.Time) (changed bool) {
 	for _, line := range list {
-		changed = v.listedLine(line, now) || changed
+		changed = v.mergeListed(line, now) || changed
 	}
 	return changed
 }
 
-func (v *View) listedLine(line Listed, now time.Time) bool {
+func (v *View) mergeListed(line Listed, now time.Time) bool {
 	e, known := v.entries[line.VM]
 	if !known {
 		if line.Status == Gone {
 			return false
 		}
-		v.insert(&entry{Fact: Fact{VM: line.VM, Place: line.Place, Status: line.Status}, learned: now, changed: now, listed: now})
+		v.insert(&entry{Fact: Fact{VM: line.VM, Place: line.Place, Status: line.Status}, learnedAt: now, changedAt: now, lastListed: now})
 		return true
 	}
 	if line.Status != Gone {
-		e.listed = now
+		e.lastListed = now
 	}
 	f := e.Fact
 	if !f.Known() {
-		f.Place = line.Place // nobody but the platform knows it
+		f.Place = line.Place // known only from the platform
 		f.Status = line.Status
 	} else if f.Started <= line.Since.UnixNano() {
 		f.Status = max(f.Status, line.Status)
@@ -227,14 +236,15 @@
 	return true
 }
 
-// Replaced tells whether this observer's own incarnation is over: the platform
-// shows its VM as gone, or a later incarnation of the VM has been heard of.
+// Replaced reports whether this observer's own incarnation has ended: the platform lists
+// its VM as gone, or a later incarnation of the VM is known.
 func (v *View) Replaced() bool {
 	e := v.entries[v.self]
 	return e.Life != v.life || e.Status == Gone
 }
 
-// SetSelf changes what the observer says of itself.
+// SetSelf updates the observer's own Fact. Status and ConfigVersion never decrease. It
+// does nothing if a later incarnation of the VM is known.
 func (v *View) SetSelf(status Status, load Load, configVersion int64, now time.Time) {
 	e := v.entries[v.self]
 	if e.Life != v.life {
@@ -249,23 +259,24 @@
 	}
 }
 
-// Forget drops incarnations that have been gone, and VMs that nobody has seen
-// and the platform has not listed, for as long as Params say.
+// Forget removes the entries of other VMs that have not changed, been listed by the
+// platform, sent a heartbeat or been reached for RemoveAfter.
 func (v *View) Forget(now time.Time) {
 	for _, e := range v.sorted() {
-		quiet := now.Sub(latest(e.heard, e.learned, e.changed, e.listed, e.reached))
-		if e.VM != v.self && quiet > v.params.ForgetAfter {
+		quiet := now.Sub(latest(e.receivedAt, e.learnedAt, e.changedAt, e.lastListed, e.lastSuccess))
+		if e.VM != v.self && quiet > v.params.RemoveAfter {
 			v.remove(e)
 		}
 	}
 }
 
-// Credit moves every time of hearing forward by a pause of this process.
+// Credit moves the recorded times forward by the length of a pause of this process, but
+// not beyond now.
 //
-// What can go wrong: a process that was paused finds that everybody has been
-// silent for the length of its own pause and suspects them all. One would
-// notice refusals and moved pools right after a pause. Crediting the pause
-// leaves each silence as long as it was before.
+// Otherwise a process that was paused would find that no heartbeat arrived during its
+// own pause and would suspect all members, which would show as refusals and as pools
+// that change their owner right after a pause. With the correction the time without
+// heartbeats of each member is as long as it was before the pause.
 func (v *View) Credit(pause time.Duration, now time.Time) {
 	shift := func(t *time.Time) {
 		if t.IsZero() {
@@ -277,13 +288,13 @@
 		}
 	}
 	for _, e := range v.entries {
-		shift(&e.heard)
-		shift(&e.learned)
-		shift(&e.failed)
-		shift(&e.reached)
+		shift(&e.receivedAt)
+		shift(&e.learnedAt)
+		shift(&e.lastFailure)
+		shift(&e.lastSuccess)
 	}
 	for _, r := range v.reports {
-		shift(&r.heard)
+		shift(&r.receivedAt)
 	}
 }
 
--- a/steering/membership/view_test.go
+++ b/steering/membership/view_test.go
@@ -16,7 +16,7 @@
 
 var zones = []steering.Zone{"norte-a", "norte-b", "sur-a"}
 
-// drawFact draws facts with few distinct values, so that they often meet.
+// drawFact draws a Fact from few distinct values, so that drawn facts often conflict.
 func drawFact(t *rapid.T) Fact {
 	vm := rapid.SampledFrom([]steering.VM{"a", "b", "c", "d"}).Draw(t, "vm")
 	f := Fact{VM: vm, Status: Status(rapid.IntRange(0, 2).Draw(t, "status"))}
@@ -56,11 +56,11 @@
 	return facts
 }
 
-// Views that saw the same facts in any order, with any repeats, are equal, and
-// equal views have equal digests.
+// TestMergeIsOrderIndependent checks that views which merged the same facts in any order,
+// with any duplicates, are equal and have equal digests.
 func TestMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		live := []Fact{} // a tombstone of an unknown VM is not kept, so begin with live facts
+		live := []Fact{} // the tombstone of an unknown VM is not stored, so start with live facts
 		for _, vm := range []steering.VM{"a", "b", "c", "d"} {
 			live = append(live, Fact{VM: vm})
 		}
@@ -80,7 +80,8 @@
 	})
 }
 
-// Exchanging the facts of differing buckets makes two views equal at once.
+// TestBucketsSynchronize checks that a single exchange of the facts in differing buckets
+// makes two views equal.
 func TestBucketsSynchronize(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := NewView(self(), Params{}, start), NewView(self(), Params{}, start)
@@ -110,23 +111,22 @@
 	return StateGone
 }
 
-func near(vm steering.VM) Fact {
+func ownZoneFact(vm steering.VM) Fact {
 	return Fact{VM: vm, Life: Life{Started: 1, Incarnation: steering.Incarnation(vm)}, Place: Place{Zone: "norte-a"}}
 }
 
-func far(vm steering.VM) Fact {
-	f := near(vm)
+func otherZoneFact(vm steering.VM) Fact {
+	f := ownZoneFact(vm)
 	f.Place.Zone = "sur-a"
 	return f
 }
 
-// Symptom: a replaced VM's old process gets work again. Sequence: VM a is
-// replaced under its old name; a message about the old process, and a platform
-// list older than the replacement, arrive last. Cause: taking the last message
-// for the newest.
+// Guards against treating the message that arrives last as the newest: a VM is replaced
+// under the same name, and then a message about its old process and a platform list that
+// is older than the replacement arrive. The old process must not receive work again.
 func TestReplacedVMStaysReplaced(t *testing.T) {
 	v := NewView(self(), Params{}, start)
-	older, newer := near("a"), near("a")
+	older, newer := ownZoneFact("a"), ownZoneFact("a")
 	newer.Life = Life{Started: start.UnixNano(), Incarnation: "a2"}
 	v.Merge(older, start)
 	v.Merge(newer, start)
@@ -141,12 +141,12 @@
 	assert.Equal(t, stateOf(v, "a", start), StateGone)
 }
 
-// Symptom: a member that only one other cannot reach loses its work in the
-// whole zone. Sequence: the link from self to a breaks while a beats on; another
-// member relays its own doubt. Cause: spreading doubt without looking at beats.
-func TestDoubtYieldsToBeats(t *testing.T) {
+// Guards against a member that loses its work in the whole zone because one other member
+// cannot reach it: the link from self to a breaks and a peer relays its own suspicion,
+// while heartbeats of a keep arriving.
+func TestHeartbeatsOverrideRelayedSuspicion(t *testing.T) {
 	v := NewView(self(), Params{}, start)
-	a := near("a")
+	a := ownZoneFact("a")
 	v.Merge(a, start)
 	now := start.Add(time.Second)
 	v.Hear(Beat{ID: a.ID(), Beat: 5}, now)
@@ -160,7 +160,7 @@
 	assert.Equal(t, len(v.Retry(now)), 0)
 	v.Direct("a", false, now)
 	assert.Equal(t, stateOf(v, "a", now), StateLive)
-	assert.Equal(t, stateOf(v, "a", now.Add(lostAfter+1)), StateSuspect)
+	assert.Equal(t, stateOf(v, "a", now.Add(failedCallMinSilence+1)), StateSuspect)
 	assert.Equal(t, len(v.Retry(now)), 1)
 	v.Direct("a", false, now)
 	assert.Equal(t, stateOf(v, "a", now), StateSuspect)
@@ -173,7 +173,7 @@
 
 func TestSilenceAndReports(t *testing.T) {
 	v := NewView(self(), Params{}, start)
-	a, b, c := near("a"), far("b"), far("c")
+	a, b, c := ownZoneFact("a"), otherZoneFact("b"), otherZoneFact("c")
 	v.Merge(a, start)
 	v.Merge(b, start)
 	v.Merge(c, start)
@@ -187,18 +187,18 @@
 	status := v.Zones(now)
 	assert.Equal(t, status[1], ZoneStatus{Zone: "sur-a", Heard: now, ConfigVersion: 7})
 
-	// A relay of a report that was renewed since makes nothing fresh.
+	// A relayed copy of a report that was already received does not extend its validity.
 	later := now.Add(DefaultZoneSilentAfter + 1)
 	v.HearReport(Report{Reporter: b.ID(), Beat: 3}, later)
 	assert.Equal(t, stateOf(v, "b", later), StateSuspect)
 
-	// What another pause of this process added to the silence does not count.
+	// The time of a pause of this process does not count as missing reports.
 	v.Credit(DefaultZoneSilentAfter, later)
 	assert.Equal(t, stateOf(v, "b", later), StateLive)
 	assert.Equal(t, stateOf(v, "b", now.Add(DefaultGoneAfter+DefaultZoneSilentAfter+1)), StateGone)
 }
 
-func TestReplacedSelfNotices(t *testing.T) {
+func TestViewDetectsItsOwnReplacement(t *testing.T) {
 	v := NewView(self(), Params{}, start)
 	assert.Equal(t, v.Replaced(), false)
 	v.Platform([]Listed{{VM: "self", Status: Gone, Since: start}}, start)
@@ -210,15 +210,15 @@
 	assert.Equal(t, w.Replaced(), true)
 }
 
-func TestForgetKeepsTombstonesForADay(t *testing.T) {
+func TestTombstonesAreKeptForADay(t *testing.T) {
 	v := NewView(self(), Params{}, start)
-	v.Merge(near("a"), start)
-	gone := near("a")
+	v.Merge(ownZoneFact("a"), start)
+	gone := ownZoneFact("a")
 	gone.Status = Gone
 	v.Merge(gone, start)
-	v.Forget(start.Add(DefaultForgetAfter))
+	v.Forget(start.Add(DefaultRemoveAfter))
 	assert.Equal(t, len(facts(v)), 2)
-	v.Forget(start.Add(DefaultForgetAfter + 1))
+	v.Forget(start.Add(DefaultRemoveAfter + 1))
 	assert.Equal(t, len(facts(v)), 1)
 	assert.Equal(t, v.Digest(), NewView(self(), Params{}, start).Digest())
 }
