--- a/steering/placement/balancer.go
+++ b/steering/placement/balancer.go
@@ -9,44 +9,44 @@
 	"heatherlock/steering/rendezvous"
 )
 
-// Balancer holds what one entry VM knows of all targets. It is not safe for
-// concurrent use.
+// Balancer holds what one entry VM knows about all targets. It is not safe for concurrent use.
 type Balancer struct {
 	vm       steering.VM
 	region   steering.Region
-	byName   map[steering.Target]*state
+	byName   map[steering.Target]*targetState
 	services map[steering.Service]*serviceState
-	// dark zones have no entry VM that answers this one.
-	dark map[steering.Zone]bool
-	// peers are the live entry VMs by region, this one included.
+	// unreachable zones have no entry VM that answers this one.
+	unreachable map[steering.Zone]bool
+	// peers are the live entry VMs by region, including this one.
 	peers   map[steering.Region][]steering.VM
 	lending Lending
-	// coldOwners is how many entry VMs may send to one cold target.
-	coldOwners int
-	replaced   replacements
+	// coldSenders is how many entry VMs may send requests to one cold target.
+	coldSenders int
+	replaced    replacements
 }
 
-// NewBalancer returns an empty balancer of the entry VM vm in region.
+// NewBalancer returns a balancer without targets for the entry VM vm in region.
 func NewBalancer(vm steering.VM, region steering.Region) *Balancer {
 	return &Balancer{vm: vm, region: region,
-		byName: make(map[steering.Target]*state), services: make(map[steering.Service]*serviceState),
-		dark: make(map[steering.Zone]bool), peers: make(map[steering.Region][]steering.VM),
-		lending: Lending{}, coldOwners: mostColdOwners, replaced: newReplacements()}
+		byName: make(map[steering.Target]*targetState), services: make(map[steering.Service]*serviceState),
+		unreachable: make(map[steering.Zone]bool), peers: make(map[steering.Region][]steering.VM),
+		lending: Lending{}, coldSenders: maxColdSenders, replaced: newReplacements()}
 }
 
-// SetColdSlack tells the slack of the bound on what a cold target gets in a
-// second, over all entry VMs: each that may send to it bursts by one.
+// SetColdSlack sets how many requests per second all entry VMs together may send to a cold target
+// beyond its rate. Each entry VM that may send to the target can send a burst of one request, so
+// slack limits their number.
 func (b *Balancer) SetColdSlack(slack float64) {
-	b.coldOwners = min(max(int(slack), 1), mostColdOwners)
+	b.coldSenders = min(max(int(slack), 1), maxColdSenders)
 }
 
-// SetTargets replaces the declared targets; what was learned of those that stay
-// is kept. It returns those that have started again under their name.
+// SetTargets replaces the declared targets and returns the names of those that have restarted. What
+// was learned about targets that remain is kept.
 //
-// A new start inherits nothing from the one before: it is cold, its predecessor's requests
-// ended with it, and what that did is not held against it.
+// A restarted target starts without any of it: the new process is cold, the requests of the old
+// process ended with it, and failures of the old process say nothing about the new one.
 func (b *Balancer) SetTargets(targets []Target) (restarted []steering.Target) {
-	next := make(map[steering.Target]*state, len(targets))
+	next := make(map[steering.Target]*targetState, len(targets))
 	for _, v := range b.services {
 		v.targets = nil
 	}
@@ -57,9 +57,9 @@
 			s = nil
 		}
 		if s == nil {
-			s = &state{hash: rendezvous.Hash(string(t.Name))}
+			s = &targetState{hash: rendezvous.Hash(string(t.Name))}
 		}
-		s.declared(t)
+		s.applyDeclared(t)
 		next[t.Name] = s
 		v := b.service(t.Service)
 		v.targets = append(v.targets, s)
@@ -72,7 +72,7 @@
 	return restarted
 }
 
-// Generation returns the start of a target as it is declared; declared is false if it is not.
+// Generation returns the declared start of a target; declared is false for an unknown target.
 func (b *Balancer) Generation(name steering.Target) (generation steering.Generation, declared bool) {
 	s := b.byName[name]
 	if s == nil {
@@ -81,9 +81,9 @@
 	return s.Generation, true
 }
 
-// stateOf returns what is known of a target if that start of it is still the last
-// one; nil otherwise.
-func (b *Balancer) stateOf(t Target) *state {
+// stateOf returns the state of a target, or nil if the target is gone or has restarted since t was
+// declared.
+func (b *Balancer) stateOf(t Target) *targetState {
 	s := b.byName[t.Name]
 	if s == nil || s.Generation != t.Generation {
 		return nil
@@ -91,13 +91,13 @@
 	return s
 }
 
-// SetPeers tells which entry VMs live, this one included.
+// SetPeers sets the live entry VMs by region, including this one.
 func (b *Balancer) SetPeers(peers map[steering.Region][]steering.VM) { b.peers = peers }
 
-// SetDark tells which zones cannot be reached from here.
-func (b *Balancer) SetDark(dark map[steering.Zone]bool) { b.dark = dark }
+// SetDark sets the zones that cannot be reached from this entry VM.
+func (b *Balancer) SetDark(unreachable map[steering.Zone]bool) { b.unreachable = unreachable }
 
-// SetLending sets how each region's keys are divided.
+// SetLending sets how the keys of each region are divided between regions.
 func (b *Balancer) SetLending(l Lending) { b.lending = l }
 
 func (b *Balancer) service(name steering.Service) *serviceState {
@@ -109,45 +109,46 @@
 	return v
 }
 
-// Arrived counts a request of a caller, for the demand told to peers. Bound is the one
-// region in which it may run, empty if there are several.
+// Arrived counts a request from a caller for the demand that is reported to peers. If the request
+// may run in one region only, bound is that region; otherwise it is empty.
 func (b *Balancer) Arrived(now time.Time, service steering.Service, bound steering.Region) {
 	v := b.service(service)
 	v.arrivals.add(now, 1)
 	if bound != "" {
-		v.boundTo(bound).add(now, 1)
+		v.pinnedTo(bound).add(now, 1)
 	}
-	v.overflow = math.Min(overflowBurst, v.overflow+overflowShare)
+	v.overflowTokens = math.Min(overflowBurst, v.overflowTokens+overflowRate)
 }
 
-// Demand returns what this entry VM's callers ask, by service.
+// Demand returns the demand of this entry VM's callers by service.
 func (b *Balancer) Demand(now time.Time) DemandOf {
 	demand := make(DemandOf, len(b.services))
 	for name, v := range b.services {
 		if rate := v.arrivals.value(now); rate > 0 {
-			demand[name] = Demand{Rate: float32(rate), RunMs: float32(v.fast * 1000), Runs: uint16(min(v.runs, mostRuns)), Bound: v.boundRates(now)}
+			demand[name] = Demand{Rate: float32(rate), RunMs: float32(v.warmTime * 1000), Runs: uint16(min(v.warmSamples, maxRuns)), Bound: v.pinnedRates(now)}
 		}
 	}
 	return demand
 }
 
-// Learn takes in what all entry VMs know of the services' times, where this one
-// has seen little itself.
+// Learn sets the service times to those observed by all entry VMs, for services of which this entry
+// VM has too few samples of its own.
 func (b *Balancer) Learn(runs DemandOf) {
-	for name, told := range runs {
-		if v := b.service(name); v.seen < enoughRuns && told.Runs >= enoughRuns {
-			v.guessed(float64(told.RunMs) / 1000)
+	for name, reported := range runs {
+		if v := b.service(name); v.samples < minSamples && reported.Runs >= minSamples {
+			v.setTimes(float64(reported.RunMs) / 1000)
 		}
 	}
 }
 
-// Slots returns the open slots by service and region.
+// Slots returns the open slots by service and region: those of targets that are neither closed nor
+// ejected nor in an unreachable zone.
 func (b *Balancer) Slots() Slots {
 	slots := make(Slots)
 	for name, v := range b.services {
 		byRegion := make(map[steering.Region]float64)
 		for _, s := range v.targets {
-			if !s.Closed && !s.ejected && !b.dark[s.Zone] {
+			if !s.Closed && !s.ejected && !b.unreachable[s.Zone] {
 				byRegion[s.Region] += float64(s.Slots)
 			}
 		}
@@ -156,83 +157,84 @@
 	return slots
 }
 
-// Began notes that a request was placed on a target. Ended or NotSent has to
-// follow.
-func (b *Balancer) Began(now time.Time, t Target, key string, trial bool) {
+// Began records that a request was placed on a target. A call of Ended or NotSent must follow.
+func (b *Balancer) Began(now time.Time, t Target, key string, probe bool) {
 	if s := b.stateOf(t); s != nil {
-		s.sent++
-		s.trying = s.trying || trial
-		s.remember(now, key)
+		s.inFlight++
+		s.probing = s.probing || probe
+		s.recordKey(now, key)
 	}
 }
 
-// Ended notes how an exchange ended. What an earlier start of the target did is not
-// held against the present one.
-func (b *Balancer) Ended(now time.Time, t Target, r Report, trial bool, queued bool) {
+// Ended records the result of an exchange; queued says that the request was expected to wait at the
+// target. Results of an earlier start of the target are ignored.
+func (b *Balancer) Ended(now time.Time, t Target, r Report, probe bool, queued bool) {
 	s := b.stateOf(t)
 	if s == nil {
 		return
 	}
-	s.release(trial)
-	s.reported(now, r)
+	s.release(probe)
+	s.applyLoad(now, r)
 	switch r.Outcome {
 	case Served:
-		s.succeed()
+		s.recordSuccess()
 		if !queued && !r.Crowded(s.Slots) {
-			b.learn(s, r.Took.Seconds())
+			b.observe(s, r.Took.Seconds())
 		}
 	case Failed:
-		s.fail(now, false)
+		s.recordFailure(now, false)
 	case Shed:
-		if !r.overfull(s.Slots) {
-			s.fail(now, false)
+		if !r.queueFull(s.Slots) {
+			s.recordFailure(now, false)
 		}
 	case Unreachable:
-		s.breaks = hardLimit
-		s.fail(now, true)
+		s.consecutiveBreaks = maxConsecutiveBreaks
+		s.recordFailure(now, true)
 	case Broken, Silent:
-		s.fail(now, true)
+		s.recordFailure(now, true)
 	case Replaced:
-		b.replaced.note(now, s)
+		b.replaced.add(now, s)
 	case Abandoned:
 	}
 }
 
-// Crowded reports whether others waited at the target, or all its slots were taken,
-// when it answered: then most likely the request had waited itself.
+// Crowded reports whether requests waited at the target or all its slots were taken when it
+// answered. Then the request has most likely waited as well.
 func (r Report) Crowded(slots int) bool {
 	return r.LoadKnown && (r.Waiting > 0 || r.Running >= slots)
 }
 
-// overfull reports whether a target that refused a request was as full as it can be
-// expected to get: all slots taken, and as many waiting.
+// queueFull reports whether a target that refused a request was full: all slots taken, and at least
+// as many requests waiting.
 //
-// Such a refusal is no failure: a target that is ejected for it takes its slots out of
-// lending, and the next requests go where they start cold. One that refuses with slots
-// free does fail.
-func (r Report) overfull(slots int) bool {
+// Such a refusal is not counted as a failure. If it were, the target would be ejected, its slots
+// would no longer count when keys are divided between regions, and the next requests would go to
+// targets where their keys are cold. A target that refuses while it has free slots does fail.
+func (r Report) queueFull(slots int) bool {
 	return r.LoadKnown && r.Running >= slots && r.Waiting >= slots
 }
 
-// learn takes in the time of a run that did not wait.
+// observe adds the service time of a request that did not wait.
 //
-// The times of a service take in neither runs in other regions nor waits: they would grow
-// with what is lent and with every queue, and demand, which rests on them, with them.
-func (b *Balancer) learn(s *state, took float64) {
-	if took <= 0 {
+// The times of a service exclude requests that waited and, unless the service has no targets in
+// this region, those that ran in other regions. With them the times would grow with every queue and
+// with the share of keys that other regions serve, and so would the demand that is computed from
+// the times.
+func (b *Balancer) observe(s *targetState, serviceTime float64) {
+	if serviceTime <= 0 {
 		return
 	}
 	if v := b.service(s.Service); s.Region == b.region || !v.servedIn(b.region) {
-		v.learn(took)
+		v.observe(serviceTime)
 	}
-	if s.took == 0 {
-		s.took = took
+	if s.serviceTime == 0 {
+		s.serviceTime = serviceTime
 		return
 	}
-	s.took += learnShare * (took - s.took)
+	s.serviceTime += ewmaWeight * (serviceTime - s.serviceTime)
 }
 
-// servedIn reports whether a service has targets in a region.
+// servedIn reports whether a service has open targets in a region.
 func (v *serviceState) servedIn(region steering.Region) bool {
 	for _, s := range v.targets {
 		if s.Region == region && !s.Closed {
@@ -242,7 +244,7 @@
 	return false
 }
 
-// Ejected returns the targets that are passed over, for status and metrics.
+// Ejected returns the ejected targets, for status and metrics.
 func (b *Balancer) Ejected() []steering.Target {
 	var names []steering.Target
 	for name, s := range b.byName {
@@ -253,31 +255,31 @@
 	return names
 }
 
-// pace is the time a slot of the target is busy with a request, seconds.
-func (b *Balancer) pace(v *serviceState, s *state) float64 {
-	if s.took == 0 {
-		return v.mean
+// slotTime returns how long a request occupies a slot of the target, in seconds.
+func (b *Balancer) slotTime(v *serviceState, s *targetState) float64 {
+	if s.serviceTime == 0 {
+		return v.meanTime
 	}
-	return math.Max(s.took, v.fast)
+	return math.Max(s.serviceTime, v.warmTime)
 }
 
-// NotSent notes a try that reached no target.
-func (b *Balancer) NotSent(now time.Time, t Target, o Outcome, trial bool) {
+// NotSent records that a request did not reach the target that it was placed on.
+func (b *Balancer) NotSent(now time.Time, t Target, o Outcome, probe bool) {
 	s := b.stateOf(t)
 	if s == nil {
 		return
 	}
-	s.release(trial)
+	s.release(probe)
 	if o == Unreachable {
-		s.breaks = hardLimit
-		s.fail(now, true)
+		s.consecutiveBreaks = maxConsecutiveBreaks
+		s.recordFailure(now, true)
 	}
 }
 
-// release ends what Began began.
-func (s *state) release(trial bool) {
-	s.sent = max(s.sent-1, 0)
-	if trial {
-		s.trying = false
+// release undoes what Began recorded about the request in flight.
+func (s *targetState) release(probe bool) {
+	s.inFlight = max(s.inFlight-1, 0)
+	if probe {
+		s.probing = false
 	}
 }
--- a/steering/placement/choose.go
+++ b/steering/placement/choose.go
@@ -10,46 +10,45 @@
 )
 
 const (
-	// overflowShare is the part of a service's requests that may run on the second
-	// of their key's order while the first is full. It must stay small: a target
-	// keeps few keys warm, and more copies of each key than that make every run a
-	// cold one.
-	overflowShare = 0.05
-	// overflowBurst bounds what is saved of that share.
+	// overflowRate is the share of a service's requests that may run on the second target of their
+	// key's order while the first is full. It must stay small: a target keeps few keys warm, and
+	// with more copies of each key than that every request runs cold.
+	overflowRate = 0.05
+	// overflowBurst is the largest number of such requests that can be saved up.
 	overflowBurst = 3
-	// mostColdOwners is how many entry VMs may send to one cold target, where the
-	// slack of its bound covers their bursts of one request. Each has an equal part
-	// of its rate.
-	mostColdOwners = 3
-	// coldUse is the part of a cold target's rate that is used, so that two views
-	// of who lives may differ without exceeding it by much.
-	coldUse = 0.75
-	// minWait is the wait that is always allowed, as a share of the aim: about
-	// half a warm service time.
-	minWait = 0.3
-	// urgentOnly is the part of the allowed wait that a kind of lower rank has
-	// for each rank above 0, so that it is refused before a more urgent one is.
-	urgentOnly = 0.85
-	// shortestRetry and longestRetry bound Retry-After: a caller that comes back
-	// sooner finds the same queue, and later it has mostly given up.
-	shortestRetry = 100 * time.Millisecond
-	longestRetry  = 2 * time.Second
+	// maxColdSenders is the largest number of entry VMs that may send to one cold target. Each has
+	// an equal part of the target's cold rate and can send a burst of one request, which the slack
+	// of the target's limit has to cover.
+	maxColdSenders = 3
+	// coldRateUse is the part of a cold target's rate that is used, so that entry VMs with
+	// different lists of live peers do not exceed the rate by much.
+	coldRateUse = 0.75
+	// minWaitShare is the wait that is always allowed, as a share of the latency objective; it is
+	// about half of a service time for a warm key.
+	minWaitShare = 0.3
+	// rankWaitFactor shortens the allowed wait for each rank above 0, so that requests of a lower
+	// priority are refused before those of a higher one.
+	rankWaitFactor = 0.85
+	// minRetryAfter and maxRetryAfter limit Retry-After. A caller that retries sooner finds the
+	// same queue; by a later time most callers have given up.
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = 2 * time.Second
 )
 
-// candidate is a target weighed for a request.
+// candidate is a target that is considered for a request.
 type candidate struct {
-	state *state
-	score float64
-	rank  int
-	wait  float64 // seconds
-	cost  float64 // predicted time to the answer, seconds
-	away  bool
+	targetState *targetState
+	score       float64
+	rank        int
+	wait        float64 // seconds
+	cost        float64 // predicted time until the answer, seconds
+	crossRegion bool
 }
 
-// Choose returns the target of a request, or why there is none.
+// Choose returns the target for a request, or the reason why there is none.
 func (b *Balancer) Choose(now time.Time, r Request) (Pick, *Refusal) {
 	v := b.service(r.Service)
-	v.guess(r.Aim.Seconds())
+	v.setDefaults(r.Aim.Seconds())
 	key := r.Key
 	if key == "" {
 		key = r.ID
@@ -57,10 +56,10 @@
 	keyHash := rendezvous.Hash(string(r.Service) + "\x00" + key)
 	regions := b.regionsFor(r, keyHash, v)
 	if len(regions) == 0 {
-		return Pick{}, &Refusal{Reason: steering.ReasonNoTarget, RetryAfter: shortestRetry}
+		return Pick{}, &Refusal{Reason: steering.ReasonNoTarget, RetryAfter: minRetryAfter}
 	}
 	for _, region := range regions {
-		found := b.order(now, v, r, region, keyHash)
+		found := b.eligible(now, v, r, region, keyHash)
 		if len(found) == 0 {
 			continue
 		}
@@ -68,129 +67,130 @@
 		if ok {
 			return pick, nil
 		}
-		return Pick{}, &Refusal{Reason: steering.ReasonNoSlot, RetryAfter: b.retryAfter(v, r, wait, keyHash), Wait: span(wait), Warm: v.warm()}
+		return Pick{}, &Refusal{Reason: steering.ReasonNoSlot, RetryAfter: b.retryAfter(v, r, wait, keyHash), Wait: span(wait), Warm: v.warmEstimate()}
 	}
-	return Pick{}, &Refusal{Reason: steering.ReasonNoTarget, RetryAfter: shortestRetry}
+	return Pick{}, &Refusal{Reason: steering.ReasonNoTarget, RetryAfter: minRetryAfter}
 }
 
-// order returns the open targets of a region in the key's order, the ejected
-// ones only when they are due a trial or when most look ejected.
-func (b *Balancer) order(now time.Time, v *serviceState, r Request, region steering.Region, keyHash uint64) []candidate {
+// eligible returns the open targets of a region in the key's order. Ejected targets are included
+// only when a probe is due, or when more than half of the targets are excluded.
+func (b *Balancer) eligible(now time.Time, v *serviceState, r Request, region steering.Region, keyHash uint64) []candidate {
 	var open []candidate
 	ejected := 0
 	for _, s := range v.targets {
 		if s.Region != region || s.Closed || contains(r.Tried, s.Name) {
 			continue
 		}
-		if b.passedOver(v, s) {
+		if b.excluded(v, s) {
 			ejected++
 		}
-		open = append(open, candidate{state: s, score: rendezvous.Score(keyHash, s.hash, float64(s.Slots)), away: region != b.region})
+		open = append(open, candidate{targetState: s, score: rendezvous.Score(keyHash, s.hash, float64(s.Slots)), crossRegion: region != b.region})
 	}
-	// With more than half in doubt the fault is more likely on the way there, or
-	// in the evidence, than in all of them.
-	trusting := ejected*2 > len(open)
+	// If more than half are excluded, a fault of the network or of the observations is more likely
+	// than a fault of all these targets.
+	ignoreExclusion := ejected*2 > len(open)
 	sort.Slice(open, func(i, j int) bool { return open[i].score > open[j].score })
 	kept := open[:0]
 	for rank, c := range open {
 		c.rank = rank
-		if trusting || !b.passedOver(v, c.state) || b.trialDue(now, c.state, r) {
+		if ignoreExclusion || !b.excluded(v, c.targetState) || b.probeDue(now, c.targetState, r) {
 			kept = append(kept, c)
 		}
 	}
 	return kept
 }
 
-// passedOver reports whether a target is ejected or in a zone that is cut off.
-func (b *Balancer) passedOver(v *serviceState, s *state) bool {
-	return s.ejected || b.dark[s.Zone] && s.Zone != ""
+// excluded reports whether a target is ejected or in an unreachable zone.
+func (b *Balancer) excluded(v *serviceState, s *targetState) bool {
+	return s.ejected || b.unreachable[s.Zone] && s.Zone != ""
 }
 
-// trialDue reports whether an ejected target is to be tried with this request.
-func (b *Balancer) trialDue(now time.Time, s *state, r Request) bool {
-	return r.Repeatable && s.ejected && !s.trying && !now.Before(s.tryAt) && !b.dark[s.Zone]
+// probeDue reports whether an ejected target may be probed with this request.
+func (b *Balancer) probeDue(now time.Time, s *targetState, r Request) bool {
+	return r.Repeatable && s.ejected && !s.probing && !now.Before(s.probeAt) && !b.unreachable[s.Zone]
 }
 
-// best takes the first of the order that may be sent to, or the second where
-// the first is full, the second idle and the share for that not used up.
+// best returns the first target of the order that accepts the request. Cold targets to which this
+// entry VM may not send now are skipped. If the first one is full, the second is used if it is idle
+// and an overflow token is left. The second result is the predicted wait at the first target, in
+// seconds; infinite if no target was considered.
 func (b *Balancer) best(now time.Time, v *serviceState, r Request, order []candidate) (Pick, float64, bool) {
 	shortest := math.Inf(1)
-	weighed := 0
+	considered := 0
 	for i := range order {
 		c := &order[i]
-		if c.state.cold(now) && !b.takesCold(now, c.state) {
+		if c.targetState.cold(now) && !b.takeColdToken(now, c.targetState) {
 			continue
 		}
 		b.predict(now, v, r, c)
-		if weighed == 0 {
+		if considered == 0 {
 			shortest = c.wait
 		}
-		trial := c.state.ejected && b.trialDue(now, c.state, r)
+		probe := c.targetState.ejected && b.probeDue(now, c.targetState, r)
 		switch {
-		case weighed == 0 && (trial || b.fits(v, r, c)):
+		case considered == 0 && (probe || b.fits(v, r, c)):
 			return c.pick(v), shortest, true
-		case weighed == 1:
-			if c.wait == 0 && b.fits(v, r, c) && v.overflow >= 1 {
-				v.overflow--
+		case considered == 1:
+			if c.wait == 0 && b.fits(v, r, c) && v.overflowTokens >= 1 {
+				v.overflowTokens--
 				return c.pick(v), shortest, true
 			}
 			return Pick{}, shortest, false
 		}
-		weighed++
+		considered++
 	}
 	return Pick{}, shortest, false
 }
 
-// takesCold reports whether one more request may go to a cold target, and counts
-// it.
-func (b *Balancer) takesCold(now time.Time, s *state) bool {
-	return b.ownsCold(s) && s.coldSpent.take(now, coldUse*s.ColdRate/float64(b.coldOwners))
+// takeColdToken reports whether one more request may go to a cold target, and counts it.
+func (b *Balancer) takeColdToken(now time.Time, s *targetState) bool {
+	return b.maySendCold(s) && s.coldTokens.take(now, coldRateUse*s.ColdRate/float64(b.coldSenders))
 }
 
 func (c *candidate) pick(v *serviceState) Pick {
-	return Pick{Target: c.state.Target, Expected: span(c.cost), Wait: span(c.wait), Warm: v.warm(), Rank: c.rank, Trial: c.state.ejected, Away: c.away}
+	return Pick{Target: c.targetState.Target, Expected: span(c.cost), Wait: span(c.wait), Warm: v.warmEstimate(), Rank: c.rank, Trial: c.targetState.ejected, Away: c.crossRegion}
 }
 
-// predict sets the wait and the time to the answer.
+// predict sets the predicted wait and time until the answer of a candidate.
 func (b *Balancer) predict(now time.Time, v *serviceState, r Request, c *candidate) {
-	pace := b.pace(v, c.state)
-	slots := float64(c.state.Slots)
-	ahead := math.Max(0, c.state.load(now)+1-slots)
-	c.wait = ahead / slots * pace
-	c.cost = c.wait + pace
-	if c.rank > 0 && !c.state.warmFor(now, r.Key) {
+	slotTime := b.slotTime(v, c.targetState)
+	slots := float64(c.targetState.Slots)
+	ahead := math.Max(0, c.targetState.load(now)+1-slots)
+	c.wait = ahead / slots * slotTime
+	c.cost = c.wait + slotTime
+	if c.rank > 0 && !c.targetState.warmFor(now, r.Key) {
 		c.cost += v.coldPenalty()
 	}
 }
 
-// fits reports whether the answer is likely to come in time. The wait counts,
-// not the run itself: a key's first run is cold and late by itself, and refusing
-// it would keep the target cold for ever.
+// fits reports whether the answer is likely to arrive in time. Only the wait is compared with the
+// latency objective, not the run itself: the first request for a key runs cold and misses the
+// objective anyway, and refusing it would keep the target cold forever.
 func (b *Balancer) fits(v *serviceState, r Request, c *candidate) bool {
-	if r.Left > 0 && span(c.wait+v.fast) > r.Left {
+	if r.Left > 0 && span(c.wait+v.warmTime) > r.Left {
 		return false
 	}
 	if r.Aim <= 0 {
 		return true
 	}
-	allowed := math.Max(r.Aim.Seconds()-v.fast, minWait*r.Aim.Seconds())
-	allowed *= math.Pow(urgentOnly, float64(r.Rank))
+	allowed := math.Max(r.Aim.Seconds()-v.warmTime, minWaitShare*r.Aim.Seconds())
+	allowed *= math.Pow(rankWaitFactor, float64(r.Rank))
 	return c.wait <= allowed
 }
 
-// retryAfter says when the shortest queue is likely to have drained to half of
-// what is allowed, spread by the key so that refused callers do not return
-// together.
+// retryAfter returns when the shortest queue is likely to have drained to about half of the allowed
+// wait. It is varied by the hash of key and request ID, so that refused callers do not all return
+// at the same time.
 func (b *Balancer) retryAfter(v *serviceState, r Request, wait float64, keyHash uint64) time.Duration {
 	if math.IsInf(wait, 1) {
-		wait = v.mean
+		wait = v.meanTime
 	}
 	spread := 0.75 + 0.5*rendezvous.Unit(rendezvous.Mix(keyHash^rendezvous.Hash(r.ID)))
-	return min(max(span(wait*spread), shortestRetry), longestRetry)
+	return min(max(span(wait*spread), minRetryAfter), maxRetryAfter)
 }
 
-// ownsCold reports whether this entry VM may send to a cold target.
-func (b *Balancer) ownsCold(s *state) bool {
+// maySendCold reports whether this entry VM is one of those that may send to a cold target.
+func (b *Balancer) maySendCold(s *targetState) bool {
 	peers := b.peers[s.Region]
 	if s.Region != b.region || len(peers) == 0 {
 		return false
@@ -202,12 +202,12 @@
 			ahead++
 		}
 	}
-	return ahead < b.coldOwners
+	return ahead < b.coldSenders
 }
 
 func span(seconds float64) time.Duration {
 	if math.IsInf(seconds, 1) {
-		return longestRetry
+		return maxRetryAfter
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
--- a/steering/placement/count.go
+++ b/steering/placement/count.go
@@ -7,17 +7,17 @@
 	"heatherlock/steering"
 )
 
-// Count is how the targets of a service stand.
+// Count is the number of targets of a service by state.
 type Count struct {
 	Service steering.Service
-	// Targets counts all, Closed those that get nothing new, Cold those that get few
-	// requests.
+	// Targets is the number of all targets, Closed of those that get no new requests, Cold of those
+	// that get few requests because they have just started.
 	Targets, Closed, Cold int
-	// Ejected are passed over.
+	// Ejected holds the names of the ejected targets.
 	Ejected []steering.Target
 }
 
-// Counts returns how the targets of each service stand, by its name.
+// Counts returns the number of targets by state for each service, sorted by service name.
 func (b *Balancer) Counts(now time.Time) []Count {
 	var all []Count
 	for name, v := range b.services {
--- a/steering/placement/fewvms_test.go
+++ b/steering/placement/fewvms_test.go
@@ -7,21 +7,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// Load that this answers: callers of a region spread over so many entry VMs that each meets a
-// target once in seconds, and knows its load only as it was then. Led to four VMs a region,
-// more of them are answered in time, though the targets and the callers are the same.
-func TestCallersLedToFewVMsWaitLess(t *testing.T) {
-	inAim := func(perRegion int) float64 {
-		p := newPlayOf(perRegion, 250)
-		p.run(6 * time.Second) // keys warm up
-		asked, served := 0, 0
+// Guards against late answers where the callers of a region are spread over many entry VMs: each VM
+// then sends to a target only once in several seconds, and its load report of the target is out of
+// date. With four entry VMs per region, more requests are answered in time by the same targets for
+// the same callers.
+func TestFewerEntryVMsAnswerMoreRequestsInTime(t *testing.T) {
+	inTime := func(perRegion int) float64 {
+		p := newSimulationOf(perRegion, 250)
+		p.run(6 * time.Second) // until keys are warm
+		requests, inTimeCount := 0, 0
 		for _, got := range p.run(12 * time.Second) {
-			asked, served = asked+got.asked, served+got.inAim
+			requests, inTimeCount = requests+got.requests, inTimeCount+got.inTime
 		}
-		return float64(served) / float64(asked)
+		return float64(inTimeCount) / float64(requests)
 	}
-	few, many := inAim(4), inAim(30)
-	t.Logf("answered in time: %.3f by 4 VMs a region, %.3f by 30", few, many)
+	few, many := inTime(4), inTime(30)
+	t.Logf("answered in time: %.3f with 4 VMs per region, %.3f with 30", few, many)
 	assert.Assert(t, few > many)
 	assert.Assert(t, few > 0.9, "%.3f", few)
 }
--- a/steering/placement/generation_test.go
+++ b/steering/placement/generation_test.go
@@ -10,11 +10,11 @@
 	"heatherlock/steering/placement"
 )
 
-// Symptom: a target that restarts under its name stays passed over for what its former
-// start did, or an answer to a request of the former start makes the new one look well.
-// Sequence: it fails, is ejected, restarts; a late report of the former start comes in.
-// Cause: keeping what was learned by the name alone.
-func TestNothingLearnedOfAStartIsHeldAgainstTheNext(t *testing.T) {
+// Guards against state that is kept by a target's name alone when the target restarts: the new
+// process would stay ejected for failures of the old one, or a late answer to a request of the old
+// process would count in favor of the new one. Here a target fails, is ejected and restarts, and
+// then late reports for the old process arrive.
+func TestRestartedTargetInheritsNoState(t *testing.T) {
 	all := targets(2, "centro")
 	all[0].Generation = 1
 	b := newBalancer("vm", all...)
@@ -31,14 +31,14 @@
 	for range 4 {
 		b.Ended(start, former, placement.Report{Outcome: placement.Broken}, false, false)
 	}
-	assert.Equal(t, len(b.Ejected()), 0, "reports of the former start do not count")
-	assert.Equal(t, len(b.SetTargets(all)), 0, "told again, nothing restarted")
+	assert.Equal(t, len(b.Ejected()), 0, "reports for the old process must not count")
+	assert.Equal(t, len(b.SetTargets(all)), 0, "no target has restarted since the last call")
 }
 
-// Symptom: a target that restarts seems full for ever. Sequence: requests are in its hands
-// when it dies; their ends are reported, if at all, after the restart. Cause: counting
-// requests of the former start as running.
-func TestRequestsOfAFormerStartDoNotTakeSlots(t *testing.T) {
+// Guards against a restarted target that seems full forever, because requests of the old process
+// are still counted as in flight. If their ends are reported at all, they are reported after the
+// restart.
+func TestRequestsOfTheOldProcessDoNotOccupySlots(t *testing.T) {
 	all := targets(1, "centro")
 	all[0].Generation = 1
 	b := newBalancer("vm", all...)
--- a/steering/placement/lend_test.go
+++ b/steering/placement/offload_test.go
@@ -12,18 +12,19 @@
 	"heatherlock/steering/placement"
 )
 
-// situation is one of as many regions as ask, with the usual bound.
+// situation returns the input of a step with one region per entry of demand and the default limit
+// on region changes.
 func situation(demand map[steering.Region]placement.DemandOf, slots placement.Slots) placement.Situation {
 	return placement.Situation{Demand: demand, Slots: slots, Regions: len(demand), ShiftShare: 0.15}
 }
 
-// asks is a demand for one service that keeps so many slots busy.
-func asks(busy float32) placement.DemandOf {
-	return placement.DemandOf{service: {Rate: busy * 10, RunMs: 100, Runs: 50}}
+// demandFor returns a demand for one service that occupies the given number of slots.
+func demandFor(slots float32) placement.DemandOf {
+	return placement.DemandOf{service: {Rate: slots * 10, RunMs: 100, Runs: 50}}
 }
 
-// movedOf is the part of a region's keys that differ between two divisions.
-func movedOf(before, after placement.Shares) float64 {
+// movedShare returns the share of a region's keys that differs between two divisions.
+func movedShare(before, after placement.Shares) float64 {
 	var moved float64
 	for _, region := range []steering.Region{"norte", "centro", "sur"} {
 		moved += math.Abs(after[region]-before[region]) / 2
@@ -31,12 +32,11 @@
 	return moved
 }
 
-// Symptom: for half a minute after a start, a region with most of the targets sends more
-// than half of its callers to another region, which refuses a fifth of all requests.
-// Sequence: targets register one after the other; a step of lending falls where one of
-// its targets is known and five of the other region's; then traffic begins. Cause: the
-// shares of that step were kept as if demand had led to them.
-func TestSharesBeforeTrafficFollowTheTargetsKnown(t *testing.T) {
+// Guards against shares that were computed from a few known targets and kept when traffic begins.
+// Targets register one after the other, and a step falls when one target of a region is known and
+// five of another region's. A region with most of the targets then sent more than half of its
+// callers to another region for half a minute after a start, which refused a fifth of all requests.
+func TestSharesBeforeTrafficFollowKnownTargets(t *testing.T) {
 	slots := func(centro, sur float64) placement.Slots {
 		return placement.Slots{service: {"centro": centro, "sur": sur}}
 	}
@@ -47,23 +47,23 @@
 	assert.Equal(t, lending.Kept(service, "centro"), 1.0)
 	assert.Assert(t, lending.Kept(service, "sur") < 1)
 
-	asked := placement.DemandOf{service: {Rate: 100, RunMs: 150, Runs: 50}}
-	demand := map[steering.Region]placement.DemandOf{"centro": asked, "sur": asked}
+	perRegion := placement.DemandOf{service: {Rate: 100, RunMs: 150, Runs: 50}}
+	demand := map[steering.Region]placement.DemandOf{"centro": perRegion, "sur": perRegion}
 	lending = placement.NextLending(lending, situation(demand, slots(84, 60)))
-	assert.Equal(t, lending.Kept(service, "centro"), 1.0, "room for all, and nothing was lent")
+	assert.Equal(t, lending.Kept(service, "centro"), 1.0, "there is capacity for all keys, and nothing was offloaded")
 }
 
-// Symptom: traffic swings between regions. Each step must be small, over all services of
-// a region together; shares stay between 0 and 1 and sum up to 1; and in the end no region
-// has more to run than its slots bear, or than all bear together.
-func TestLendingMovesInSmallStepsToWhatSlotsBear(t *testing.T) {
+// Guards against traffic that swings between regions. Each step must be small, over all services of
+// a region together; shares must stay between 0 and 1 and sum to 1; and in the end no region may
+// have more load than its slots can take, or a higher utilization than all regions together.
+func TestSharesConvergeInBoundedSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const runMs, most = 100, 0.05
 		services := []steering.Service{service, "passes"}
 		regions := []steering.Region{"norte", "centro", "sur"}
 		demand := make(map[steering.Region]placement.DemandOf)
 		slots := make(placement.Slots)
-		busy, room := map[steering.Service]float64{}, map[steering.Service]float64{}
+		demanded, capacity := map[steering.Service]float64{}, map[steering.Service]float64{}
 		now := placement.Lending{}
 		for _, s := range services {
 			slots[s], now[s] = make(map[steering.Region]float64), make(map[steering.Region]placement.Shares)
@@ -74,7 +74,7 @@
 				wanted := rapid.Float32Range(0, 100).Draw(t, "demand")
 				demand[r][s] = placement.Demand{Rate: wanted * 1000 / runMs, RunMs: runMs, Runs: 50}
 				slots[s][r], now[s][r] = float64(rapid.IntRange(0, 100).Draw(t, "slots")), placement.Shares{r: 1}
-				busy[s], room[s] = busy[s]+float64(wanted), room[s]+slots[s][r]
+				demanded[s], capacity[s] = demanded[s]+float64(wanted), capacity[s]+slots[s][r]
 			}
 		}
 		for range 150 {
@@ -88,7 +88,7 @@
 						all += share
 					}
 					assert.Assert(t, math.Abs(all-1) < 1e-4, "%s of %s: %v", s, r, next[s][r])
-					part := movedOf(now[s][r], next[s][r])
+					part := movedShare(now[s][r], next[s][r])
 					assert.Assert(t, part <= 0.15+1e-9)
 					moved += part * float64(demand[r][s].Rate)
 					rate += float64(demand[r][s].Rate)
@@ -98,7 +98,7 @@
 			now = next
 		}
 		for _, s := range services {
-			if room[s] == 0 {
+			if capacity[s] == 0 {
 				continue
 			}
 			for _, to := range regions {
@@ -106,7 +106,7 @@
 				for _, from := range regions {
 					runs += now[s][from][to] * float64(demand[from][s].Rate) * runMs / 1000
 				}
-				full := math.Max(0.65, busy[s]/room[s]) * slots[s][to]
+				full := math.Max(0.65, demanded[s]/capacity[s]) * slots[s][to]
 				assert.Assert(t, runs <= full+0.5, "%.1f of %s run in %s with %.0f slots", runs, s, to, slots[s][to])
 				kept := now.Kept(s, to) * float64(demand[to][s].Rate) * runMs / 1000
 				assert.Assert(t, kept <= full+1e-3, "%s keeps %.1f of %s with %.0f slots", to, kept, s, slots[s][to])
@@ -115,21 +115,21 @@
 	})
 }
 
-// Symptom: the region whose callers ask most refuses, while the one whose callers sleep
-// has room, both taking the keys of a third with few targets. Cause: dividing what is lent
-// by the slots, whatever is asked there.
-func TestLentKeysGoWhereThereIsRoom(t *testing.T) {
-	demand := map[steering.Region]placement.DemandOf{"norte": asks(40), "centro": asks(15), "sur": asks(30)}
+// Guards against dividing offloaded keys by the number of slots, regardless of the demand in the
+// receiving regions. The region with the highest demand of its own then refused requests while an
+// idle region had free capacity, both serving keys of a third region with few targets.
+func TestOffloadedKeysGoToLeastUtilizedRegions(t *testing.T) {
+	demand := map[steering.Region]placement.DemandOf{"norte": demandFor(40), "centro": demandFor(15), "sur": demandFor(30)}
 	slots := placement.Slots{service: {"norte": 72, "centro": 84, "sur": 12}}
 	now := placement.Lending{service: {"sur": {"sur": 0.25, "norte": 0.35, "centro": 0.4}}}
 	load := func(l placement.Lending, to steering.Region) float64 {
 		var all float64
-		for from, busy := range map[steering.Region]float64{"norte": 40, "centro": 15, "sur": 30} {
+		for from, occupied := range map[steering.Region]float64{"norte": 40, "centro": 15, "sur": 30} {
 			shares, found := l[service][from]
 			if !found {
 				shares = placement.Shares{from: 1}
 			}
-			all += shares[to] * busy
+			all += shares[to] * occupied
 		}
 		return all / slots[service][to]
 	}
@@ -137,12 +137,12 @@
 	for range 60 {
 		now = placement.NextLending(now, situation(demand, slots))
 	}
-	assert.Assert(t, math.Abs(load(now, "norte")-40.0/72) < 0.01, "norte at %.2f", load(now, "norte"))
+	assert.Assert(t, math.Abs(load(now, "norte")-40.0/72) < 0.01, "utilization of norte: %.2f", load(now, "norte"))
 	assert.Assert(t, load(now, "centro") < 0.47 && load(now, "sur") < 0.651)
 }
 
-// Symptom: as soon as a region begins to lend, a third of the keys that another lends to
-// it move at once, and all of them start cold. Cause: dividing by weights that jump.
+// Guards against weights that jump: when a region began to offload keys, a third of the keys that
+// another region offloads to it moved at once, and all of them started cold.
 func TestOnlyKeysWhoseShareChangesMove(t *testing.T) {
 	all := append(append(targets(8, "centro"), targets(8, "sur")...), targets(8, "norte")...)
 	b := newBalancer("vm", all...)
@@ -171,10 +171,10 @@
 	assert.Assert(t, float64(moved)/keys < 0.09, "%d of %d moved for a change of 0.05", moved, keys)
 }
 
-// Symptom: a region whose callers ask twice as much of one service refuses for
-// seconds. Sequence: only that service has to lend. Cause: a bound for each service
-// that the others leave unused.
-func TestOneServiceMayLendFasterThanAllTogether(t *testing.T) {
+// Guards against a separate limit on region changes per service, of which services without changes
+// leave their part unused. A region whose callers doubled their demand for one service then refused
+// requests for seconds, though only that service had to offload keys.
+func TestServiceMayUseShiftLimitOfOthers(t *testing.T) {
 	demand := map[steering.Region]placement.DemandOf{
 		"norte":  {service: {Rate: 100, RunMs: 100, Runs: 50}, "passes": {Rate: 100, RunMs: 10, Runs: 50}},
 		"centro": {service: {Rate: 100, RunMs: 100, Runs: 50}, "passes": {Rate: 100, RunMs: 10, Runs: 50}}}
@@ -185,11 +185,11 @@
 	assert.Equal(t, next.Kept("passes", "norte"), 1.0)
 }
 
-// Symptom: a region of few targets refuses through the first half of a morning.
-// Sequence: its callers come later than those of other regions; until they do, it
-// takes all lent keys back, and then lends them again no faster than is allowed.
-// Cause: taking back as fast as lending, though keys that run elsewhere cost little.
-func TestLentKeysComeBackSlowly(t *testing.T) {
+// Guards against taking keys back as fast as they are offloaded. The callers of a region with few
+// targets come later in the morning than those of other regions. If the region takes all keys back
+// until then, it can offload them again only at the limited speed and refuses requests through half
+// of the morning, while keys served elsewhere cost little.
+func TestOffloadedKeysReturnSlowly(t *testing.T) {
 	of := func(rate float32) map[steering.Region]placement.DemandOf {
 		return map[steering.Region]placement.DemandOf{"norte": {service: {Rate: rate, RunMs: 100, Runs: 50}}, "centro": {service: {Rate: 100, RunMs: 100, Runs: 50}}}
 	}
@@ -205,37 +205,36 @@
 	assert.Assert(t, l.Kept(service, "norte") < 0.3, "keeps %v", l)
 }
 
-// Symptom: for ten seconds after the loss of all entry VMs, the callers of a region with
-// few targets are refused. Sequence: the VMs start while callers ask; the first step of
-// lending finds demand, and no shares of before. Cause: beginning with what a region keeps
-// when it lends nothing.
-func TestRegionOfFewTargetsLendsFromTheFirstStep(t *testing.T) {
-	demand := map[steering.Region]placement.DemandOf{"norte": asks(20), "centro": asks(20), "sur": asks(20)}
+// Guards against starting from shares with which every region keeps all its keys. After a loss of
+// all entry VMs, the new VMs start while callers send requests; the first step finds demand but no
+// earlier shares. A region with few targets then refused requests for ten seconds.
+func TestRegionWithFewTargetsOffloadsFromTheFirstStep(t *testing.T) {
+	demand := map[steering.Region]placement.DemandOf{"norte": demandFor(20), "centro": demandFor(20), "sur": demandFor(20)}
 	slots := placement.Slots{service: {"norte": 72, "centro": 84, "sur": 12}}
 	first := placement.NextLending(nil, situation(demand, slots))
 	assert.Assert(t, first.Kept(service, "sur") < 0.35, "keeps %v", first[service]["sur"])
 	assert.Assert(t, first.Kept(service, "norte") == 1)
 }
 
-// Symptom: after the loss of all entry VMs one of them keeps the keys of a region with
-// nearly no targets there for ten seconds, and refuses a third of them. Sequence: when it
-// takes its first step, the region's only target is ejected. Cause: a region without an
-// open slot was given no shares, and a region without shares keeps all.
-func TestRegionWithoutSlotsAtTheFirstStepLendsAll(t *testing.T) {
-	demand := map[steering.Region]placement.DemandOf{"norte": asks(20), "sur": asks(20)}
+// Guards against an entry VM that keeps the keys of a region without open slots there, because a
+// region without shares keeps all keys. After a loss of all entry VMs, a region's only target was
+// ejected at the time of the first step; the VM then refused a third of that region's requests for
+// ten seconds.
+func TestRegionWithoutSlotsOffloadsAllKeysAtTheFirstStep(t *testing.T) {
+	demand := map[steering.Region]placement.DemandOf{"norte": demandFor(20), "sur": demandFor(20)}
 	first := placement.NextLending(nil, situation(demand, placement.Slots{service: {"norte": 72}}))
 	assert.Assert(t, first.Kept(service, "sur") < 0.01, "keeps %v", first[service]["sur"])
 }
 
-// Guards against a region that goes on taking keys of others while requests that may run
-// nowhere else fill it.
-func TestRegionLendsWhatItsBoundRequestsLeaveNoRoomFor(t *testing.T) {
+// Guards against a region that continues to take keys of others while requests that may run nowhere
+// else occupy its slots.
+func TestPinnedRequestsReduceCapacityForOtherKeys(t *testing.T) {
 	const service = steering.Service("s")
 	demand := func(rate float32, bound map[steering.Region]float32) placement.DemandOf {
 		return placement.DemandOf{service: {Rate: rate, RunMs: 100, Runs: 100, Bound: bound}}
 	}
 	slots := placement.Slots{service: {"norte": 30, "centro": 30, "sur": 30}}
-	lend := func(bound map[steering.Region]float32) placement.Lending {
+	sharesWith := func(bound map[steering.Region]float32) placement.Lending {
 		l := placement.Lending{}
 		for range 200 {
 			l = placement.NextLending(l, placement.Situation{Slots: slots, Regions: 3, ShiftShare: 0.15, Demand: map[steering.Region]placement.DemandOf{
@@ -243,16 +242,16 @@
 		}
 		return l
 	}
-	assert.Assert(t, lend(nil).Kept(service, "centro") > 0.99)
-	l := lend(map[steering.Region]float32{"centro": 120}) // 12 of its 30 slots
+	assert.Assert(t, sharesWith(nil).Kept(service, "centro") > 0.99)
+	l := sharesWith(map[steering.Region]float32{"centro": 120}) // 12 of its 30 slots
 	assert.Assert(t, l.Kept(service, "centro") < 0.9, "%v", l)
-	assert.Assert(t, l.Kept(service, "norte") > 0.99, "norte's own callers leave it room: %v", l)
+	assert.Assert(t, l.Kept(service, "norte") > 0.99, "norte has capacity beyond its own callers' demand: %v", l)
 	load := 12 + 15*l.Kept(service, "centro")
 	assert.Assert(t, load < 0.75*30, "%.1f of its slots are busy", load)
 }
 
-// Guards against demand that is counted twice, or lost, as it is added up over VMs.
-func TestBoundDemandAddsUp(t *testing.T) {
+// Guards against demand that is lost or counted twice when it is summed over entry VMs.
+func TestPinnedDemandIsSummedByRegion(t *testing.T) {
 	a := placement.Demand{Rate: 10, Bound: map[steering.Region]float32{"norte": 2}}
 	b := placement.Demand{Rate: 5, Bound: map[steering.Region]float32{"norte": 1, "sur": 4}}
 	sum := a.Add(b).Add(placement.Demand{Rate: 1})
--- a/steering/placement/placement_test.go
+++ b/steering/placement/placement_test.go
@@ -38,7 +38,7 @@
 		Left: 2 * time.Second, Repeatable: true}
 }
 
-// serve places a request and ends it at once with an outcome.
+// serve places a request and immediately ends it with an outcome.
 func serve(b *placement.Balancer, now time.Time, r placement.Request, o placement.Outcome) (placement.Pick, *placement.Refusal) {
 	pick, refusal := b.Choose(now, r)
 	if refusal == nil {
@@ -48,8 +48,8 @@
 	return pick, refusal
 }
 
-// All entry VMs must place a key alike, without a message between them; a lost
-// target must move only its own keys, or the rest would run cold too.
+// All entry VMs must place a key on the same target without messages between them. A lost target
+// must move only its own keys, as every moved key runs cold.
 func TestOnlyTheKeysOfALostTargetMove(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 30).Draw(t, "targets")
@@ -70,12 +70,11 @@
 	})
 }
 
-// Symptom: half of the callers wait for a target that is dead. Sequence: it goes
-// without a reset; each request that is placed on it waits for a time-out.
-// Cause: going by the list of targets, which knows of it seconds later. It has
-// to be passed over after a few, tried again with single requests, and used
-// again once one succeeds.
-func TestDeadTargetIsPassedOverTriedAndUsedAgain(t *testing.T) {
+// Guards against half of the callers waiting for the timeout of a dead target, until the list of
+// targets shows seconds later that it is gone. A target that disappears without a connection reset
+// must be ejected after a few timeouts, probed with single requests, and used again after one
+// succeeds.
+func TestDeadTargetIsEjectedProbedAndReinstated(t *testing.T) {
 	all := targets(4, "centro")
 	b := newBalancer("vm", all...)
 	r := request("key")
@@ -105,10 +104,9 @@
 	assert.Equal(t, again.Target.Name, first.Target.Name)
 }
 
-// Symptom: a whole service is refused though its targets work. Sequence: most
-// fail at once. Cause: believing evidence that more likely speaks of the way
-// there than of all of them.
-func TestWhenMostLookBadAllAreUsed(t *testing.T) {
+// Guards against refusing a whole service because most of its targets seem to fail at once. Then a
+// fault of the network is more likely than a fault of all targets.
+func TestEjectionIsIgnoredWhenMostTargetsAreEjected(t *testing.T) {
 	b := newBalancer("vm", targets(4, "centro")...)
 	for k := range 200 {
 		serve(b, start.Add(time.Duration(k)*10*time.Millisecond), request(fmt.Sprint(k)), placement.Silent)
@@ -120,8 +118,8 @@
 	}
 }
 
-// A leaving target, one in a zone under evacuation, one that another took the
-// address of, and one tried before get nothing.
+// A target that is leaving or in a zone under evacuation, one whose address another target has
+// taken, and one that was already tried must get no request.
 func TestClosedReplacedAndTriedTargetsGetNothing(t *testing.T) {
 	all := targets(3, "centro")
 	all[0].Closed = true
@@ -141,11 +139,10 @@
 	assert.Equal(t, refusal.Reason, steering.ReasonNoTarget)
 }
 
-// Symptom: a target that has just started crashes. Sequence: several entry VMs
-// send it what its keys bring. Cause: each counts only its own requests. In any
-// second, all of them together must stay under rate x 1.5 + 5, also while they
-// differ on who lives.
-func TestColdTargetIsNotCrashedByAllTogether(t *testing.T) {
+// Guards against crashing a target that has just started, when several entry VMs send it requests
+// and each counts only its own. In any second, all of them together must stay below rate x 1.5 + 5,
+// even while their lists of live peers differ; here the lists are the same.
+func TestColdTargetRateHoldsForAllEntryVMsTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.IntRange(1, 40).Draw(t, "entry VMs")
 		const rate = 7.7
@@ -178,16 +175,16 @@
 					count++
 				}
 			}
-			assert.Assert(t, float64(count) <= rate*1.5+5, "%d in a second", count)
+			assert.Assert(t, float64(count) <= rate*1.5+5, "%d requests within one second", count)
 		}
 	})
 }
 
-// Symptom: a region of few targets refuses for ten seconds, and then sends away
-// what its own targets have room for. Sequence: a queue forms there and keys are
-// lent to a region 70 ms away; the entry VM takes the waits and the way for the
-// time of a run. Cause: learning from runs that waited or ran elsewhere.
-func TestDemandCountsNeitherWaitsNorTheWayToOtherRegions(t *testing.T) {
+// Guards against counting queueing time or the network latency to another region as service time. A
+// queue forms in a region with few targets, and some of its keys are served by a region 70 ms away.
+// With inflated times the region refused requests for ten seconds, and then offloaded keys that its
+// own targets had capacity for.
+func TestServiceTimeExcludesWaitsAndCrossRegionLatency(t *testing.T) {
 	const run, way, wait = 100 * time.Millisecond, 70 * time.Millisecond, 300 * time.Millisecond
 	b := newBalancer("vm", append(targets(2, "centro"), targets(4, "sur")...)...)
 	b.SetLending(placement.Lending{service: {"centro": {"centro": 0.5, "sur": 0.5}}})
@@ -208,16 +205,17 @@
 		b.Ended(now, pick.Target, report, pick.Trial, false)
 	}
 	got := b.Demand(now)[service]
-	assert.Assert(t, math.Abs(float64(got.RunMs)-100) < 15, "a run is taken to last %.0f ms", got.RunMs)
-	assert.Assert(t, math.Abs(float64(got.Rate)-50) < 8, "%.0f requests a second", got.Rate)
+	assert.Assert(t, math.Abs(float64(got.RunMs)-100) < 15, "service time of %.0f ms", got.RunMs)
+	assert.Assert(t, math.Abs(float64(got.Rate)-50) < 8, "%.0f requests per second", got.Rate)
 }
 
-// Symptom: as above, in a region that is hot from the start, where hardly a run is
-// without a wait. Cause: each VM going by its own observations alone.
-func TestHotRegionLearnsFromOthersHowLongARunLasts(t *testing.T) {
-	hot := placement.DemandOf{service: {Rate: 90, RunMs: 400, Runs: 2}}
-	calm := placement.DemandOf{service: {Rate: 90, RunMs: 100, Runs: 500}}
-	demand := map[steering.Region]placement.DemandOf{"norte": hot, "centro": calm}
+// Guards against service times that each entry VM takes from its own samples only. In a region that
+// is overloaded from the start, nearly every request waits, so that it has hardly any sample; the
+// effects are those of the test above.
+func TestOverloadedRegionUsesServiceTimesOfOthers(t *testing.T) {
+	overloaded := placement.DemandOf{service: {Rate: 90, RunMs: 400, Runs: 2}}
+	idle := placement.DemandOf{service: {Rate: 90, RunMs: 100, Runs: 500}}
+	demand := map[steering.Region]placement.DemandOf{"norte": overloaded, "centro": idle}
 	all := placement.Runs(demand)
 	assert.Assert(t, all[service].RunMs < 110, "%v", all)
 	slots := placement.Slots{service: {"norte": 16, "centro": 16}}
@@ -225,15 +223,15 @@
 	assert.Equal(t, next.Kept(service, "norte"), 1.0, "9 of 16 slots are busy")
 
 	b := newBalancer("vm", targets(2, "centro")...)
-	b.Choose(start, request("key")) // guesses by the aim
+	b.Choose(start, request("key")) // sets the initial service times
 	b.Arrived(start, service, "")
 	b.Learn(all)
 	assert.Assert(t, b.Demand(start)[service].RunMs < 110)
 }
 
-// Symptom: callers of a region wait for targets of a region that is cut off.
-// Sequence: keys are lent there, the links break. Cause: lending by slots alone.
-func TestKeysAreNotLentToRegionsThatAreCutOff(t *testing.T) {
+// Guards against offloading keys by slots alone: when the links to a region break, callers must not
+// wait for targets of that region.
+func TestKeysAreNotOffloadedToUnreachableRegions(t *testing.T) {
 	all := append(append(targets(2, "centro"), targets(2, "sur")...), targets(2, "norte")...)
 	b := newBalancer("vm", all...)
 	b.SetLending(placement.Lending{service: {"centro": {"centro": 0.1, "sur": 0.45, "norte": 0.45}}})
@@ -245,8 +243,8 @@
 	}
 }
 
-// Symptom: a request runs in a region that its route forbids. Whatever is lent
-// or lost, only allowed regions are chosen.
+// Guards against running a request in a region that its route forbids, whatever the shares are and
+// whichever targets are lost.
 func TestOnlyAllowedRegionsAreChosen(t *testing.T) {
 	all := append(targets(2, "centro"), targets(2, "sur")...)
 	b := newBalancer("vm", all...)
--- a/steering/placement/plan.go
+++ b/steering/placement/plan.go
@@ -8,187 +8,189 @@
 	"heatherlock/steering"
 )
 
-// plan is where a service's keys run now, and where they are to run. Loads are in slots
-// kept busy by warm runs.
+// plan holds how a service's keys are divided between regions now and the goal for it. Capacity and
+// loads are in slots that are occupied by requests with warm keys.
 type plan struct {
-	room, busy map[steering.Region]float64
-	// fixed is what may run in one region alone, whoever asks it.
-	fixed map[steering.Region]float64
-	// level is how full a region may be before its keys leave it in a hurry: fullEnough,
-	// or as full as all regions together are if that is more.
-	level float64
-	// before and goal are the shares of each region's keys.
-	before, goal map[steering.Region]Shares
-	// load is what runs in each region as the keys are divided now.
+	// capacity is the number of open slots of each region, demand the load that its callers may place
+	// in any region.
+	capacity, demand map[steering.Region]float64
+	// pinned is the load that may run in one region only, by that region.
+	pinned map[steering.Region]float64
+	// limit is the utilization up to which a region keeps its keys: maxUtilization, or that
+	// of all regions together if it is higher.
+	limit float64
+	// current and goal are the shares of each region's keys.
+	current, goal map[steering.Region]Shares
+	// load is what runs in each region with the current shares.
 	load map[steering.Region]float64
 }
 
-func newPlan(service steering.Service, now Lending, busy, fixed, room map[steering.Region]float64, regions int) *plan {
-	p := &plan{room: room, busy: busy, fixed: fixed, level: levelOf(sum(busy)+sum(fixed), sum(room)),
-		before: firstShares(room, busy, regions), goal: make(map[steering.Region]Shares), load: make(map[steering.Region]float64)}
-	if len(busy) == 0 {
-		p.goal = p.before
+func newPlan(service steering.Service, now Lending, demand, pinned, capacity map[steering.Region]float64, regions int) *plan {
+	p := &plan{capacity: capacity, demand: demand, pinned: pinned, limit: utilizationLimit(sum(demand)+sum(pinned), sum(capacity)),
+		current: initialShares(capacity, demand, regions), goal: make(map[steering.Region]Shares), load: make(map[steering.Region]float64)}
+	if len(demand) == 0 {
+		p.goal = p.current
 		return p
 	}
-	for region := range regionsIn(room, busy) {
+	for region := range regionsOf(capacity, demand) {
 		if shares, found := now[service][region]; found {
-			p.before[region] = shares
+			p.current[region] = shares
 		}
 	}
-	p.measure()
-	p.draw(p.busy)
+	p.sumLoad()
+	p.setGoal(p.demand)
 	return p
 }
 
-// firstShares draws shares as if all regions asked the same, and together as much as all
-// slots bear: those of a VM that has just started, and those before there is demand. A
-// region that has no open slot just now lends all.
-func firstShares(room, busy map[steering.Region]float64, regions int) map[steering.Region]Shares {
+// initialShares returns the shares for equal demand in all regions that together occupies all
+// slots. They apply on an entry VM that has just started and while there is no demand. A region
+// without open slots offloads all its keys.
+func initialShares(capacity, demand map[steering.Region]float64, regions int) map[steering.Region]Shares {
 	equal := make(map[steering.Region]float64)
-	for region := range regionsIn(room, busy) {
-		equal[region] = sum(room) / float64(max(regions, 1))
+	for region := range regionsOf(capacity, demand) {
+		equal[region] = sum(capacity) / float64(max(regions, 1))
 	}
-	p := &plan{room: room, level: 1, goal: make(map[steering.Region]Shares)}
-	p.draw(equal)
+	p := &plan{capacity: capacity, limit: 1, goal: make(map[steering.Region]Shares)}
+	p.setGoal(equal)
 	return p.goal
 }
 
-// measure sums up what runs where as the keys are divided now.
-func (p *plan) measure() {
-	maps.Copy(p.load, p.fixed)
-	for region, shares := range p.before {
+// sumLoad computes the load of each region with the current shares.
+func (p *plan) sumLoad() {
+	maps.Copy(p.load, p.pinned)
+	for region, shares := range p.current {
 		for to, share := range shares {
-			p.load[to] += share * p.busy[region]
+			p.load[to] += share * p.demand[region]
 		}
 	}
 }
 
-// draw sets the goal for a demand: each region keeps what its slots bear at the level, and
-// the rest goes where there is most room.
-func (p *plan) draw(demand map[steering.Region]float64) {
+// setGoal sets the goal for a demand: each region keeps what its slots can take up to the
+// utilization limit, and the rest goes to the least utilized regions.
+func (p *plan) setGoal(demand map[steering.Region]float64) {
 	var surplus float64
-	for region, busy := range demand {
-		surplus += math.Max(0, busy-p.bears(region))
+	for region, load := range demand {
+		surplus += math.Max(0, load-p.available(region))
 	}
-	taken := p.fill(demand, surplus)
-	all := sum(taken)
-	for region := range regionsIn(p.room, demand) {
-		p.goal[region] = p.sharesOf(region, demand[region], taken, all)
+	received := p.waterFill(demand, surplus)
+	all := sum(received)
+	for region := range regionsOf(p.capacity, demand) {
+		p.goal[region] = p.regionShares(region, demand[region], received, all)
 	}
 }
 
-// bears is what a region's slots bear at the level beside what has to run there.
-func (p *plan) bears(region steering.Region) float64 {
-	return math.Max(0, p.level*p.room[region]-p.fixed[region])
+// available returns the slots of a region that unpinned requests may occupy.
+func (p *plan) available(region steering.Region) float64 {
+	return math.Max(0, p.limit*p.capacity[region]-p.pinned[region])
 }
 
-// sharesOf divides one region's keys, with what the others take of all that is lent.
-func (p *plan) sharesOf(region steering.Region, busy float64, taken map[steering.Region]float64, all float64) Shares {
-	lent := math.Max(0, busy-p.bears(region))
-	if lent == 0 || all == 0 {
+// regionShares returns one region's shares, given how much of the total surplus each region receives.
+func (p *plan) regionShares(region steering.Region, load float64, received map[steering.Region]float64, all float64) Shares {
+	excess := math.Max(0, load-p.available(region))
+	if excess == 0 || all == 0 {
 		return Shares{region: 1}
 	}
-	shares := Shares{region: 1 - lent/busy}
-	for to, part := range taken {
+	shares := Shares{region: 1 - excess/load}
+	for to, part := range received {
 		if part > 0 {
-			shares[to] += lent / busy * part / all
+			shares[to] += excess / load * part / all
 		}
 	}
 	return shares
 }
 
-// fill divides a surplus between the regions that are less full than the level, so that
-// all which take some end at one level.
-func (p *plan) fill(demand map[steering.Region]float64, surplus float64) map[steering.Region]float64 {
-	var takers []steering.Region
-	for region, room := range p.room {
-		if room > 0 && demand[region] < p.bears(region) {
-			takers = append(takers, region)
+// waterFill divides a surplus between the regions that are below the utilization limit, starting
+// with the least utilized, so that all regions which receive some reach the same utilization.
+func (p *plan) waterFill(demand map[steering.Region]float64, surplus float64) map[steering.Region]float64 {
+	var receivers []steering.Region
+	for region, capacity := range p.capacity {
+		if capacity > 0 && demand[region] < p.available(region) {
+			receivers = append(receivers, region)
 		}
 	}
-	runs := func(r steering.Region) float64 { return demand[r] + p.fixed[r] }
-	fullness := func(r steering.Region) float64 { return runs(r) / p.room[r] }
-	sort.Slice(takers, func(i, j int) bool {
-		if fullness(takers[i]) != fullness(takers[j]) {
-			return fullness(takers[i]) < fullness(takers[j])
+	regionLoad := func(r steering.Region) float64 { return demand[r] + p.pinned[r] }
+	utilization := func(r steering.Region) float64 { return regionLoad(r) / p.capacity[r] }
+	sort.Slice(receivers, func(i, j int) bool {
+		if utilization(receivers[i]) != utilization(receivers[j]) {
+			return utilization(receivers[i]) < utilization(receivers[j])
 		}
-		return takers[i] < takers[j]
+		return receivers[i] < receivers[j]
 	})
-	taken := make(map[steering.Region]float64, len(takers))
-	var busy, room float64
-	for n, region := range takers {
-		busy, room = busy+runs(region), room+p.room[region]
-		reached := (busy + surplus) / room
-		if n+1 < len(takers) && reached > fullness(takers[n+1]) {
-			continue // the next one takes some as well
+	received := make(map[steering.Region]float64, len(receivers))
+	var totalLoad, capacity float64
+	for n, region := range receivers {
+		totalLoad, capacity = totalLoad+regionLoad(region), capacity+p.capacity[region]
+		reached := (totalLoad + surplus) / capacity
+		if n+1 < len(receivers) && reached > utilization(receivers[n+1]) {
+			continue // the next region receives some as well
 		}
-		for _, taker := range takers[:n+1] {
-			taken[taker] = math.Max(0, reached*p.room[taker]-runs(taker))
+		for _, receiver := range receivers[:n+1] {
+			received[receiver] = math.Max(0, reached*p.capacity[receiver]-regionLoad(receiver))
 		}
 		break
 	}
-	return taken
+	return received
 }
 
-// distance is the part of a region's keys that has to move to reach the goal.
+// distance returns the share of a region's keys that must move to reach the goal.
 func (p *plan) distance(region steering.Region) float64 {
 	var moved float64
-	for to := range regionsIn(p.before[region], p.goal[region]) {
-		moved += math.Max(0, p.goal[region][to]-p.before[region][to])
+	for to := range regionsOf(p.current[region], p.goal[region]) {
+		moved += math.Max(0, p.goal[region][to]-p.current[region][to])
 	}
 	return moved
 }
 
-// step moves a region's shares towards the goal, shortened by a factor: in full where keys
-// leave a region that is too full, unhurried elsewhere.
+// step returns a region's shares after one step towards the goal. Moves are shortened by factor,
+// and by slowFactor too unless the region that the keys leave is overloaded.
 func (p *plan) step(region steering.Region, factor float64) Shares {
-	before, goal := p.before[region], p.goal[region]
+	current, goal := p.current[region], p.goal[region]
 	moved := p.distance(region)
 	next := make(Shares, len(goal))
-	for to, share := range before {
+	for to, share := range current {
 		next[to] = share
 	}
 	if moved == 0 {
 		return next
 	}
-	factor = math.Min(factor, fastestStep/moved)
-	for from := range before {
-		leaves := math.Max(0, before[from]-goal[from]) * factor
-		if !p.tooFull(from) {
-			leaves *= unhurried
+	factor = math.Min(factor, maxStep/moved)
+	for from := range current {
+		leaving := math.Max(0, current[from]-goal[from]) * factor
+		if !p.overloaded(from) {
+			leaving *= slowFactor
 		}
 		for to := range goal {
-			next[to] += leaves * math.Max(0, goal[to]-before[to]) / moved
+			next[to] += leaving * math.Max(0, goal[to]-current[to]) / moved
 		}
-		next[from] -= leaves
+		next[from] -= leaving
 	}
-	return next.tidy()
+	return next.prune()
 }
 
-// noShare is a share too small to hold a key.
-const noShare = 1e-6
+// minShare is the smallest share that is kept; a smaller one holds no key.
+const minShare = 1e-6
 
-// tidy drops shares too small to matter; they would never quite reach zero.
-func (s Shares) tidy() Shares {
+// prune removes shares below minShare, which the steps would never reduce to exactly zero.
+func (s Shares) prune() Shares {
 	for region, share := range s {
-		if share < noShare {
+		if share < minShare {
 			delete(s, region)
 		}
 	}
 	return s
 }
 
-// tooFull reports whether a region has more to run than the level allows.
-func (p *plan) tooFull(region steering.Region) bool {
-	return p.load[region] > p.level*p.room[region]
+// overloaded reports whether the load of a region exceeds the utilization limit.
+func (p *plan) overloaded(region steering.Region) bool {
+	return p.load[region] > p.limit*p.capacity[region]
 }
 
-// levelOf returns how full a region may be before it lends.
-func levelOf(busy, room float64) float64 {
-	if room == 0 {
-		return fullEnough
+// utilizationLimit returns the utilization up to which a region keeps its keys.
+func utilizationLimit(load, capacity float64) float64 {
+	if capacity == 0 {
+		return maxUtilization
 	}
-	return math.Max(fullEnough, busy/room)
+	return math.Max(maxUtilization, load/capacity)
 }
 
 func sum(byRegion map[steering.Region]float64) float64 {
@@ -199,8 +201,8 @@
 	return all
 }
 
-// regionsIn returns every region that occurs.
-func regionsIn(byRegion ...map[steering.Region]float64) map[steering.Region]bool {
+// regionsOf returns all regions that occur in the maps.
+func regionsOf(byRegion ...map[steering.Region]float64) map[steering.Region]bool {
 	found := make(map[steering.Region]bool)
 	for _, m := range byRegion {
 		for region := range m {
--- a/steering/placement/regions.go
+++ b/steering/placement/regions.go
@@ -7,13 +7,14 @@
 	"heatherlock/steering/rendezvous"
 )
 
-// regionsFor returns the regions of a key in the order in which they are used, the first
-// by the shares in which its region's keys are divided. The others count only where the
-// first has no target left: what merely finds no room is refused, since moving it would
-// cool targets there and move traffic between regions with every burst.
+// regionsFor returns the regions for a key in order of preference; the first is chosen according to
+// the shares into which the keys of the caller's region are divided. The others are used only if
+// the first has no target left. A request for which the first region merely has no free slot is
+// refused, because moving it would make keys of the other region's targets cold and move traffic
+// between regions with every burst.
 //
-// Weighted rendezvous hashing: when a share changes, about that part of the keys moves and
-// no other, on all entry VMs alike.
+// The order is that of weighted rendezvous hashing: when a share changes, only about that part of
+// the keys moves, and in the same way on all entry VMs.
 func (b *Balancer) regionsFor(r Request, keyHash uint64, v *serviceState) []steering.Region {
 	type ranked struct {
 		region steering.Region
@@ -21,7 +22,7 @@
 		score  float64
 	}
 	var all []ranked
-	shares := b.lending.of(r.Service, r.Region)
+	shares := b.lending.sharesOf(r.Service, r.Region)
 	for region, slots := range b.reachable(r, v) {
 		c := ranked{region: region, share: shares[region]}
 		c.score = rendezvous.Score(keyHash, rendezvous.Hash(string(region)), c.share)
@@ -43,21 +44,21 @@
 	return regions
 }
 
-// reachable returns the open slots by region, without zones that are cut off
-// from here unless there is nothing else.
+// reachable returns the open slots by region. Zones that are unreachable from here are left out
+// unless no other zone has open slots.
 func (b *Balancer) reachable(r Request, v *serviceState) map[steering.Region]float64 {
-	lit, all := make(map[steering.Region]float64), make(map[steering.Region]float64)
+	connected, all := make(map[steering.Region]float64), make(map[steering.Region]float64)
 	for _, s := range v.targets {
 		if s.Closed || r.Allowed != nil && !r.Allowed(s.Region) {
 			continue
 		}
 		all[s.Region] += float64(s.Slots)
-		if !b.dark[s.Zone] {
-			lit[s.Region] += float64(s.Slots)
+		if !b.unreachable[s.Zone] {
+			connected[s.Region] += float64(s.Slots)
 		}
 	}
-	if len(lit) == 0 {
+	if len(connected) == 0 {
 		return all
 	}
-	return lit
+	return connected
 }
--- a/steering/placement/replaced.go
+++ b/steering/placement/replaced.go
@@ -10,65 +10,66 @@
 )
 
 const (
-	// replacedToldFor is how long a target that was found replaced is told to others.
-	// Heartbeats of a zone are at most 0.5 s apart up to 25 VMs in it, and what some of
-	// them miss others pass on.
-	replacedToldFor = 1500 * time.Millisecond
-	// mostReplacedTold bounds those in one heartbeat: 320 bytes.
-	mostReplacedTold = 64
+	// replacedSharedFor is how long a replaced target is reported to other entry VMs. In a zone of
+	// up to 25 VMs, heartbeats are at most 0.5 s apart, and what some VMs miss is passed on by
+	// others.
+	replacedSharedFor = 1500 * time.Millisecond
+	// maxReplacedShared limits the number of replaced targets in one heartbeat, to 320 bytes.
+	maxReplacedShared = 64
 )
 
-// StartID names one start of a target at an address, in few bytes. Of 1,000 targets two
-// share one with a chance of 1 in 8,000; then one gets nothing until its entry changes.
+// StartID is a short hash that identifies one start of a target at an address. Among 1,000 targets
+// the probability that two have the same StartID is 1 in 8,000; in that case one of them gets no
+// requests until its entry changes.
 type StartID uint32
 
-// idOfStart returns the StartID of a target.
-func idOfStart(t Target) StartID {
+// startIDOf returns the StartID of a target.
+func startIDOf(t Target) StartID {
 	d := xxhash.New()
-	_, _ = d.WriteString(string(t.Name) + "\x00" + t.Address) // a hash takes all
+	_, _ = d.WriteString(string(t.Name) + "\x00" + t.Address) // never fails
 	var generation [8]byte
 	binary.BigEndian.PutUint64(generation[:], uint64(t.Generation))
 	_, _ = d.Write(generation[:])
 	return StartID(d.Sum64())
 }
 
-// replacements are the targets that were found replaced: another one answered at their
-// address, so that this start of them is gone, whatever their entries still say.
+// replacements holds the targets that were found to be replaced: another target has answered at
+// their address, so this start of them is gone even if their entries still exist.
 //
-// Entry VMs tell each other: the entries of targets that crash last for some heartbeats,
-// and if each VM sent each of them a request first, the budget for further tries would be
-// used up by that. Unlike slowness or failures it is proved by one answer, so that it can
-// be told and believed.
+// Entry VMs report replaced targets to each other. The entries of crashed targets remain for some
+// heartbeats, and if every VM sent each of these targets a request first, these requests would use
+// up the retry budget. Unlike slowness or failures, a replacement is proved by a single answer, so
+// other VMs can rely on the report.
 type replacements struct {
-	// byStart finds the targets that are declared.
-	byStart map[StartID]*state
-	// found holds when those were found that are still told.
+	// declared holds the declared targets by start.
+	declared map[StartID]*targetState
+	// found holds the time at which each target that is still reported was found to be replaced.
 	found map[StartID]time.Time
 }
 
 func newReplacements() replacements {
-	return replacements{byStart: make(map[StartID]*state), found: make(map[StartID]time.Time)}
+	return replacements{declared: make(map[StartID]*targetState), found: make(map[StartID]time.Time)}
 }
 
-// declare makes targets known by their starts, in place of those before.
-func (r *replacements) declare(all map[steering.Target]*state) {
-	clear(r.byStart)
+// declare replaces the declared targets.
+func (r *replacements) declare(all map[steering.Target]*targetState) {
+	clear(r.declared)
 	for _, s := range all {
-		r.byStart[s.start] = s
+		r.declared[s.startID] = s
 	}
 }
 
-// note closes a target that was found replaced, and has others told.
-func (r *replacements) note(now time.Time, s *state) {
+// add closes a target that was found to be replaced and schedules it to be reported.
+func (r *replacements) add(now time.Time, s *targetState) {
 	s.Closed = true
 	if s.replaced {
 		return
 	}
 	s.replaced = true
-	r.found[s.start] = now
+	r.found[s.startID] = now
 }
 
-// Replaced returns the targets that are closed since another one answers at their address.
+// Replaced returns the targets that are closed because another target answers at their address.
 func (b *Balancer) Replaced() []steering.Target {
 	var names []steering.Target
 	for name, s := range b.byName {
@@ -79,26 +80,27 @@
 	return names
 }
 
-// ReplacedToTell returns the targets that were found replaced of late.
+// ReplacedToTell returns the targets to report to other entry VMs as replaced.
 func (b *Balancer) ReplacedToTell(now time.Time) []StartID {
-	var told []StartID
+	var starts []StartID
 	for start, at := range b.replaced.found {
-		if now.Sub(at) > replacedToldFor {
+		if now.Sub(at) > replacedSharedFor {
 			delete(b.replaced.found, start)
 			continue
 		}
-		if len(told) < mostReplacedTold {
-			told = append(told, start)
+		if len(starts) < maxReplacedShared {
+			starts = append(starts, start)
 		}
 	}
-	return told
+	return starts
 }
 
-// LearnReplaced closes targets that others found replaced, and passes the news on.
+// LearnReplaced closes targets that other entry VMs found to be replaced, and reports them to
+// further VMs.
 func (b *Balancer) LearnReplaced(now time.Time, starts []StartID) {
 	for _, start := range starts {
-		if s := b.replaced.byStart[start]; s != nil {
-			b.replaced.note(now, s)
+		if s := b.replaced.declared[start]; s != nil {
+			b.replaced.add(now, s)
 		}
 	}
 }
--- a/steering/placement/replaced_test.go
+++ b/steering/placement/replaced_test.go
@@ -17,14 +17,13 @@
 
 func closedOf(b *Balancer, now time.Time) int { return b.Counts(now)[0].Closed }
 
-// Symptom: 3,414 callers are refused with "the budget for further tries is used up" while a
-// fifth of the targets is replaced. Sequence: targets crash, others start at their
-// addresses; until the old entries lapse, each entry VM sends each of them a request that
-// is refused there, and opens them again with each news of other targets. Cause: what one
-// answer had proved was kept by one VM, and only until its next update. Evidence: 4,961
-// tries at 257 targets ended that way, from 17 VMs each, 557 from a VM that had met it
-// before.
-func TestReplacedTargetStaysClosedUntilItsEntrySaysOtherwise(t *testing.T) {
+// Guards against reopening a replaced target when the list of other targets changes. When a fifth
+// of the targets crash and others start at their addresses, the old entries remain for a while; if
+// each entry VM sends each of them a request that the new target refuses, and again after every
+// update of the list, the retry budget runs out. 4,961 requests at 257 targets ended that way, from
+// 17 VMs each, 557 of them from a VM that had already found the target replaced, and 3,414 callers
+// were refused.
+func TestReplacedTargetStaysClosedUntilItsEntryChanges(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := NewBalancer("vm", "r")
 	all := []Target{declaredTarget(1), declaredTarget(2)}
@@ -32,22 +31,23 @@
 	b.Began(now, all[0], "", false)
 	b.Ended(now, all[0], Report{Outcome: Replaced}, false, false)
 	b.SetTargets(append(all, declaredTarget(3)))
-	assert.Equal(t, closedOf(b, now), 1, "news of others opens it")
+	assert.Equal(t, closedOf(b, now), 1, "a change of other targets must not open it")
 
 	moved := declaredTarget(1)
 	moved.Address = "10.0.9.9:80"
 	b.SetTargets([]Target{moved, all[1]})
-	assert.Equal(t, closedOf(b, now), 0, "it has another address")
+	assert.Equal(t, closedOf(b, now), 0, "its address has changed")
 
-	b.LearnReplaced(now, []StartID{idOfStart(moved)})
+	b.LearnReplaced(now, []StartID{startIDOf(moved)})
 	assert.Equal(t, closedOf(b, now), 1)
 	moved.Generation = 2
 	b.SetTargets([]Target{moved, all[1]})
-	assert.Equal(t, closedOf(b, now), 0, "it has started again")
+	assert.Equal(t, closedOf(b, now), 0, "it has restarted")
 }
 
-// What one VM found, others know, pass on for a while, and then leave alone.
-func TestReplacedTargetsAreToldForAWhile(t *testing.T) {
+// A replaced target that one entry VM found must be closed on others, which report it further for a
+// limited time only.
+func TestReplacedTargetsAreReportedForLimitedTime(t *testing.T) {
 	now := time.Unix(1000, 0)
 	first, second := NewBalancer("vm-1", "r"), NewBalancer("vm-2", "r")
 	all := []Target{declaredTarget(1), declaredTarget(2)}
@@ -55,21 +55,21 @@
 	second.SetTargets(all)
 	first.Began(now, all[1], "", false)
 	first.Ended(now, all[1], Report{Outcome: Replaced}, false, false)
-	told := first.ReplacedToTell(now)
-	assert.DeepEqual(t, told, []StartID{idOfStart(all[1])})
+	reported := first.ReplacedToTell(now)
+	assert.DeepEqual(t, reported, []StartID{startIDOf(all[1])})
 
 	now = now.Add(time.Second)
-	second.LearnReplaced(now, append(told, 17)) // one that it does not know
+	second.LearnReplaced(now, append(reported, 17)) // one that it does not know
 	assert.Equal(t, closedOf(second, now), 1)
-	assert.DeepEqual(t, second.ReplacedToTell(now), told)
+	assert.DeepEqual(t, second.ReplacedToTell(now), reported)
 	now = now.Add(time.Second)
 	first.LearnReplaced(now, second.ReplacedToTell(now))
-	assert.Equal(t, len(first.ReplacedToTell(now)), 0, "what is known already is not passed on for ever")
+	assert.Equal(t, len(first.ReplacedToTell(now)), 0, "a known replacement must not be reported forever")
 }
 
-// However many targets are replaced, a heartbeat's part of it is bounded, and each VM that
-// hears all heartbeats closes all of them.
-func TestManyReplacedTargetsBecomeKnown(t *testing.T) {
+// The number of replaced targets in one heartbeat must be limited, however many there are, and a VM
+// that receives all heartbeats must close all of these targets.
+func TestManyReplacedTargetsAreAllReported(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		first, second := NewBalancer("vm-1", "r"), NewBalancer("vm-2", "r")
@@ -83,11 +83,11 @@
 		for n := range gone {
 			first.Began(now, all[n], "", false)
 			first.Ended(now, all[n], Report{Outcome: Replaced}, false, false)
-			if n%mostReplacedTold == mostReplacedTold-1 || n == gone-1 {
-				told := first.ReplacedToTell(now)
-				assert.Assert(t, len(told) <= mostReplacedTold)
-				second.LearnReplaced(now, told)
-				now = now.Add(2 * replacedToldFor)
+			if n%maxReplacedShared == maxReplacedShared-1 || n == gone-1 {
+				reported := first.ReplacedToTell(now)
+				assert.Assert(t, len(reported) <= maxReplacedShared)
+				second.LearnReplaced(now, reported)
+				now = now.Add(2 * replacedSharedFor)
 			}
 		}
 		assert.Equal(t, closedOf(first, now), gone)
--- a/steering/placement/shed_test.go
+++ b/steering/placement/shed_test.go
@@ -9,11 +9,10 @@
 	"heatherlock/steering/placement"
 )
 
-// Symptom: the only target of a region is passed over though it serves all it can.
-// Sequence: its queue is full, it refuses several requests in a row and says how full it
-// is. Cause: taking want of room for a fault. A target that refuses with slots free, or
-// does not say how full it is, does have a fault.
-func TestRefusalForWantOfRoomIsNoFailure(t *testing.T) {
+// Guards against ejecting the only target of a region because its queue is full: it refuses several
+// requests in a row and reports its load. A target that refuses with free slots, or without
+// reporting its load, has a fault and must be ejected.
+func TestRefusalByFullTargetIsNoFailure(t *testing.T) {
 	full := placement.Report{Outcome: placement.Shed, LoadKnown: true, Running: 4, Waiting: 12}
 	idle := placement.Report{Outcome: placement.Shed, LoadKnown: true, Running: 2}
 	silent := placement.Report{Outcome: placement.Shed}
--- a/steering/placement/state.go
+++ b/steering/placement/state.go
@@ -8,180 +8,180 @@
 )
 
 const (
-	// learnShare is the weight of a new observation in a moving average: about
-	// the last ten count, some seconds of a target's traffic.
-	learnShare = 0.1
-	// failShare is the same for failures: half of what counts is the last three.
-	failShare = 0.2
-	// othersFade is the time in which a reported load of other entry VMs loses
-	// two thirds of its weight; about one service time.
-	othersFade = 250 * time.Millisecond
-	// Pauses before a ejected target is tried again double from the first to
-	// the last. The first is about the time in which a crashed target restarts.
-	firstPause = 400 * time.Millisecond
-	lastPause  = 4 * time.Second
-	// failLimit is the share of failures at which a target is passed over. A
-	// service fails well under 1 in 100 by itself; a target that fails 1 in 3
-	// costs its callers more than a cold start elsewhere.
-	failLimit = 0.34
-	// hardLimit is the count of breaks in a row that make a target ejected. One
-	// may be a single request's doing.
-	hardLimit = 2
-	// keptKeys bounds the keys remembered a target.
-	keptKeys = 64
-	// keyFresh is how long a key is taken to be warm on a target that ran it.
-	keyFresh = 15 * time.Second
+	// ewmaWeight is the weight of a new sample in a moving average. About the last ten samples
+	// count, which is a few seconds of a target's traffic.
+	ewmaWeight = 0.1
+	// failureWeight is the same for failures: the last three results make up half of the average.
+	failureWeight = 0.2
+	// othersDecay is the time in which the last reported load of other entry VMs loses two thirds
+	// of its weight against the average; it is about one service time.
+	othersDecay = 250 * time.Millisecond
+	// The time for which a target is ejected doubles with each ejection, from minEjectionTime to
+	// maxEjectionTime. minEjectionTime is about the time in which a crashed target restarts.
+	minEjectionTime = 400 * time.Millisecond
+	maxEjectionTime = 4 * time.Second
+	// maxFailureRate is the failure rate above which a target is ejected. A service by itself fails
+	// well under 1 in 100 requests; a target that fails 1 in 3 costs its callers more than a cold
+	// start on another target.
+	maxFailureRate = 0.34
+	// maxConsecutiveBreaks is the number of consecutive connection failures and timeouts at which a
+	// target is ejected. A single one may be caused by the request.
+	maxConsecutiveBreaks = 2
+	// maxWarmKeys limits the number of keys remembered for each target.
+	maxWarmKeys = 64
+	// warmKeyTTL is how long a key is assumed to stay warm on a target that ran it.
+	warmKeyTTL = 15 * time.Second
 )
 
-// state is what one entry VM knows of a target.
-type state struct {
+// targetState is what one entry VM knows about a target.
+type targetState struct {
 	Target
 	hash uint64
 
-	sent    int       // in flight from here
-	others  float64   // load by others at the last report
-	average float64   // moving average of others
-	told    time.Time // of the last report
-
-	took      float64 // moving average of its service time, seconds; 0 unknown
-	failures  float64 // moving share of failures
-	breaks    int     // in a row
-	pause     time.Duration
-	ejected   bool
-	tryAt     time.Time // when a ejected target may be tried
-	trying    bool
-	coldSpent coldBucket
-	keys      map[string]time.Time
-
-	// start names this start at its address; replaced is set once another target has
-	// answered there.
-	start    StartID
+	inFlight      int       // requests sent by this entry VM
+	othersLoad    float64   // load by other entry VMs at the last report
+	othersAverage float64   // moving average of othersLoad
+	reportedAt    time.Time // time of the last load report
+
+	serviceTime       float64 // moving average, in seconds; 0 if unknown
+	failureRate       float64 // moving average, from 0 to 1
+	consecutiveBreaks int     // connection failures and timeouts
+	ejectionTime      time.Duration
+	ejected           bool
+	probeAt           time.Time // when an ejected target may be probed
+	probing           bool
+	coldTokens        tokenBucket
+	warmKeys          map[string]time.Time
+
+	// startID identifies this start of the target at its address. replaced is set once another
+	// target has answered at the address.
+	startID  StartID
 	replaced bool
 }
 
-// declared takes in what is declared of the target. One that was found replaced stays
+// applyDeclared updates the declared properties. A target that was found to be replaced stays
 // closed until its entry names another start or address.
-func (s *state) declared(t Target) {
-	start := idOfStart(t)
-	s.replaced = s.replaced && s.start == start
-	s.Target, s.start = t, start
+func (s *targetState) applyDeclared(t Target) {
+	startID := startIDOf(t)
+	s.replaced = s.replaced && s.startID == startID
+	s.Target, s.startID = t, startID
 	s.Closed = s.Closed || s.replaced
 }
 
-// load estimates what runs and waits at the target now.
-func (s *state) load(now time.Time) float64 {
-	fade := math.Exp(-float64(now.Sub(s.told)) / float64(othersFade))
-	return float64(s.sent) + s.average + (s.others-s.average)*fade
+// load estimates the number of requests that run or wait at the target now.
+func (s *targetState) load(now time.Time) float64 {
+	decay := math.Exp(-float64(now.Sub(s.reportedAt)) / float64(othersDecay))
+	return float64(s.inFlight) + s.othersAverage + (s.othersLoad-s.othersAverage)*decay
 }
 
-func (s *state) reported(now time.Time, r Report) {
+func (s *targetState) applyLoad(now time.Time, r Report) {
 	if !r.LoadKnown {
 		return
 	}
-	s.others = math.Max(0, float64(r.Running+r.Waiting-s.sent))
-	s.average += learnShare * (s.others - s.average)
-	s.told = now
+	s.othersLoad = math.Max(0, float64(r.Running+r.Waiting-s.inFlight))
+	s.othersAverage += ewmaWeight * (s.othersLoad - s.othersAverage)
+	s.reportedAt = now
 }
 
-func (s *state) cold(now time.Time) bool { return now.Before(s.ColdUntil) }
+func (s *targetState) cold(now time.Time) bool { return now.Before(s.ColdUntil) }
 
-// succeed clears what was held against the target.
-func (s *state) succeed() {
-	s.failures -= failShare * s.failures
-	s.breaks = 0
-	s.ejected = s.failures > failLimit
+// recordSuccess lowers the failure rate and reinstates the target once the rate is low enough.
+func (s *targetState) recordSuccess() {
+	s.failureRate -= failureWeight * s.failureRate
+	s.consecutiveBreaks = 0
+	s.ejected = s.failureRate > maxFailureRate
 	if !s.ejected {
-		s.pause = 0
+		s.ejectionTime = 0
 	}
 }
 
-// fail notes a failure; hard ones mean that the target may be gone.
-func (s *state) fail(now time.Time, hard bool) {
-	s.failures += failShare * (1 - s.failures)
+// recordFailure records a failed exchange. A hard failure suggests that the target is gone.
+func (s *targetState) recordFailure(now time.Time, hard bool) {
+	s.failureRate += failureWeight * (1 - s.failureRate)
 	if hard {
-		s.breaks++
+		s.consecutiveBreaks++
 	}
-	if s.breaks < hardLimit && s.failures <= failLimit {
+	if s.consecutiveBreaks < maxConsecutiveBreaks && s.failureRate <= maxFailureRate {
 		return
 	}
 	s.eject(now)
 }
 
-func (s *state) eject(now time.Time) {
+func (s *targetState) eject(now time.Time) {
 	s.ejected = true
-	s.pause = min(max(2*s.pause, firstPause), lastPause)
-	s.tryAt = now.Add(s.pause)
+	s.ejectionTime = min(max(2*s.ejectionTime, minEjectionTime), maxEjectionTime)
+	s.probeAt = now.Add(s.ejectionTime)
 }
 
-// remember notes that the target has run a key.
-func (s *state) remember(now time.Time, key string) {
+// recordKey records that the target has run a key.
+func (s *targetState) recordKey(now time.Time, key string) {
 	if key == "" {
 		return
 	}
-	if s.keys == nil {
-		s.keys = make(map[string]time.Time)
+	if s.warmKeys == nil {
+		s.warmKeys = make(map[string]time.Time)
 	}
-	if len(s.keys) >= keptKeys {
-		s.forget(now)
+	if len(s.warmKeys) >= maxWarmKeys {
+		s.evictKeys(now)
 	}
-	s.keys[key] = now
+	s.warmKeys[key] = now
 }
 
-// forget drops stale keys, and the oldest if none is stale.
-func (s *state) forget(now time.Time) {
+// evictKeys removes expired keys, and the oldest key if that leaves too many.
+func (s *targetState) evictKeys(now time.Time) {
 	oldest, at := "", now
-	for key, used := range s.keys {
-		if now.Sub(used) > keyFresh {
-			delete(s.keys, key)
+	for key, used := range s.warmKeys {
+		if now.Sub(used) > warmKeyTTL {
+			delete(s.warmKeys, key)
 		} else if !used.After(at) {
 			oldest, at = key, used
 		}
 	}
-	if len(s.keys) >= keptKeys {
-		delete(s.keys, oldest)
+	if len(s.warmKeys) >= maxWarmKeys {
+		delete(s.warmKeys, oldest)
 	}
 }
 
-func (s *state) warmFor(now time.Time, key string) bool {
-	used, known := s.keys[key]
-	return known && now.Sub(used) <= keyFresh
+func (s *targetState) warmFor(now time.Time, key string) bool {
+	used, known := s.warmKeys[key]
+	return known && now.Sub(used) <= warmKeyTTL
 }
 
-// serviceState is what is learned of a service.
+// serviceState is what one entry VM has learned about a service.
 type serviceState struct {
-	targets []*state
-	// fast and slow are the service times of warm and cold keys, seconds.
-	fast, slow float64
-	mean       float64
-	seen       int
-	// runs is how many of those seen were fast.
-	runs int
-	// overflow is what is left for requests beside the first of their order.
-	overflow float64
-	// arrivals is the moving rate of requests from this entry VM's callers.
+	targets []*targetState
+	// warmTime and coldTime are the service times for warm and cold keys, in seconds.
+	warmTime, coldTime float64
+	meanTime           float64
+	samples            int
+	// warmSamples is the number of samples that counted as warm.
+	warmSamples int
+	// overflowTokens are spent on requests that run on the second target of their key's order.
+	overflowTokens float64
+	// arrivals is the rate of requests from this entry VM's callers.
 	arrivals rate
-	// bound are those that may run in one region alone.
-	bound map[steering.Region]*rate
+	// pinned are the rates of the requests that may run in one region only, by that region.
+	pinned map[steering.Region]*rate
 }
 
-func (v *serviceState) boundTo(region steering.Region) *rate {
-	if v.bound == nil {
-		v.bound = make(map[steering.Region]*rate)
+func (v *serviceState) pinnedTo(region steering.Region) *rate {
+	if v.pinned == nil {
+		v.pinned = make(map[steering.Region]*rate)
 	}
-	if v.bound[region] == nil {
-		v.bound[region] = &rate{}
+	if v.pinned[region] == nil {
+		v.pinned[region] = &rate{}
 	}
-	return v.bound[region]
+	return v.pinned[region]
 }
 
-// leastRate is a rate too small to tell, in requests per second.
-const leastRate = 0.01
+// minRate is the rate, in requests per second, below which pinned demand is not reported.
+const minRate = 0.01
 
-func (v *serviceState) boundRates(now time.Time) map[steering.Region]float32 {
+func (v *serviceState) pinnedRates(now time.Time) map[steering.Region]float32 {
 	var rates map[steering.Region]float32
-	for region, r := range v.bound {
+	for region, r := range v.pinned {
 		rate := r.value(now)
-		if rate < leastRate {
+		if rate < minRate {
 			continue
 		}
 		if rates == nil {
@@ -192,117 +192,118 @@
 	return rates
 }
 
-// First guesses of service times until observed, as shares of the aim: operators
-// set an aim that a warm run keeps with room for a queue, and a cold run misses.
-// With guesses far below, an entry VM that has just started sends each target
-// more than it can run in time.
+// The initial service times, as shares of the latency objective, apply until times are observed.
+// Operators set an objective that a warm request meets even after a short wait and that a cold one
+// misses. If the initial times were far too low, an entry VM that has just started would send each
+// target more than it can run in time.
 const (
-	guessFast = 0.4
-	guessSlow = 1.2
-	// guessAim, in seconds, stands in for an aim that is not stated.
-	guessAim = 0.2
+	defaultWarmShare = 0.4
+	defaultColdShare = 1.2
+	// defaultObjective, in seconds, is assumed if a request has no latency objective.
+	defaultObjective = 0.2
 )
 
 func newServiceState() *serviceState {
 	v := &serviceState{}
-	v.guess(guessAim)
+	v.setDefaults(defaultObjective)
 	return v
 }
 
-// guess sets the times of a service that nothing is known of yet.
-func (v *serviceState) guess(aim float64) {
-	if v.seen == 0 && aim > 0 {
-		v.guessed(guessFast * aim)
+// setDefaults sets the service times of a service without samples from a latency objective.
+func (v *serviceState) setDefaults(objective float64) {
+	if v.samples == 0 && objective > 0 {
+		v.setTimes(defaultWarmShare * objective)
 	}
 }
 
-// guessed sets the times by that of a warm run.
-func (v *serviceState) guessed(fast float64) {
-	v.fast, v.slow, v.mean = fast, fast*guessSlow/guessFast, fast
+// setTimes sets all service times from that for warm keys.
+func (v *serviceState) setTimes(warmTime float64) {
+	v.warmTime, v.coldTime, v.meanTime = warmTime, warmTime*defaultColdShare/defaultWarmShare, warmTime
 }
 
-// enoughRuns is how many runs an entry VM goes by rather than by what others tell.
-const enoughRuns = 20
+// minSamples is the number of samples from which on an entry VM uses its own service times, and
+// below which it uses those that other entry VMs report.
+const minSamples = 20
 
 const (
-	// guessWeight is how many observations the first guesses count for, so that one odd
-	// answer does not set the times of a service.
-	guessWeight = 5
-	// leak is the part of an observation above the middle that the fast time takes
-	// in as well, so that it follows when the guesses were far too low and every
-	// observation counts as slow.
-	leak = 0.1
+	// defaultsWeight is the number of samples that the initial service times count as, so that a
+	// single unusual sample does not determine the times of a service.
+	defaultsWeight = 5
+	// warmLeak is the part of a cold sample's weight with which it also moves warmTime. Without it,
+	// warmTime would never follow if the initial times were far too low and every sample counted as
+	// cold.
+	warmLeak = 0.1
 )
 
-// learn takes in a service time without a wait, in seconds.
-func (v *serviceState) learn(took float64) {
-	share := math.Max(learnShare/4, 1/float64(v.seen+guessWeight))
-	v.seen++
-	v.mean += share * (took - v.mean)
-	if took <= (v.fast+v.slow)/2 {
-		v.fast += share * (took - v.fast)
-		v.runs++
+// observe adds the service time of a request that did not wait, in seconds.
+func (v *serviceState) observe(took float64) {
+	share := math.Max(ewmaWeight/4, 1/float64(v.samples+defaultsWeight))
+	v.samples++
+	v.meanTime += share * (took - v.meanTime)
+	if took <= (v.warmTime+v.coldTime)/2 {
+		v.warmTime += share * (took - v.warmTime)
+		v.warmSamples++
 		return
 	}
-	v.slow += share * (took - v.slow)
-	v.fast += leak * share * (took - v.fast)
+	v.coldTime += share * (took - v.coldTime)
+	v.warmTime += warmLeak * share * (took - v.warmTime)
 }
 
-// warm is the time of a warm run, or 0 while it is only guessed.
-func (v *serviceState) warm() time.Duration {
-	if v.seen == 0 {
+// warmEstimate returns the service time for warm keys, or 0 before the first sample.
+func (v *serviceState) warmEstimate() time.Duration {
+	if v.samples == 0 {
 		return 0
 	}
-	return span(v.fast)
+	return span(v.warmTime)
 }
 
-// coldPenalty is what a run costs on a target that does not know the key.
-func (v *serviceState) coldPenalty() float64 { return math.Max(0, v.slow-v.fast) }
+// coldPenalty returns the extra time that a request takes on a target where its key is cold.
+func (v *serviceState) coldPenalty() float64 { return math.Max(0, v.coldTime-v.warmTime) }
 
-// rate is a moving rate of events per second.
+// rate is a moving average of events per second.
 type rate struct {
 	perSecond float64
 	at        time.Time
 	since     time.Time
 }
 
-// rateSpan is the time over which a rate is averaged: short enough that lending follows a
-// burst.
-const rateSpan = 1500 * time.Millisecond
+// rateWindow is the time over which a rate is averaged. It is short enough for the division of keys
+// between regions to follow a burst.
+const rateWindow = 1500 * time.Millisecond
 
 func (r *rate) add(now time.Time, n float64) {
-	r.fade(now)
-	r.perSecond += n / rateSpan.Seconds()
+	r.decay(now)
+	r.perSecond += n / rateWindow.Seconds()
 }
 
-func (r *rate) fade(now time.Time) {
+func (r *rate) decay(now time.Time) {
 	if r.at.IsZero() {
 		r.since = now
 	} else {
-		r.perSecond *= math.Exp(-float64(now.Sub(r.at)) / float64(rateSpan))
+		r.perSecond *= math.Exp(-float64(now.Sub(r.at)) / float64(rateWindow))
 	}
 	r.at = now
 }
 
-// shortestRateAge is the age below which a rate is not extrapolated.
-const shortestRateAge = 300 * time.Millisecond
+// minRateAge is the smallest age that is assumed for a rate when it is extrapolated.
+const minRateAge = 300 * time.Millisecond
 
-// value returns the rate. A young one has not taken in a whole span yet; without
-// the correction the first seconds of traffic would look like a trickle.
+// value returns the rate. It corrects for a rate that is younger than the window; otherwise the
+// first seconds of traffic would look like a small fraction of the real rate.
 func (r *rate) value(now time.Time) float64 {
-	r.fade(now)
-	age := max(now.Sub(r.since), shortestRateAge)
-	return r.perSecond / (1 - math.Exp(-float64(age)/float64(rateSpan)))
+	r.decay(now)
+	age := max(now.Sub(r.since), minRateAge)
+	return r.perSecond / (1 - math.Exp(-float64(age)/float64(rateWindow)))
 }
 
-// coldBucket paces the requests to a cold target.
-type coldBucket struct {
+// tokenBucket limits the requests to a cold target. It holds at most one token.
+type tokenBucket struct {
 	tokens float64
 	at     time.Time
 }
 
-// take spends a token if there is one.
-func (b *coldBucket) take(now time.Time, perSecond float64) bool {
+// take spends a token and reports whether there was one.
+func (b *tokenBucket) take(now time.Time, perSecond float64) bool {
 	if b.at.IsZero() {
 		b.tokens = 1
 	} else {
--- a/steering/placement/types.go
+++ b/steering/placement/types.go
@@ -6,110 +6,112 @@
 	"heatherlock/steering"
 )
 
-// Target is what is declared of a target.
+// Target holds the declared properties of a target.
 type Target struct {
 	Name steering.Target
-	// Generation is the start of the target that this is about.
+	// Generation identifies the start of the target process that this entry describes.
 	Generation steering.Generation
 	Service    steering.Service
 	Address    string
 	Zone       steering.Zone
 	Region     steering.Region
 	Slots      int
-	// Closed targets get nothing new: they are leaving, or their zone is being
-	// evacuated.
+	// Closed targets get no new requests: they are leaving, their zone is being evacuated, or
+	// another target has taken their address.
 	Closed bool
-	// ColdUntil is when the target stops being cold; zero if it is not.
+	// ColdUntil is when the target is no longer cold; zero if it is not cold.
 	ColdUntil time.Time
-	// ColdRate is the requests per second that it bears while cold.
+	// ColdRate is how many requests per second the target can take while it is cold.
 	ColdRate float64
 }
 
-// Request is what placement knows of a request.
+// Request holds the properties of a request that matter for its placement.
 type Request struct {
 	Service steering.Service
-	// Key groups requests on the same object; empty means none.
+	// Key groups requests for the same object; empty if the request has none.
 	Key string
-	// ID stands in for the key of a request without one.
+	// ID replaces the key of a request that has none.
 	ID string
-	// Region is where the entry VM runs.
+	// Region is the region of the entry VM.
 	Region steering.Region
-	// Allowed reports whether it may run in a region; nil allows all.
+	// Allowed reports whether the request may run in a region; nil allows all.
 	Allowed func(steering.Region) bool
-	// Aim is the time from now within which the answer has its full worth.
+	// Aim is the time from now within which the answer has its full value to the caller: the rest
+	// of the request's latency objective. Zero means no objective.
 	Aim time.Duration
-	// Left is the time from now at which it is given up.
+	// Left is the time from now until the request's deadline. Zero means no deadline.
 	Left time.Duration
-	// Rank orders kinds of one service; 0 is served first.
+	// Rank is the priority among the requests of a service; 0 is the highest.
 	Rank int
-	// Repeatable requests may be used to try a ejected target.
+	// Repeatable marks an idempotent request, which may be used to probe an ejected target.
 	Repeatable bool
-	// Tried are targets that refused it or failed it already.
+	// Tried holds the targets that have already refused or failed the request.
 	Tried []steering.Target
 }
 
-// Pick is a chosen target.
+// Pick is the target chosen for a request, with the predictions for it.
 type Pick struct {
 	Target Target
-	// Expected is the predicted time to the answer.
+	// Expected is the predicted time until the answer.
 	Expected time.Duration
-	// Wait is the predicted wait within it.
+	// Wait is the part of Expected that the request waits for a slot.
 	Wait time.Duration
-	// Warm is the time of a warm run of the service; 0 while it is only guessed.
+	// Warm is the service time for warm keys of the service; 0 if none was observed yet.
 	Warm time.Duration
-	// Rank is the target's rank in the key's order, 0 first.
+	// Rank is the target's position in the key's order; 0 is the first.
 	Rank int
-	// Trial marks a request sent to a ejected target to learn how it fares.
+	// Trial marks a probe: a request that is sent to an ejected target.
 	Trial bool
-	// Away marks one that runs in another region.
+	// Away marks a request that runs outside the entry VM's region.
 	Away bool
 }
 
 // Refusal says why no target was chosen.
 type Refusal struct {
 	Reason steering.Reason
-	// RetryAfter is when there is likely to be room.
+	// RetryAfter is when a slot is likely to be free.
 	RetryAfter time.Duration
-	// Wait is the shortest predicted wait.
+	// Wait is the shortest predicted wait for a slot.
 	Wait time.Duration
-	// Warm is the time of a warm run of the service; 0 while it is only guessed.
+	// Warm is the service time for warm keys of the service; 0 if none was observed yet.
 	Warm time.Duration
 }
 
 // Outcome is how an exchange with a target ended.
 type Outcome uint8
 
-// Outcomes.
+// Outcomes of an exchange.
 const (
-	// Served: it answered, whatever the answer says of the request.
+	// Served: the target answered, whatever the answer says about the request.
 	Served Outcome = iota
-	// Failed: it answered with a failure of its own.
+	// Failed: the target answered with an error of its own.
 	Failed
-	// Shed: it proved that it did not run the request.
+	// Shed: the target refused the request and proved that it did not run it.
 	Shed
 	// Unreachable: no connection could be made.
 	Unreachable
-	// Broken: the connection broke, or the answer was spoiled.
+	// Broken: the connection broke, or the answer was invalid.
 	Broken
-	// Silent: no answer came in time.
+	// Silent: no answer arrived before the timeout.
 	Silent
-	// Abandoned: given up for reasons that are not the target's.
+	// Abandoned: the exchange was given up for a reason unrelated to the target.
 	Abandoned
-	// Replaced: another target has the address now.
+	// Replaced: another target uses the address now.
 	Replaced
 )
 
 var outcomeNames = [...]string{"served", "failed", "shed", "unreachable", "broken", "silent", "abandoned", "replaced"}
 
-// String names the outcome in logs.
+// String returns the name of the outcome in logs.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Report is what an ended exchange showed.
+// Report is the result of a completed exchange.
 type Report struct {
 	Outcome Outcome
-	// Took is the time from sending to the answer.
+	// Took is the time from sending the request to the answer.
 	Took time.Duration
-	// LoadKnown tells that the target reported its load, itself not counted.
+	// LoadKnown reports whether the target reported its load: the requests that it runs and that
+	// wait there, not counting this one.
 	LoadKnown bool
 	Running   int
 	Waiting   int
--- a/steering/placement/workspaces_test.go
+++ b/steering/placement/workspaces_test.go
@@ -11,13 +11,13 @@
 	"heatherlock/steering"
 )
 
-// Guards against workspaces that are crowded out by others within their allowances: under
-// more load than fits, none is answered in time less than half as often as all, however
-// unlike their demand is.
-func TestNoWorkspaceIsCrowdedOut(t *testing.T) {
+// Guards against workspaces that are starved by others which stay within their allowances. Under
+// overload, the share of requests answered in time must be at least half as high for each workspace
+// as for all together, however different their demand is.
+func TestNoWorkspaceIsStarved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const spaces = 8
-		p := newPlayOf(2, rapid.Float64Range(400, 600).Draw(t, "requests a second and region"))
+		p := newSimulationOf(2, rapid.Float64Range(400, 600).Draw(t, "requests a second and region"))
 		weights, sum := make([]int, spaces), 0
 		for n := range weights {
 			weights[n] = rapid.IntRange(1, 40).Draw(t, "weight")
@@ -29,17 +29,17 @@
 				drawn -= weights[n]
 				n++
 			}
-			return fmt.Sprintf("%s-key-%d-of-%d", region, p.random.IntN(loadKeys/spaces), n)
+			return fmt.Sprintf("%s-key-%d-of-%d", region, p.random.IntN(keysPerRegion/spaces), n)
 		}
 		p.run(2 * time.Second)
-		p.bySpace = make(map[string]*tally)
+		p.byWorkspace = make(map[string]*tally)
 		all := &tally{}
 		for _, got := range p.run(3 * time.Second) {
-			all.asked, all.inAim = all.asked+got.asked, all.inAim+got.inAim
+			all.requests, all.inTime = all.requests+got.requests, all.inTime+got.inTime
 		}
-		for space, got := range p.bySpace {
-			if got.asked >= 100 {
-				assert.Assert(t, got.share() >= all.share()/2, "workspace %s: %.2f of %d in time, all %.2f", space, got.share(), got.asked, all.share())
+		for space, got := range p.byWorkspace {
+			if got.requests >= 100 {
+				assert.Assert(t, got.inTimeShare() >= all.inTimeShare()/2, "workspace %s: %.2f of %d in time, all %.2f", space, got.inTimeShare(), got.requests, all.inTimeShare())
 			}
 		}
 	})
