--- a/steering/spread/choose.go
+++ b/steering/spread/choose.go
@@ -8,11 +8,12 @@
 )
 
 const (
-	// askersEach is how many VMs of a zone ask another zone, and of a region another
-	// region, at first. The others get it from those, over shorter ways.
-	askersEach = 2
-	// widenEvery is how long the first may take until as many more may ask as well.
-	widenEvery = 200 * time.Millisecond
+	// initialAskers is how many VMs of a zone at first may ask other zones, and how many of a
+	// region other regions. The remaining VMs get the configuration from these, over shorter links.
+	initialAskers = 2
+	// wideningInterval is the time after which as many more VMs may ask, in case the first are
+	// slow.
+	wideningInterval = 200 * time.Millisecond
 )
 
 // Source is an entry VM that has a newer configuration.
@@ -23,46 +24,47 @@
 	Version uint64
 }
 
-// Asker is the VM that wants it.
+// Asker is the entry VM that requests the newer configuration.
 type Asker struct {
 	Zone   steering.Zone
 	Region steering.Region
-	// ZoneRank and RegionRank say how many live VMs of its zone and region ask before it.
+	// ZoneRank and RegionRank are the numbers of live VMs in its zone and region that ask first.
 	ZoneRank, RegionRank int
-	// Waited is how long it has known that there is a newer one.
+	// Waited is how long the VM has known that a newer configuration exists.
 	Waited time.Duration
-	// Place names the VM that keeps a place for it, if any does.
+	// Place is the VM that has reserved a slot for it; empty if none has.
 	Place steering.VM
 }
 
-// Choose returns the VM to ask, or false if none is to be asked yet: one of its own zone,
-// else of its region, else any, and of these that which keeps a place for the asker, since
-// nobody else gets it meanwhile, or any. draw returns a number from 0 to n-1. All sources
-// have a newer configuration than the asker.
+// Choose returns the VM to ask, or false if the asker should not ask any yet. It prefers VMs in the
+// asker's zone, then in its region, then any. Among equally near ones it returns the VM that has
+// reserved a slot for the asker, since no other VM can use that slot meanwhile, or a random one.
+// draw returns a random number from 0 to n-1. All sources must have a newer configuration than the
+// asker.
 //
-// If all asked the first that knows, its link and those between regions would carry as many
-// copies as there are VMs. Those that have the newest are few while versions come one after
-// the other, so that any newer one will do.
+// If all VMs asked the first one that has the configuration, its link and the links between regions
+// would carry as many copies as there are VMs. While versions follow each other quickly, only few
+// VMs have the newest one, so that any newer version is accepted.
 func Choose(a Asker, all []Source, draw func(n int) int) (Source, bool) {
-	allowed := askersEach * (1 + int(a.Waited/widenEvery))
-	for _, near := range []func(Source) bool{
+	allowed := initialAskers * (1 + int(a.Waited/wideningInterval))
+	for _, inScope := range []func(Source) bool{
 		func(s Source) bool { return s.Zone == a.Zone },
 		func(s Source) bool { return s.Region == a.Region && a.ZoneRank < allowed },
 		func(Source) bool { return a.RegionRank < allowed },
 	} {
-		kept := slices.IndexFunc(all, func(s Source) bool { return s.VM == a.Place && near(s) })
-		if kept >= 0 {
-			return all[kept], true
+		reserved := slices.IndexFunc(all, func(s Source) bool { return s.VM == a.Place && inScope(s) })
+		if reserved >= 0 {
+			return all[reserved], true
 		}
-		if found := those(all, near); len(found) > 0 {
+		if found := filter(all, inScope); len(found) > 0 {
 			return found[draw(len(found))], true
 		}
 	}
 	return Source{}, false
 }
 
-// those returns the sources that are wanted.
-func those(all []Source, wanted func(Source) bool) []Source {
+// filter returns the sources for which wanted returns true.
+func filter(all []Source, wanted func(Source) bool) []Source {
 	var found []Source
 	for _, s := range all {
 		if wanted(s) {
--- a/steering/spread/doc.go
+++ b/steering/spread/doc.go
@@ -1,29 +1,30 @@
-// Package spread says how a configuration gets from the entry VM that has read it
-// to all others: in small parts, each of them told only where it differs.
+// Package spread distributes a configuration from the entry VM that has read it to all other entry
+// VMs, in small parts that contain only what differs.
 //
-// Told as one answer, a table grows until it no longer passes a narrow link within any
-// fixed time; every VM that asks gets the whole of it for the change of one weight, and
-// what came of an answer that broke off is lost.
+// If a configuration were sent as one answer, it would grow until it no longer fits through a
+// narrow link within any fixed time, every VM would receive all of it for the change of one weight,
+// and the data of an interrupted answer would be lost.
 //
-// Routes are spread over buckets by a hash of host and prefix, workspaces by one of their
-// name; both are items, and told alike. An Outline holds a hash
-// of each bucket: 8 bytes for about 64 routes. A VM that is behind asks a peer for the
-// Outline, and then, for the buckets that differ, tells the hashes of the routes it has;
-// the answer (a Piece) names those that stay and brings the others. A Draft collects
-// pieces. A route is known by the hash of its content, so that it counts whoever sent
-// it and for whichever version: a peer that ends, a time that runs out and a newer
-// version that comes in between cost nothing of what is there already.
+// Routes are distributed over buckets by a hash of host and prefix, workspaces by a hash of their
+// name. Both are items and are sent in the same way. An Outline holds a hash of each bucket: 8
+// bytes for about 64 items. A VM whose configuration is out of date requests the Outline from a
+// peer. Then, for the buckets that differ, it sends the hashes of the items it has (Need); the
+// answer (Piece) names those that stay and contains the others. A Draft assembles the pieces. An
+// item is identified by the hash of its content, so it can be used whichever peer has sent it and
+// for whichever version. A peer that stops, a timeout, or a newer version in between therefore
+// loses nothing that was received.
 //
-// Room bounds what a VM promises to send. Who asks for more is told at once when to
-// come back, and meanwhile asks another that has it; so the copies double from VM to VM
-// instead of leaving one link one after the other. Choose says whom to ask. A question that
-// is long by its hashes goes only to a VM that keeps a place for the asker. Recent tells a configuration a
-// little longer than it is in force, to those who have begun to ask for it.
+// Room limits how much a VM sends and to how many VMs at a time. A VM whose request exceeds the
+// limits is told at once when to retry, and meanwhile asks another VM that has the configuration.
+// So the number of copies doubles from VM to VM, instead of all copies leaving over one link.
+// Choose selects the VM to ask. A request that is long because of its hashes is sent only to a VM
+// that has reserved a slot for the requester. Recent keeps a configuration available for a short
+// time after it was replaced, for VMs that have begun to fetch it.
 //
-// Ways weighed. A log of changes by version is smaller by some hundred bytes for one
-// route, but serves only those who ask for a version that the log still holds, and its
-// parts do not fit together across peers. A whole table without a time limit ends, but
-// grows with the configuration and with the number of those who ask. Passing on parts
-// before a VM has them all gains nothing where the growth that is promised in time is one
-// part, and smaller parts lose more by ways there and back.
+// Alternatives considered: a log of changes by version is smaller by some hundred bytes for a
+// single route, but serves only VMs whose version the log still contains, and parts from different
+// peers do not fit together. Sending the whole table without a time limit always completes, but
+// takes time that grows with the configuration and with the number of requesters. Forwarding parts
+// before a VM has all of them gains nothing if a change of the size that must arrive in time fits
+// into one part, and smaller parts lose more time to round trips.
 package spread
--- a/steering/spread/draft.go
+++ b/steering/spread/draft.go
@@ -9,40 +9,39 @@
 	"heatherlock/steering/routes"
 )
 
-// PieceError is a piece that does not fit the draft.
+// PieceError reports a piece that cannot be applied to a draft.
 type PieceError struct {
 	Version uint64
-	// Problem says what does not fit.
+	// Problem is the reason.
 	Problem string
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *PieceError) Error() string {
-	return fmt.Sprintf("spread: part of configuration %d: %s; ask another entry VM", e.Version, e.Problem)
+	return fmt.Sprintf("spread: invalid part of configuration %d: %s; ask another entry VM", e.Version, e.Problem)
 }
 
-// Draft is a configuration that is being put together from pieces. It is not safe for
-// concurrent use.
+// Draft is a configuration that is being assembled from pieces. It is not safe for concurrent use.
 type Draft struct {
-	// known holds each item of the configuration in force and each that has come, by the
-	// hash of its content.
-	known   map[uint64]entry
+	// known holds all items of the configuration in force and all that were received, by the hash
+	// of their content.
+	known   map[uint64]item
 	base    *Index // may be nil
 	outline Outline
 	rest    *Rest
-	// restHash is that of rest.
+	// restHash is the hash of rest.
 	restHash uint64
-	// whole holds the buckets of the outline that are complete, the others are missing.
-	whole   map[int][]entry
-	missing []int
-	// have holds, by bucket, what is known of it.
-	have [][]entry
+	// complete holds the buckets of the outline that are complete; missing lists the others.
+	complete map[int][]item
+	missing  []int
+	// knownByBucket holds the known items by bucket.
+	knownByBucket [][]item
 }
 
 // NewDraft returns an empty draft.
-func NewDraft() *Draft { return &Draft{known: make(map[uint64]entry)} }
+func NewDraft() *Draft { return &Draft{known: make(map[uint64]item)} }
 
-// Base tells the draft the configuration in force, which may be nil.
+// Base sets the configuration in force, whose items need not be fetched. It may be nil.
 func (d *Draft) Base(base *Index) {
 	if base == nil || base == d.base {
 		return
@@ -56,7 +55,7 @@
 	if d.rest == nil {
 		d.setRest(restOf(base.table))
 	}
-	d.compare()
+	d.findMissing()
 }
 
 func restOf(t *routes.Table) *Rest {
@@ -68,69 +67,71 @@
 	d.restHash = hashOfRest(routes.NewTable(0, nil, r.Services, r.Limits))
 }
 
-// Version returns the version that the draft is of; 0 before an outline.
+// Version returns the version that is being assembled, or 0 before the first outline.
 func (d *Draft) Version() uint64 { return d.outline.Version }
 
-// Aim sets the outline to reach, if it is newer. What is known already stays.
-func (d *Draft) Aim(o Outline) {
+// SetOutline sets the outline of the version to assemble, if it is newer than the current one.
+// Items that are known already are kept.
+func (d *Draft) SetOutline(o Outline) {
 	count := len(o.Buckets)
 	if o.Version <= d.outline.Version || count == 0 || count&(count-1) != 0 {
 		return
 	}
 	d.outline = o
-	d.compare()
+	d.findMissing()
 }
 
-// compare finds out which buckets of the outline are missing.
-func (d *Draft) compare() {
+// findMissing determines which buckets of the outline are missing.
+func (d *Draft) findMissing() {
 	count := len(d.outline.Buckets)
 	if count == 0 {
 		return
 	}
-	d.whole, d.missing = make(map[int][]entry), nil
-	all := make([]entry, 0, len(d.known))
+	d.complete, d.missing = make(map[int][]item), nil
+	all := make([]item, 0, len(d.known))
 	for _, e := range d.known {
 		all = append(all, e)
 	}
-	d.have = group(all, count)
+	d.knownByBucket = groupIntoBuckets(all, count)
 	base := d.baseBuckets(count)
 	for n, hash := range d.outline.Buckets {
 		switch {
 		case base != nil && hashOfBucket(base[n]) == hash:
-			d.whole[n] = base[n]
-		case hashOfBucket(d.have[n]) == hash:
-			d.whole[n] = d.have[n]
+			d.complete[n] = base[n]
+		case hashOfBucket(d.knownByBucket[n]) == hash:
+			d.complete[n] = d.knownByBucket[n]
 		default:
 			d.missing = append(d.missing, n)
 		}
 	}
 }
 
-// baseBuckets returns the items in force in so many buckets.
-func (d *Draft) baseBuckets(count int) [][]entry {
+// baseBuckets returns the items in force, divided into count buckets.
+func (d *Draft) baseBuckets(count int) [][]item {
 	if d.base == nil {
 		return nil
 	}
 	if len(d.base.buckets) == count {
 		return d.base.buckets
 	}
-	return group(slices.Concat(d.base.buckets...), count)
+	return groupIntoBuckets(slices.Concat(d.base.buckets...), count)
 }
 
-// bytesPerBucket is the least that a bucket asked for is expected to bring. More of them
-// in one question would send hashes for nothing.
-const bytesPerBucket = 2 << 10
+// minBytesPerBucket is the smallest size that is expected of a bucket in an answer. It limits the
+// number of buckets in one request, because the hashes of buckets that do not fit into the answer
+// would be sent for nothing.
+const minBytesPerBucket = 2 << 10
 
-// Need returns what to ask for next, with an answer of about so many bytes.
+// Need returns the next request, for an answer of about the given number of bytes.
 func (d *Draft) Need(bytes int) Need {
 	need := Need{Version: d.outline.Version, Bytes: bytes}
 	if d.outline.Version == 0 {
 		return need
 	}
 	need.Rest = d.restMissing()
-	for _, n := range d.missing[:min(len(d.missing), max(1, bytes/bytesPerBucket))] {
+	for _, n := range d.missing[:min(len(d.missing), max(1, bytes/minBytesPerBucket))] {
 		b := BucketNeed{Number: n}
-		for _, e := range d.have[n] {
+		for _, e := range d.knownByBucket[n] {
 			b.Have = append(b.Have, e.hash)
 		}
 		need.Buckets = append(need.Buckets, b)
@@ -141,84 +142,84 @@
 
 func (d *Draft) restMissing() bool { return d.rest == nil || d.restHash != d.outline.Rest }
 
-// Take takes in a piece. Items that came in one that does not fit are kept: they count by
-// their content.
+// Take applies a piece. Items of a piece that is rejected are kept, since each is identified by its
+// content.
 func (d *Draft) Take(p Piece) error {
 	if p.Outline != nil {
 		if p.Outline.Version < d.outline.Version {
-			return &PieceError{Version: p.Outline.Version, Problem: "the peer knows an older one"}
+			return &PieceError{Version: p.Outline.Version, Problem: "the peer has an older version"}
 		}
-		d.Aim(*p.Outline)
+		d.SetOutline(*p.Outline)
 		return nil
 	}
 	if p.Version != d.outline.Version {
-		return &PieceError{Version: p.Version, Problem: "it is of another version"}
+		return &PieceError{Version: p.Version, Problem: "it belongs to another version"}
 	}
 	if p.Rest != nil {
 		d.setRest(p.Rest)
 	}
 	for _, b := range p.Buckets {
-		if err := d.takeBucket(b); err != nil {
+		if err := d.applyBucket(b); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (d *Draft) takeBucket(b BucketPiece) error {
-	place := slices.Index(d.missing, b.Number)
-	if place < 0 {
-		return nil // told before
+func (d *Draft) applyBucket(b BucketPiece) error {
+	at := slices.Index(d.missing, b.Number)
+	if at < 0 {
+		return nil // already complete
 	}
-	bucket := make([]entry, 0, len(b.Keep)+len(b.Routes)+len(b.Workspaces))
+	bucket := make([]item, 0, len(b.Keep)+len(b.Routes)+len(b.Workspaces))
 	for _, w := range b.Routes {
-		bucket = append(bucket, d.learn(b.Number, entryOfRoute(w.route())))
+		bucket = append(bucket, d.addItem(b.Number, itemOfRoute(w.route())))
 	}
 	for _, w := range b.Workspaces {
-		bucket = append(bucket, d.learn(b.Number, entryOfWorkspace(w.workspace())))
+		bucket = append(bucket, d.addItem(b.Number, itemOfWorkspace(w.workspace())))
 	}
 	for _, hash := range b.Keep {
 		e, found := d.known[hash]
 		if !found {
-			return &PieceError{Version: d.outline.Version, Problem: "it keeps an item that is not known here"}
+			return &PieceError{Version: d.outline.Version, Problem: "it refers to an item that this VM does not have"}
 		}
 		bucket = append(bucket, e)
 	}
 	bucket = sorted(bucket)
 	if hashOfBucket(bucket) != d.outline.Buckets[b.Number] {
-		return &PieceError{Version: d.outline.Version, Problem: "its items are not those of the outline"}
+		return &PieceError{Version: d.outline.Version, Problem: "its items do not match the outline"}
 	}
-	d.whole[b.Number] = bucket
-	d.missing = slices.Delete(d.missing, place, place+1)
+	d.complete[b.Number] = bucket
+	d.missing = slices.Delete(d.missing, at, at+1)
 	return nil
 }
 
-// learn keeps an item that came for a bucket, and returns the one to use: that of before if
-// it has the same content.
-func (d *Draft) learn(bucket int, e entry) entry {
+// addItem keeps an item received for a bucket and returns the item to use: the known one if there
+// is one with the same content.
+func (d *Draft) addItem(bucket int, e item) item {
 	if known, found := d.known[e.hash]; found {
 		return known
 	}
 	d.known[e.hash] = e
-	d.have[bucket] = append(d.have[bucket], e)
+	d.knownByBucket[bucket] = append(d.knownByBucket[bucket], e)
 	return e
 }
 
-// Done reports whether nothing is missing.
+// Done reports whether the configuration is complete.
 func (d *Draft) Done() bool {
 	return d.outline.Version > 0 && len(d.missing) == 0 && !d.restMissing()
 }
 
-// Left returns how many buckets are missing, of how many.
-func (d *Draft) Left() (missing, of int) { return len(d.missing), len(d.outline.Buckets) }
+// Left returns the number of missing buckets and the number of all buckets.
+func (d *Draft) Left() (missing, total int) { return len(d.missing), len(d.outline.Buckets) }
 
-// Index returns the whole configuration; only for a draft that is done.
+// Index returns the assembled configuration. It must be called only if Done returns true.
 func (d *Draft) Index() *Index {
-	x := &Index{outline: d.outline, buckets: make([][]entry, len(d.outline.Buckets))}
+	x := &Index{outline: d.outline, buckets: make([][]item, len(d.outline.Buckets))}
 	var all []*routes.Route
 	var workspaces []*identity.Workspace
 	for n := range x.buckets {
-		x.buckets[n] = d.whole[n]
+		x.buckets[n] = d.complete[n]
 		for _, e := range x.buckets[n] {
 			if e.workspace != nil {
 				workspaces = append(workspaces, e.workspace)
--- a/steering/spread/fleet_test.go
+++ b/steering/spread/fleet_test.go
@@ -13,9 +13,9 @@
 	"heatherlock/steering/spread"
 )
 
-// The room of a link is never promised to more than it passes, but for one promise that is
-// larger than the whole room, and a wait is long enough.
-func TestRoomPromisesNoMoreThanTheLinkPasses(t *testing.T) {
+// Guards against reserving more than the link can send, apart from one answer that is larger than
+// the limit, and against a retry time that is too short.
+func TestRoomReservesNoMoreThanTheLinkCanSend(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		megabits := rapid.SampledFrom([]float64{0, 10, 200, 1000}).Draw(t, "link")
 		rate := megabits * 1e6 / 8
@@ -24,12 +24,12 @@
 		}
 		room := spread.NewRoom(megabits)
 		start := time.Unix(1000, 0)
-		now, promised, largest := start, 0.0, 0.0
+		now, reserved, largest := start, 0.0, 0.0
 		for range rapid.IntRange(1, 200).Draw(t, "asked") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
 			bytes := rapid.IntRange(1, 400_000).Draw(t, "bytes")
 			ask := spread.Ask{From: fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "asker")), Bytes: bytes, Piece: 60_000,
-				Outline: rapid.Bool().Draw(t, "outline"), End: rapid.Bool().Draw(t, "end")}
+				Outline: rapid.Bool().Draw(t, "outline"), Last: rapid.Bool().Draw(t, "end")}
 			for {
 				wait, ok := room.Promise(now, ask)
 				if ok {
@@ -37,16 +37,16 @@
 				}
 				assert.Assert(t, wait > 0)
 				now = now.Add(wait + time.Millisecond)
-				assert.Assert(t, now.Sub(start) < time.Minute, "no room for ever")
+				assert.Assert(t, now.Sub(start) < time.Minute, "nothing was reserved for a minute")
 			}
-			promised += float64(bytes)
+			reserved += float64(bytes)
 			largest = max(largest, float64(bytes))
-			assert.Assert(t, promised <= rate*(now.Sub(start).Seconds()+0.3)+largest, "%.0f bytes after %v", promised, now.Sub(start))
+			assert.Assert(t, reserved <= rate*(now.Sub(start).Seconds()+0.3)+largest, "%.0f bytes after %v", reserved, now.Sub(start))
 		}
 	})
 }
 
-func TestAskingGoesOverTheShortestWayFirst(t *testing.T) {
+func TestNearestSourceIsChosenFirst(t *testing.T) {
 	source := func(vm steering.VM, zone steering.Zone, region steering.Region, version uint64) spread.Source {
 		return spread.Source{VM: vm, Zone: zone, Region: region, Version: version}
 	}
@@ -61,9 +61,9 @@
 	assert.Equal(t, chosen(spread.Asker{}, far, near), steering.VM("near"))
 	assert.Equal(t, chosen(spread.Asker{}, far), steering.VM("far"))
 	behind := spread.Asker{ZoneRank: 2, RegionRank: 2}
-	assert.Equal(t, chosen(behind, far, near), steering.VM(""), "others of its zone ask first")
+	assert.Equal(t, chosen(behind, far, near), steering.VM(""), "other VMs of its zone ask first")
 	behind.Waited = 200 * time.Millisecond
-	assert.Equal(t, chosen(behind, far, near), steering.VM("near"), "the first may be slow, or gone")
+	assert.Equal(t, chosen(behind, far, near), steering.VM("near"), "the VMs that ask first may be slow or stopped")
 	newer := source("newer", "a", "r", 7)
 	drawn := make(map[steering.VM]bool)
 	for n := range 2 {
@@ -74,48 +74,48 @@
 	assert.DeepEqual(t, drawn, map[steering.VM]bool{"mate": true, "newer": true})
 	for _, draw := range []func(int) int{first, func(of int) int { return of - 1 }} {
 		s, _ := spread.Choose(spread.Asker{Zone: "a", Region: "r", Place: "mate"}, []spread.Source{mate, newer}, draw)
-		assert.Equal(t, s.VM, steering.VM("mate"), "it keeps a place")
+		assert.Equal(t, s.VM, steering.VM("mate"), "it has reserved a slot")
 		s, _ = spread.Choose(spread.Asker{Zone: "a", Region: "r", Place: "far"}, []spread.Source{far, newer}, draw)
-		assert.Equal(t, s.VM, steering.VM("newer"), "a shorter way")
+		assert.Equal(t, s.VM, steering.VM("newer"), "a VM in its own zone is nearer")
 	}
 }
 
-// Symptom: the larger the fleet, the later a configuration is in force on the last VM.
-// Sequence: each VM asks one that has it. Cause: one VM's link carrying all copies: 650
-// copies of 45 kB take a link of 10 Mbit/s 23 s. Played with the decisions alone: all VMs
-// on such links, a change of 1,400 routes, of one, and of 4,200, in bytes on the wire.
+// Guards against a distribution time that grows with the fleet because the link of one VM carries
+// all copies: 650 copies of 45 kB take 23 s on a link of 10 Mbit/s. The simulation runs only
+// the decisions of this package, on such links, for changes of 1,400 routes, of one route and of 4,200 routes;
+// sizes are in bytes on the wire.
 func TestConfigurationReachesALargeFleetInTime(t *testing.T) {
-	// bound is the 4 s in which a change must be in force, less 1.1 s until a VM reads the
-	// store and 0.6 s for its read of 1 MB: the most able read first.
+	// bound is the limit of 4 s in which a change must be in force, less 1.1 s until a VM reads the
+	// store and 0.6 s for reading 1 MB; the VMs with the most resources read first.
 	const bound = 2300 * time.Millisecond
-	for _, c := range []struct{ size, zones, regions, change, question int }{
+	for _, c := range []struct{ size, zones, regions, change, requestBytes int }{
 		{16, 1, 1, 45_000, 25_000}, {84, 9, 3, 45_000, 25_000}, {195, 9, 3, 45_000, 25_000}, {300, 15, 5, 45_000, 25_000},
 		{650, 30, 8, 45_000, 25_000}, {650, 30, 8, 2_000, 300}, {650, 30, 8, 130_000, 300},
 	} {
-		s := newSim(c.size, c.zones, c.regions, c.question, 10, update{0, c.change})
+		s := newSim(c.size, c.zones, c.regions, c.requestBytes, 10, update{0, c.change})
 		last := s.run(t)
 		bytes, sent, most := 0, 0, 0
 		for _, vm := range s.vms {
 			bytes += vm.bytes
 			sent += vm.sent
-			most = max(most, vm.asked)
+			most = max(most, vm.requests)
 		}
-		t.Logf("%d VMs, %d bytes each: on the last after %v, %d bytes a VM, at most %d questions, %d bytes of them a VM", c.size, c.change, last, bytes/c.size, most, sent/c.size)
+		t.Logf("%d VMs, %d bytes each: in force on all after %v, %d bytes received per VM, at most %d requests, %d bytes of requests per VM", c.size, c.change, last, bytes/c.size, most, sent/c.size)
 		assert.Check(t, last < bound, "%d VMs, %d bytes each: %v", c.size, c.change, last)
-		assert.Check(t, bytes <= c.size*(c.change+outlineBytes)+shortQuestion*most*c.size, "more than one copy a VM")
+		assert.Check(t, bytes <= c.size*(c.change+outlineBytes)+smallRequest*most*c.size, "more than one copy per VM")
 	}
 }
 
-// Symptom: a VM that is behind has no newer configuration in force for as long as versions
-// come: 21 s, of 12 s in which they come.
+// Guards against VMs on which no newer configuration is in force for as long as new versions
+// arrive: 21 s, with versions arriving for 12 s. What a VM fetches is replaced before it has all of
+// it, and all VMs ask the few that have the newest version.
 //
-// Sequence: 195 VMs in three regions; a version every 0.15 to 0.5 s for 12 s, most of them
-// small, others by hundreds of routes. Cause: what a VM asks for is replaced before it has it
-// all, and all ask the few that have the newest. Here each version, or a newer one, is in
-// force everywhere within a bound, and what is told follows what changes and not the number of
+// 195 VMs in three regions get a version every 0.15 to 0.5 s for 12 s, most of them small, others
+// with hundreds of changed routes. Each version, or a newer one, must be in force everywhere within
+// a limit, and the data sent must depend on the size of the changes and not on the number of
 // versions.
-func TestVersionsInARowReachALargeFleetInTime(t *testing.T) {
-	// bound is that of TestConfigurationReachesALargeFleetInTime.
+func TestFrequentVersionsReachALargeFleetInTime(t *testing.T) {
+	// bound is the same as in TestConfigurationReachesALargeFleetInTime.
 	const bound, size = 2300 * time.Millisecond, 195
 	for _, c := range []struct {
 		megabits         float64
@@ -123,8 +123,8 @@
 		bound            time.Duration
 	}{
 		{20, 10_000, 5, bound}, {20, 45_000, 2, bound},
-		// Narrower links than 195 VMs have: the 4 s in which a change must be in force, without
-		// what the read of the store takes of them.
+		// These links are narrower than those of a fleet of 195 VMs. The limit is the 4 s in which
+		// a change must be in force, without the time for reading the store.
 		{10, 45_000, 2, 4 * time.Second},
 	} {
 		for seed := range uint64(2) {
@@ -144,12 +144,12 @@
 				bytes += vm.bytes
 				skipped += len(updates) - len(vm.inForce)
 			}
-			content := s.total(len(updates))
-			t.Logf("%v Mbit/s, %d versions, %d bytes in all: on the last of %d VMs after %v, %d bytes a VM, %d versions skipped",
+			content := s.contentBytes(len(updates))
+			t.Logf("%v Mbit/s, %d versions, %d bytes in total: in force on all %d VMs after %v, %d bytes received per VM, %d versions skipped",
 				c.megabits, len(updates), content, size, worst, bytes/size, skipped)
 			assert.Check(t, worst < c.bound, "%v", worst)
 			assert.Check(t, skipped > 0)
-			assert.Check(t, bytes < size*(content+2*outlineBytes*len(updates)), "%d bytes a VM", bytes/size)
+			assert.Check(t, bytes < size*(content+2*outlineBytes*len(updates)), "%d bytes per VM", bytes/size)
 		}
 	}
 }
--- a/steering/spread/outline.go
+++ b/steering/spread/outline.go
@@ -11,21 +11,22 @@
 	"heatherlock/steering/routes"
 )
 
-// itemsPerBucket is how many routes and workspaces a bucket holds on average. One that
-// changes costs the hashes of its bucket, 8 bytes each, and an Outline 8 bytes a
-// bucket; at 4,000 routes both are about 500 bytes.
+// itemsPerBucket is the average number of routes and workspaces in a bucket. The change of one item
+// costs the hashes of its bucket, 8 bytes each, and an Outline costs 8 bytes per bucket; at 4,000
+// routes both are about 500 bytes.
 const itemsPerBucket = 64
 
-// Outline sums up a configuration, so that two can be told apart by their parts.
+// Outline summarizes a configuration by hashes, so that two configurations can be compared part by
+// part.
 type Outline struct {
 	Version uint64
-	// Buckets are hashes of the items of each bucket; their number is a power of two.
+	// Buckets holds a hash of the items of each bucket. The number of buckets is a power of two.
 	Buckets []uint64
-	// Rest is a hash of what is neither a route nor a workspace.
+	// Rest is a hash of everything that is neither a route nor a workspace.
 	Rest uint64
 }
 
-// ContentHash tells configurations of different content apart, whatever their versions.
+// ContentHash returns a hash of the content, which does not depend on the version.
 func (o Outline) ContentHash() uint64 {
 	d := digest{xxhash.New()}
 	d.number(o.Rest)
@@ -35,37 +36,37 @@
 	return d.Sum64()
 }
 
-// entry is an item and the hash of its content: either a route or a workspace.
-type entry struct {
+// item is a route or a workspace, with the hash of its content.
+type item struct {
 	hash      uint64
 	route     *routes.Route
 	workspace *identity.Workspace
 }
 
-func entryOfRoute(r *routes.Route) entry { return entry{hash: hashOf(r), route: r} }
+func itemOfRoute(r *routes.Route) item { return item{hash: hashOfRoute(r), route: r} }
 
-func entryOfWorkspace(w *identity.Workspace) entry {
-	return entry{hash: hashOfWorkspace(w), workspace: w}
+func itemOfWorkspace(w *identity.Workspace) item {
+	return item{hash: hashOfWorkspace(w), workspace: w}
 }
 
-// Index is a configuration with the hashes of its parts. It does not change.
+// Index is a configuration with the hashes of its parts. It is immutable.
 type Index struct {
 	table   *routes.Table
 	outline Outline
-	buckets [][]entry
+	buckets [][]item
 }
 
 // NewIndex returns the index of a table.
 func NewIndex(t *routes.Table) *Index {
 	workspaces := t.Workspaces.All()
-	all := make([]entry, 0, len(t.Routes)+len(workspaces))
+	all := make([]item, 0, len(t.Routes)+len(workspaces))
 	for _, r := range t.Routes {
-		all = append(all, entryOfRoute(r))
+		all = append(all, itemOfRoute(r))
 	}
 	for _, w := range workspaces {
-		all = append(all, entryOfWorkspace(w))
+		all = append(all, itemOfWorkspace(w))
 	}
-	x := &Index{table: t, buckets: group(all, bucketCount(len(all)))}
+	x := &Index{table: t, buckets: groupIntoBuckets(all, bucketCount(len(all)))}
 	x.outline = Outline{Version: t.Version, Rest: hashOfRest(t), Buckets: make([]uint64, len(x.buckets))}
 	for n, bucket := range x.buckets {
 		x.outline.Buckets[n] = hashOfBucket(bucket)
@@ -73,13 +74,13 @@
 	return x
 }
 
-// Table returns the table that the index is of.
+// Table returns the configuration that is indexed.
 func (x *Index) Table() *routes.Table { return x.table }
 
-// Outline returns the table's outline.
+// Outline returns the hashes of the configuration.
 func (x *Index) Outline() Outline { return x.outline }
 
-// bucketCount returns the number of buckets for so many items.
+// bucketCount returns the number of buckets for n items.
 func bucketCount(n int) int {
 	count := 1
 	for count*itemsPerBucket < n {
@@ -88,9 +89,9 @@
 	return count
 }
 
-// group spreads items over buckets; each is ordered by hash, without doubles.
-func group(all []entry, count int) [][]entry {
-	buckets := make([][]entry, count)
+// groupIntoBuckets divides items into buckets. Each bucket is sorted by hash and has no duplicates.
+func groupIntoBuckets(all []item, count int) [][]item {
+	buckets := make([][]item, count)
 	for _, e := range all {
 		n := e.bucket(count)
 		buckets[n] = append(buckets[n], e)
@@ -101,8 +102,8 @@
 	return buckets
 }
 
-func sorted(bucket []entry) []entry {
-	slices.SortFunc(bucket, func(a, b entry) int {
+func sorted(bucket []item) []item {
+	slices.SortFunc(bucket, func(a, b item) int {
 		switch {
 		case a.hash < b.hash:
 			return -1
@@ -111,22 +112,22 @@
 		}
 		return 0
 	})
-	return slices.CompactFunc(bucket, func(a, b entry) bool { return a.hash == b.hash })
+	return slices.CompactFunc(bucket, func(a, b item) bool { return a.hash == b.hash })
 }
 
-// bucket depends on the place of a route and the name of a workspace alone, so that an
-// item whose content changes stays in its bucket.
-func (e entry) bucket(count int) int {
-	place := ""
+// bucket returns the bucket of an item. It depends only on the host and prefix of a route or the
+// name of a workspace, so that an item whose content changes stays in its bucket.
+func (e item) bucket(count int) int {
+	key := ""
 	if e.workspace != nil {
-		place = "workspace\x00" + string(e.workspace.Name)
+		key = "workspace\x00" + string(e.workspace.Name)
 	} else {
-		place = e.route.Host + "\x00" + e.route.Prefix
+		key = e.route.Host + "\x00" + e.route.Prefix
 	}
-	return int(xxhash.Sum64String(place) & uint64(count-1))
+	return int(xxhash.Sum64String(key) & uint64(count-1))
 }
 
-func hashOfBucket(bucket []entry) uint64 {
+func hashOfBucket(bucket []item) uint64 {
 	d := digest{xxhash.New()}
 	for _, e := range bucket {
 		d.number(e.hash)
@@ -134,8 +135,8 @@
 	return d.Sum64()
 }
 
-// hashOf returns a hash of all that a route says.
-func hashOf(r *routes.Route) uint64 {
+// hashOfRoute returns a hash of all fields of a route.
+func hashOfRoute(r *routes.Route) uint64 {
 	d := digest{xxhash.New()}
 	d.text(r.Name)
 	d.text(r.Host)
@@ -158,7 +159,7 @@
 	return d.Sum64()
 }
 
-// hashOfWorkspace returns a hash of all that is declared of a workspace.
+// hashOfWorkspace returns a hash of all fields of a workspace.
 func hashOfWorkspace(w *identity.Workspace) uint64 {
 	d := digest{xxhash.New()}
 	d.text(string(w.Name))
@@ -176,7 +177,7 @@
 	return d.Sum64()
 }
 
-// hashOfRest returns a hash of the services, in any order, and the limits.
+// hashOfRest returns a hash of the limits and of the services, independent of their order.
 func hashOfRest(t *routes.Table) uint64 {
 	var services uint64
 	for _, s := range t.Services {
@@ -197,7 +198,7 @@
 	return d.Sum64()
 }
 
-// digest writes values to a hash; the hash takes all.
+// digest writes values to a hash. Writing to a hash never fails.
 type digest struct{ *xxhash.Digest }
 
 func (d digest) number(n uint64) {
--- a/steering/spread/piece.go
+++ b/steering/spread/piece.go
@@ -8,23 +8,23 @@
 	"heatherlock/steering/routes"
 )
 
-// Need is what a VM asks a peer for. Without a version it asks for the outline, and with
-// nothing else but a version for a place.
+// Need is a request to a peer. Without a version it requests the outline; with a version and
+// nothing else it requests a slot for sending.
 type Need struct {
-	// Version is the version of the outline that the VM goes by.
+	// Version is the version that the VM assembles.
 	Version uint64
-	// Rest asks for what is neither a route nor a workspace.
+	// Rest requests everything that is neither a route nor a workspace.
 	Rest    bool
 	Buckets []BucketNeed
-	// Bytes bounds the answer before compression, up to a bucket.
+	// Bytes limits the size of the answer before compression. The last bucket may exceed it.
 	Bytes int
-	// More tells that other buckets are missing as well.
+	// More says that other buckets are missing as well.
 	More bool
-	// From names the VM that asks.
+	// From is the VM that sends the request.
 	From steering.VM
 }
 
-// BucketNeed names a bucket and the hashes of the items that the VM has for it.
+// BucketNeed requests a bucket and holds the hashes of its items that the VM already has.
 type BucketNeed struct {
 	_      struct{} `cbor:",toarray"`
 	Number int
@@ -33,22 +33,22 @@
 
 // Piece is a part of a configuration.
 type Piece struct {
-	// Version is that of the configuration which the sender has. If it is not the one
-	// asked for, the piece holds its outline and nothing else.
+	// Version is the version of the sender's configuration. If it is not the requested one, the
+	// piece contains only the outline of the sender's version.
 	Version uint64
 	Outline *Outline
 	Rest    *Rest
 	Buckets []BucketPiece
 }
 
-// Rest is what of a configuration is neither a route nor a workspace.
+// Rest is everything in a configuration that is neither a route nor a workspace.
 type Rest struct {
 	Services []*routes.Service
 	Limits   routes.Limits
 }
 
-// BucketPiece is one bucket: the items of those told to be there that stay, and those
-// that were missing.
+// BucketPiece is one bucket: the hashes of those items in the request that stay, and the items that
+// the requester lacks.
 type BucketPiece struct {
 	_          struct{} `cbor:",toarray"`
 	Number     int
@@ -57,7 +57,7 @@
 	Workspaces []Workspace
 }
 
-// Workspace is the wire form of a workspace. It holds digests of API keys, not the keys.
+// Workspace is the wire form of a workspace. It contains digests of the API keys, not the keys.
 type Workspace struct {
 	_           struct{} `cbor:",toarray"`
 	Name        steering.Workspace
@@ -76,15 +76,15 @@
 }
 
 func (w Workspace) size() int {
-	size := workspaceBytes + len(w.Name)
+	size := workspaceOverhead + len(w.Name)
 	for _, key := range w.Keys {
 		size += len(key) + 1
 	}
 	return size
 }
 
-// Route is the wire form of a route: values without names, which are two thirds of a
-// route's bytes otherwise.
+// Route is the wire form of a route. It is encoded without field names, which would make up two
+// thirds of a route's bytes.
 type Route struct {
 	_                  struct{} `cbor:",toarray"`
 	Name, Host, Prefix string
@@ -104,7 +104,7 @@
 	Weight  float64
 }
 
-func toWire(r *routes.Route) Route {
+func routeToWire(r *routes.Route) Route {
 	parts := make([]Part, 0, len(r.Parts))
 	for _, p := range r.Parts {
 		parts = append(parts, Part{Service: p.Service, Weight: p.Weight})
@@ -122,62 +122,63 @@
 	return r
 }
 
-// Sizes in bytes, for bounding an answer before it is encoded.
+// Estimated sizes in bytes, for limiting the size of an answer before it is encoded.
 const (
-	// routeBytes is a route's numbers and heads of its fields, beside its texts.
-	routeBytes = 40
-	// workspaceBytes is a workspace's numbers and heads of its fields, beside its texts
+	// routeOverhead is the size of a route's numbers and field headers, without its strings.
+	routeOverhead = 40
+	// workspaceOverhead is the size of a workspace's numbers and field headers, without its strings
 	// and keys.
-	workspaceBytes = 32
-	// hashBytes is a hash with its head.
-	hashBytes = 9
-	// restBytes is a service's numbers and names of fields, beside its texts.
-	restBytes = 80
+	workspaceOverhead = 32
+	// encodedHashBytes is the size of a hash with its header.
+	encodedHashBytes = 9
+	// serviceOverhead is the size of a service's numbers and field names, without its strings.
+	serviceOverhead = 80
 )
 
 func (w Route) size() int {
-	size := routeBytes + len(w.Name) + len(w.Host) + len(w.Prefix)
+	size := routeOverhead + len(w.Name) + len(w.Host) + len(w.Prefix)
 	for _, p := range w.Parts {
-		size += hashBytes + len(p.Service)
+		size += encodedHashBytes + len(p.Service)
 	}
 	return size
 }
 
-// shortQuestion is how many bytes of hashes a question may hold without a place at the VM
-// that is asked: a narrow link passes them in less than a way there and back takes.
-const shortQuestion = 2 << 10
+// maxShortRequest is how many bytes of hashes a request may contain without a reserved slot. A
+// narrow link transfers them in less than a round trip.
+const maxShortRequest = 2 << 10
 
-// Short reports whether the question may be sent without a place.
+// Short reports whether the request may be sent without a reserved slot.
 func (n Need) Short() bool {
 	hashes := 0
 	for _, b := range n.Buckets {
 		hashes += len(b.Have)
 	}
-	return hashes*hashBytes <= shortQuestion
+	return hashes*encodedHashBytes <= maxShortRequest
 }
 
-// Place returns the question for a place at a VM, before that for parts.
+// Place returns the request for a slot at a VM, which precedes the request for parts.
 //
-// Of a large configuration a question for parts holds as many bytes of hashes as the answer
-// holds of routes. Sent in vain, such questions fill the link of the VM that all ask.
+// For a large configuration, a request for parts contains as many bytes of hashes as the answer
+// contains of routes. Requests that are rejected would fill the link of the VM that all others ask.
 func (n Need) Place() Need { return Need{Version: n.Version, Bytes: n.Bytes, From: n.From} }
 
-// wantsPlace reports whether the question is for a place.
-func (n Need) wantsPlace() bool { return n.Version > 0 && !n.Rest && len(n.Buckets) == 0 }
+// isSlotRequest reports whether the request is for a slot.
+func (n Need) isSlotRequest() bool { return n.Version > 0 && !n.Rest && len(n.Buckets) == 0 }
 
-// Turn returns what a need asks of the link, before the answer is made.
+// Turn returns the load that the answer to a request puts on the link, as far as it is known before
+// the answer is created.
 func (x *Index) Turn(need Need) Ask {
-	return Ask{From: string(need.From), Piece: need.Bytes / packed, Outline: need.Version != x.table.Version}
+	return Ask{From: string(need.From), Piece: need.Bytes / compressionRatio, Outline: need.Version != x.table.Version}
 }
 
-// Answer returns the piece that meets a need as far as its bound allows, and what it asks
-// of the link, in bytes before compression. At least one of the buckets asked for is in it.
+// Answer returns the piece for a request within its size limit, and the load that it puts on the
+// link, in bytes before compression. The piece contains at least one of the requested buckets.
 func (x *Index) Answer(need Need) (Piece, Ask) {
 	p := Piece{Version: x.table.Version}
 	ask := x.Turn(need)
 	if ask.Outline {
 		p.Outline = &x.outline
-		ask.Bytes = hashBytes * len(x.outline.Buckets)
+		ask.Bytes = encodedHashBytes * len(x.outline.Buckets)
 		return p, ask
 	}
 	bytes := 0
@@ -185,12 +186,12 @@
 		p.Rest = &Rest{Limits: x.table.Limits}
 		for _, s := range x.table.Services {
 			p.Rest.Services = append(p.Rest.Services, s)
-			bytes += restBytes + len(s.Name) + len(s.HealthPath)
+			bytes += serviceOverhead + len(s.Name) + len(s.HealthPath)
 		}
 	}
 	for _, b := range need.Buckets {
 		if b.Number < 0 || b.Number >= len(x.buckets) {
-			continue // of another outline; the asker sees that it is missing
+			continue // from another outline; the requester will notice that it is missing
 		}
 		if len(p.Buckets) > 0 && bytes >= need.Bytes {
 			break
@@ -199,7 +200,7 @@
 		p.Buckets = append(p.Buckets, piece)
 		bytes += size
 	}
-	ask.Bytes, ask.End = bytes, !need.wantsPlace() && !need.More && len(p.Buckets) == len(need.Buckets)
+	ask.Bytes, ask.Last = bytes, !need.isSlotRequest() && !need.More && len(p.Buckets) == len(need.Buckets)
 	return p, ask
 }
 
@@ -212,7 +213,7 @@
 	for _, e := range x.buckets[need.Number] {
 		if had[e.hash] {
 			p.Keep = append(p.Keep, e.hash)
-			bytes += hashBytes
+			bytes += encodedHashBytes
 			continue
 		}
 		if e.workspace != nil {
@@ -221,7 +222,7 @@
 			bytes += w.size()
 			continue
 		}
-		w := toWire(e.route)
+		w := routeToWire(e.route)
 		p.Routes = append(p.Routes, w)
 		bytes += w.size()
 	}
--- a/steering/spread/recent.go
+++ b/steering/spread/recent.go
@@ -6,47 +6,48 @@
 )
 
 const (
-	// recentFor is how long a configuration that was replaced is still told: what a VM takes
-	// that has begun to ask for it, on a narrow link and over the longest way.
-	recentFor = 2 * time.Second
-	// mostRecent bounds them: versions come up to three times a second. Each holds its tables
-	// in memory; the routes that did not change it shares with the others.
-	mostRecent = 6
+	// keepReplacedFor is how long a replaced configuration remains available. A VM that has begun
+	// to fetch it over a narrow link and the longest distance needs that time.
+	keepReplacedFor = 2 * time.Second
+	// maxReplaced limits the number of replaced configurations, as there can be three new versions
+	// per second. Each occupies memory for its tables; routes that did not change are shared.
+	maxReplaced = 6
 )
 
-// Recent keeps the configurations that were in force here of late, for VMs that have begun
-// to ask for one of them.
+// Recent keeps the configurations that were recently in force, for VMs that have begun to fetch one
+// of them.
 //
-// What goes wrong without them: versions come faster than a VM gets one over a narrow link.
-// Each time that it asks for the next part, the version that it goes by has been replaced,
-// it goes by the newer one, and never has all of any. All others that wait for it are
-// behind as well, and in the end all ask the one VM that reads the store. One notices VMs
-// that have no newer configuration in force for as long as versions come, while their links
-// are busy. Played with 195 VMs on links of 10 Mbit/s and a version by 1,400 routes every
-// 0.65 s for 12 s, the last VM is 21 s behind; with them, and asking any VM that has a newer
-// one (Choose), 3 s.
+// Without it, a VM on a narrow link never completes a version if new versions arrive faster than it
+// can fetch one: for each next part, its version has been replaced at the peer, and it starts on
+// the newer one. The VMs that wait for it stay out of date as well, and in the end all VMs ask the
+// one that reads the store. The symptom is VMs on which no newer configuration is in force for as
+// long as new versions arrive, while their links are busy. In a simulation of 195 VMs with links of
+// 10 Mbit/s and a version with 1,400 changed routes every 0.65 s for 12 s, the last VM was 21 s
+// behind without Recent. With it, and with VMs that ask any peer that has a newer version (Choose),
+// it was 3 s behind.
 //
-// It is safe for concurrent use.
+// Recent is safe for concurrent use. Its zero value is ready to use.
 type Recent struct {
 	mu   sync.Mutex
 	last *Index
-	// replaced holds those before last, oldest first.
+	// replaced holds the configurations in force before last, oldest first.
 	replaced []replacedIndex
 }
 
-// replacedIndex is a configuration that was in force until a time.
+// replacedIndex is a replaced configuration and the time until which it is kept.
 type replacedIndex struct {
 	index *Index
 	until time.Time
 }
 
-// Find returns the configuration of a version if it was in force here of late, else that in
-// force, which is inForce. One that nobody asked for while it was in force is not kept, and
-// what is too old is forgotten with the next call.
+// Find returns the configuration of a version if it was recently in force on this VM, and otherwise
+// inForce, the configuration in force now. Find sees a configuration only when it is called,
+// so one that no VM requested while it was in force is not kept. Expired ones are removed by the
+// next call.
 func (r *Recent) Find(now time.Time, inForce *Index, version uint64) *Index {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.note(now, inForce)
+	r.update(now, inForce)
 	for _, old := range r.replaced {
 		if old.index.table.Version == version {
 			return old.index
@@ -55,17 +56,17 @@
 	return inForce
 }
 
-// note notes the configuration in force, and forgets what was replaced too long ago.
-func (r *Recent) note(now time.Time, inForce *Index) {
+// update records the configuration in force and removes expired ones.
+func (r *Recent) update(now time.Time, inForce *Index) {
 	if r.last != inForce {
 		if r.last != nil {
-			r.replaced = append(r.replaced, replacedIndex{r.last, now.Add(recentFor)})
+			r.replaced = append(r.replaced, replacedIndex{r.last, now.Add(keepReplacedFor)})
 		}
 		r.last = inForce
 	}
 	keep := r.replaced[:0]
 	for n, old := range r.replaced {
-		if now.Before(old.until) && len(r.replaced)-n <= mostRecent {
+		if now.Before(old.until) && len(r.replaced)-n <= maxReplaced {
 			keep = append(keep, old)
 		}
 	}
--- a/steering/spread/room.go
+++ b/steering/spread/room.go
@@ -6,156 +6,157 @@
 )
 
 const (
-	// backlog is how long what was promised may occupy the link, ahead of a new
-	// promise. Longer, and those who wait could have it from others sooner; shorter,
-	// and a wide link stands idle between two questions over the longest way (70 ms).
-	backlog = 300 * time.Millisecond
-	// pieceTime is how long one piece may occupy the receiver's link: requests of
-	// callers share it and wait for no more than that.
-	pieceTime = 50 * time.Millisecond
-	// leastPiece and mostPiece bound a piece, in bytes before compression: the way there
-	// and back costs as much as some 10 kB on a narrow link, and a piece is held in memory
-	// while it is made.
-	leastPiece = 32 << 10
-	mostPiece  = 256 << 10
-	// packed is how many times smaller routes are on the wire; 3.2 was seen with names
-	// drawn at random.
-	packed = 3
-	// servedTime is how long one piece for each of those served at a time may occupy the
-	// link: two of them on links like this one's, so that it is busy while the other's
-	// question is on its way, and more on narrower ones. Played with 84 VMs, two at a time
-	// took 1.5 s, three 1.6 s and four 1.8 s. leastServed are served however wide their
-	// links are.
-	servedTime  = 100 * time.Millisecond
-	leastServed = 2
-	// turnLapse is how long one that is served may take to ask for the next piece: the
-	// longest way there and back, and the piece on its link beside callers' traffic.
-	turnLapse = 300 * time.Millisecond
-	// turnWait is when one that may not begin is told to come back: the time of a piece.
-	turnWait = pieceTime
-	// unknownLink is taken for a link whose rate is not stated, in bytes a second: that
-	// of the smallest VMs.
-	unknownLink = 10e6 / 8
+	// maxBacklog is how much data, as time on the link, may be reserved ahead of a new reservation.
+	// With more, VMs that wait could get the data from others sooner; with less, a fast link is
+	// idle between two requests over the longest round trip (70 ms).
+	maxBacklog = 300 * time.Millisecond
+	// maxPieceTime is how long one piece may occupy the receiver's link. Callers' requests share
+	// that link and wait no longer than this.
+	maxPieceTime = 50 * time.Millisecond
+	// minPieceBytes and maxPieceBytes limit the size of a piece before compression. A round trip
+	// costs as much time as about 10 kB on a narrow link, and a piece is held in memory while it is
+	// created.
+	minPieceBytes = 32 << 10
+	maxPieceBytes = 256 << 10
+	// compressionRatio is how many times smaller routes become by compression. Routes with random
+	// names reached 3.2.
+	compressionRatio = 3
+	// maxServedTime is how long the link may be occupied by one piece for each VM that is served at
+	// a time. On links as fast as this one that allows two VMs, so that the link is busy while the
+	// next request of the other VM is on its way; on slower links it allows more. In a simulation
+	// with 84 VMs, distribution took 1.5 s with two VMs at a time, 1.6 s with three and 1.8 s with
+	// four. At least minServed VMs are served, however fast their links are.
+	maxServedTime = 100 * time.Millisecond
+	minServed     = 2
+	// slotTimeout is how long a VM that is being served may take to request the next piece: the
+	// longest round trip, plus the transfer of a piece on its link beside callers' traffic.
+	slotTimeout = 300 * time.Millisecond
+	// slotRetryDelay is when a VM that gets no slot should retry: after the time of one piece.
+	slotRetryDelay = maxPieceTime
+	// defaultLinkRate is assumed for a link whose rate is not configured, in bytes per second: the
+	// link rate of the smallest VMs.
+	defaultLinkRate = 10e6 / 8
 )
 
-// bytesPerSecond returns a link's rate.
+// bytesPerSecond returns the rate of a link.
 func bytesPerSecond(megabits float64) float64 {
 	if megabits <= 0 {
-		return unknownLink
+		return defaultLinkRate
 	}
 	return megabits * 1e6 / 8
 }
 
-// PieceBytes returns how much a VM whose link has so many Mbit/s asks for at once, before
-// compression.
+// PieceBytes returns how much a VM on a link of the given rate in Mbit/s requests at once, in bytes
+// before compression.
 func PieceBytes(megabits float64) int {
-	return min(max(int(bytesPerSecond(megabits)*pieceTime.Seconds()*packed), leastPiece), mostPiece)
+	return min(max(int(bytesPerSecond(megabits)*maxPieceTime.Seconds()*compressionRatio), minPieceBytes), maxPieceBytes)
 }
 
-// Room bounds what a VM promises to send to others, and to how many at a time: what the
-// bounds leave out is told at once to be asked for later or elsewhere.
+// Room limits how much a VM sends to others and how many VMs it serves at a time. A request beyond
+// the limits is rejected at once, so that it can be repeated later or sent to another VM.
 //
-// All VMs hear of a newer configuration from the one that has read it, and ask it at once.
-// With few served at a time the copies multiply; served all at once, none would have the
-// whole for long, and none could tell others.
+// All VMs learn of a newer configuration from the VM that has read it, and request it at once. When
+// few are served at a time, the number of copies doubles each time; if all were served at once,
+// none would have the complete configuration for a long time, and none could pass it on.
 //
-// It is safe for concurrent use.
+// Room is safe for concurrent use.
 type Room struct {
-	rate float64 // bytes a second
+	rate float64 // bytes per second
 
-	mu       sync.Mutex
-	promised float64 // bytes that have not passed the link yet
-	at       time.Time
-	// served are those that have begun to get a configuration, by what they ask for at
-	// once, which follows their own link.
-	served map[string]turn
+	mu        sync.Mutex
+	reserved  float64 // bytes that are still to be sent over the link
+	updatedAt time.Time
+	// slots holds the VMs that are being served. The size of their pieces follows the rate of their
+	// own links.
+	slots map[string]slot
 }
 
-// turn is the place of one that is served.
-type turn struct {
-	piece int
-	last  time.Time
+// slot is the state of one VM that is being served.
+type slot struct {
+	piece    int
+	lastUsed time.Time
 }
 
-// Ask is what one VM asks of another.
+// Ask is the load that the request of one VM puts on the link of another.
 type Ask struct {
-	// From names the asker.
+	// From is the VM that sends the request.
 	From string
-	// Bytes is how much the answer takes on the wire, Piece how much the asker takes at
-	// once.
+	// Bytes is the size of the answer on the wire, Piece the size of the answers that the VM
+	// requests at once.
 	Bytes, Piece int
-	// Outline marks an answer that holds no part yet, for which no place is needed, End one
-	// that holds the last.
-	Outline, End bool
+	// Outline marks an answer with only an outline, for which no slot is needed. Last marks the
+	// answer with the last part.
+	Outline, Last bool
 }
 
-// NewRoom returns the room of a link.
+// NewRoom returns the limits for a link of the given rate in Mbit/s; 0 means unknown.
 func NewRoom(megabits float64) *Room {
-	return &Room{rate: bytesPerSecond(megabits), served: make(map[string]turn)}
+	return &Room{rate: bytesPerSecond(megabits), slots: make(map[string]slot)}
 }
 
-// Turn takes a place for the asker if it may be served besides the others, before an answer
-// is made; if not, it returns when to come back. The place is kept until the last part is
-// told, or until the asker is silent for too long. An outline is told without one.
+// Turn acquires a slot for a VM before the answer is created. If there is no free slot, it returns
+// false and the time after which to retry. The slot is held until the last part is sent, or until
+// the VM sends no request for slotTimeout. An outline needs no slot.
 func (r *Room) Turn(now time.Time, a Ask) (wait time.Duration, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.pass(now)
+	r.advance(now)
 	if a.Outline {
 		return 0, true
 	}
-	if !r.mayBegin(a) {
-		return turnWait, false
+	if !r.maySend(a) {
+		return slotRetryDelay, false
 	}
-	r.served[a.From] = turn{piece: a.Piece, last: now}
+	r.slots[a.From] = slot{piece: a.Piece, lastUsed: now}
 	return 0, true
 }
 
-// Promise takes what is asked for of the room. If it does not fit it takes nothing, and
-// returns when it may; a link on which nothing is promised bears any.
+// Promise reserves time on the link for an answer. If the backlog is too long, it reserves nothing
+// and returns false and the time after which to retry. A link without backlog accepts an answer of
+// any size.
 func (r *Room) Promise(now time.Time, a Ask) (wait time.Duration, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.pass(now)
-	if !a.Outline && !r.mayBegin(a) {
-		return turnWait, false
+	r.advance(now)
+	if !a.Outline && !r.maySend(a) {
+		return slotRetryDelay, false
 	}
-	over := r.promised + float64(a.Bytes) - r.rate*backlog.Seconds()
-	if r.promised > 0 && over > 0 {
-		return time.Duration(min(over, r.promised) / r.rate * float64(time.Second)), false
+	excess := r.reserved + float64(a.Bytes) - r.rate*maxBacklog.Seconds()
+	if r.reserved > 0 && excess > 0 {
+		return time.Duration(min(excess, r.reserved) / r.rate * float64(time.Second)), false
 	}
-	r.promised += float64(a.Bytes)
+	r.reserved += float64(a.Bytes)
 	switch {
-	case a.End:
-		delete(r.served, a.From)
+	case a.Last:
+		delete(r.slots, a.From)
 	case !a.Outline:
-		r.served[a.From] = turn{piece: a.Piece, last: now}
+		r.slots[a.From] = slot{piece: a.Piece, lastUsed: now}
 	}
 	return 0, true
 }
 
-// pass takes off what has passed the link since the last call, and those that no longer
-// ask.
-func (r *Room) pass(now time.Time) {
-	if !r.at.IsZero() {
-		r.promised = max(r.promised-r.rate*now.Sub(r.at).Seconds(), 0)
+// advance subtracts what the link has sent since the last call, and frees the slots of VMs that
+// have stopped asking.
+func (r *Room) advance(now time.Time) {
+	if !r.updatedAt.IsZero() {
+		r.reserved = max(r.reserved-r.rate*now.Sub(r.updatedAt).Seconds(), 0)
 	}
-	r.at = now
-	for name, t := range r.served {
-		if now.Sub(t.last) > turnLapse {
-			delete(r.served, name)
+	r.updatedAt = now
+	for name, t := range r.slots {
+		if now.Sub(t.lastUsed) > slotTimeout {
+			delete(r.slots, name)
 		}
 	}
 }
 
-// mayBegin reports whether the asker is served already, or may be besides the others.
-func (r *Room) mayBegin(a Ask) bool {
-	if _, begun := r.served[a.From]; begun || len(r.served) < leastServed {
+// maySend reports whether a VM already has a slot or there is a free one for it.
+func (r *Room) maySend(a Ask) bool {
+	if _, served := r.slots[a.From]; served || len(r.slots) < minServed {
 		return true
 	}
 	pieces := a.Piece
-	for _, t := range r.served {
+	for _, t := range r.slots {
 		pieces += t.piece
 	}
-	return float64(pieces) <= r.rate*servedTime.Seconds()
+	return float64(pieces) <= r.rate*maxServedTime.Seconds()
 }
--- a/steering/spread/sim_test.go
+++ b/steering/spread/sim_test.go
@@ -12,28 +12,27 @@
 	"heatherlock/steering/spread"
 )
 
-// simVM is an entry VM of a deployment that is played with virtual time: what it has, and
-// until when its link is busy each way.
+// simVM is an entry VM in a simulation with virtual time.
 type simVM struct {
-	name    steering.VM
-	zone    steering.Zone
-	region  steering.Region
-	rank    [2]int // in its zone, in its region
-	room    *spread.Room
-	rate    float64 // bytes a second
-	out, in time.Time
-	// inForce holds the versions that came into force here, oldest first.
+	name                      steering.VM
+	zone                      steering.Zone
+	region                    steering.Region
+	rank                      [2]int // in its zone, in its region
+	room                      *spread.Room
+	rate                      float64 // bytes per second
+	outBusyUntil, inBusyUntil time.Time
+	// inForce holds the versions that were in force on this VM, oldest first.
 	inForce []inForce
-	// aim is the version of the outline that it goes by, got how many bytes of all that
-	// configurations ever added it has.
-	aim, got int
-	avoid    map[steering.VM]time.Time
-	place    steering.VM // that keeps a place for it
-	// bytes are those told to it, sent those of its questions.
-	bytes, sent, asked int
+	// wanted is the version that it assembles. receivedContent is how many bytes it has of all that
+	// the versions have added.
+	wanted, receivedContent int
+	retryAt                 map[steering.VM]time.Time
+	slotHolder              steering.VM // that has reserved a slot for it
+	// bytes counts the bytes of answers that it received, sent the bytes of its requests.
+	bytes, sent, requests int
 }
 
-// inForce is a version and when it came into force.
+// inForce is a version and the time at which it came into force.
 type inForce struct {
 	version int
 	at      time.Time
@@ -49,11 +48,11 @@
 	return 0
 }
 
-// tells returns the version by which it answers at a time whoever asks for one: that one if it
-// was in force of late, else that in force.
-func (vm *simVM) tells(at time.Time, version int) int {
+// answersWith returns the version with which it answers a request for a version: that version if it
+// was in force recently, and otherwise the one in force.
+func (vm *simVM) answersWith(at time.Time, version int) int {
 	for n, f := range vm.inForce {
-		replaced := n+1 < len(vm.inForce) && vm.inForce[n+1].at.Add(recentFor).Before(at)
+		replaced := n+1 < len(vm.inForce) && vm.inForce[n+1].at.Add(keepReplacedFor).Before(at)
 		if f.version == version && !f.at.After(at) && !replaced {
 			return version
 		}
@@ -71,8 +70,8 @@
 	return time.Time{}, false
 }
 
-// sending is how long bytes take on the VM's link.
-func (vm *simVM) sending(bytes int) time.Duration {
+// transmitTime returns how long bytes take on the VM's link.
+func (vm *simVM) transmitTime(bytes int) time.Duration {
 	return time.Duration(float64(bytes) / vm.rate * float64(time.Second))
 }
 
@@ -93,50 +92,50 @@
 	return last
 }
 
-// update is a version of the configuration: when one VM has read it, and how many bytes of
-// routes it adds to the one before.
+// update is a version of the configuration: when one VM has read it, and how many bytes of routes
+// it adds to the previous version.
 type update struct {
 	after time.Duration
 	bytes int
 }
 
-// sim plays how configurations that one VM reads reach all others.
+// sim simulates how the configurations that one VM reads are distributed to all others.
 type sim struct {
 	vms   []*simVM
 	queue queue
 	start time.Time
-	// updates are the versions from 1 on.
+	// updates are the versions, starting from 1.
 	updates []update
-	// question is how many bytes a question for parts takes.
-	question int
-	draw     *rand.Rand
+	// requestBytes is the size of a request for parts.
+	requestBytes int
+	random       *rand.Rand
 }
 
 const (
-	// packed is what compression makes of routes.
-	packed       = 3
-	outlineBytes = 1 << 10
-	// shortQuestion is a question for an outline or a place.
-	shortQuestion = 200
-	inRegion      = time.Millisecond
-	crossRegion   = 35 * time.Millisecond
-	// recentFor is how long a version that was replaced is still told.
-	recentFor = 2 * time.Second
-	// heard is how long after a VM has it the others know: it announces it.
-	heard = 5 * time.Millisecond
+	// compressionRatio is the effect of compression on routes.
+	compressionRatio = 3
+	outlineBytes     = 1 << 10
+	// smallRequest is the size of a request for an outline or a slot.
+	smallRequest = 200
+	inRegion     = time.Millisecond
+	crossRegion  = 35 * time.Millisecond
+	// keepReplacedFor is how long a replaced version remains available.
+	keepReplacedFor = 2 * time.Second
+	// announceDelay is the time after which other VMs know that a VM has a version.
+	announceDelay = 5 * time.Millisecond
 )
 
-func newSim(size, zones, regions, question int, megabits float64, updates ...update) *sim {
-	s := &sim{start: time.Unix(1000, 0), question: question, updates: updates, draw: rand.New(rand.NewPCG(1, 2))}
+func newSim(size, zones, regions, requestBytes int, megabits float64, updates ...update) *sim {
+	s := &sim{start: time.Unix(1000, 0), requestBytes: requestBytes, updates: updates, random: rand.New(rand.NewPCG(1, 2))}
 	inZone, inRegion := make(map[int]int), make(map[int]int)
 	for n := range size {
 		zone := n % zones
 		region := zone % regions
 		s.vms = append(s.vms, &simVM{name: steering.VM(rune(n)), zone: steering.Zone(rune(zone)), region: steering.Region(rune(region)), rank: [2]int{inZone[zone], inRegion[region]},
-			room: spread.NewRoom(megabits), rate: megabits * 1e6 / 8, avoid: make(map[steering.VM]time.Time)})
+			room: spread.NewRoom(megabits), rate: megabits * 1e6 / 8, retryAt: make(map[steering.VM]time.Time)})
 		inZone[zone]++
 		inRegion[region]++
-		s.queue = append(s.queue, event{at: s.start.Add(heard), vm: n})
+		s.queue = append(s.queue, event{at: s.start.Add(announceDelay), vm: n})
 	}
 	for n, c := range updates {
 		s.reader().inForce = append(s.reader().inForce, inForce{n + 1, s.start.Add(c.after)})
@@ -145,23 +144,23 @@
 	return s
 }
 
-// reader is the VM that reads the store.
+// reader returns the VM that reads the store.
 func (s *sim) reader() *simVM { return s.vms[len(s.vms)/2] }
 
-// total is how many bytes configurations up to a version have added.
-func (s *sim) total(version int) (bytes int) {
+// contentBytes returns how many bytes the configurations up to a version have added.
+func (s *sim) contentBytes(version int) (bytes int) {
 	for _, c := range s.updates[:version] {
 		bytes += c.bytes
 	}
 	return bytes
 }
 
-// run plays until all have the last version, and returns how long after it was read any
-// version, or a newer one, came into force on the last VM.
+// run simulates until all VMs have the last version. It returns the longest time from reading a
+// version until it, or a newer one, was in force on all VMs.
 func (s *sim) run(t *testing.T) (worst time.Duration) {
 	t.Helper()
 	for steps := 0; s.queue.Len() > 0; steps++ {
-		assert.Assert(t, steps < 4_000_000, "no end")
+		assert.Assert(t, steps < 4_000_000, "the simulation does not end")
 		e := heap.Pop(&s.queue).(event)
 		vm := s.vms[e.vm]
 		if vm != s.reader() && vm.has(e.at) < len(s.updates) {
@@ -178,91 +177,91 @@
 	return worst
 }
 
-// knownFor is how long a VM has known of a version newer than the one it has.
-func (s *sim) knownFor(now time.Time, vm *simVM) time.Duration {
+// behindFor returns how long a version newer than the VM's has existed.
+func (s *sim) behindFor(now time.Time, vm *simVM) time.Duration {
 	return now.Sub(s.start.Add(s.updates[vm.has(now)].after))
 }
 
-// step lets a VM ask, and returns when it goes on.
+// step lets a VM send its next request, and returns when it continues.
 func (s *sim) step(now time.Time, vm *simVM) time.Time {
-	outgrown := max(vm.has(now), vm.aim-1)
+	tooOld := max(vm.has(now), vm.wanted-1)
 	var sources []spread.Source
 	byName := make(map[steering.VM]*simVM)
 	for _, other := range s.vms {
-		if version := other.has(now.Add(-heard)); version > outgrown && !now.Before(vm.avoid[other.name]) {
+		if version := other.has(now.Add(-announceDelay)); version > tooOld && !now.Before(vm.retryAt[other.name]) {
 			byName[other.name] = other
 			sources = append(sources, spread.Source{VM: other.name, Zone: other.zone, Region: other.region, Version: uint64(version)})
 		}
 	}
-	asker := spread.Asker{Zone: vm.zone, Region: vm.region, ZoneRank: vm.rank[0], RegionRank: vm.rank[1], Waited: s.knownFor(now, vm), Place: vm.place}
-	source, found := spread.Choose(asker, sources, s.draw.IntN)
+	asker := spread.Asker{Zone: vm.zone, Region: vm.region, ZoneRank: vm.rank[0], RegionRank: vm.rank[1], Waited: s.behindFor(now, vm), Place: vm.slotHolder}
+	source, found := spread.Choose(asker, sources, s.random.IntN)
 	if !found {
 		return now.Add(30 * time.Millisecond)
 	}
-	return s.ask(now, vm, byName[source.VM])
+	return s.request(now, vm, byName[source.VM])
 }
 
-// ask lets a VM ask another, and returns when it goes on.
-func (s *sim) ask(now time.Time, vm, from *simVM) time.Time {
-	way := inRegion
+// request sends a request from one VM to another, and returns when the first continues.
+func (s *sim) request(now time.Time, vm, from *simVM) time.Time {
+	latency := inRegion
 	if from.region != vm.region {
-		way = crossRegion
+		latency = crossRegion
 	}
-	vm.asked++
-	drafts := vm.aim > vm.has(now)
-	forPlace := drafts && vm.place != from.name && s.question > 2<<10
-	question := shortQuestion
-	if drafts && !forPlace {
-		question = s.question
+	vm.requests++
+	hasOutline := vm.wanted > vm.has(now)
+	forSlot := hasOutline && vm.slotHolder != from.name && s.requestBytes > 2<<10
+	requestBytes := smallRequest
+	if hasOutline && !forSlot {
+		requestBytes = s.requestBytes
 	}
-	vm.sent += question
-	vm.out = later(vm.out, now).Add(vm.sending(question))
-	from.in = later(from.in, vm.out.Add(way)).Add(from.sending(question))
-	arrived := from.in
+	vm.sent += requestBytes
+	vm.outBusyUntil = later(vm.outBusyUntil, now).Add(vm.transmitTime(requestBytes))
+	from.inBusyUntil = later(from.inBusyUntil, vm.outBusyUntil.Add(latency)).Add(from.transmitTime(requestBytes))
+	arrived := from.inBusyUntil
 
-	a := s.askOf(vm, from, arrived, drafts, forPlace)
+	a := s.askFor(vm, from, arrived, hasOutline, forSlot)
 	wait, fits := from.room.Turn(arrived, a)
 	if fits {
 		wait, fits = from.room.Promise(arrived, a)
 	}
 	if !fits {
-		vm.avoid[from.name] = arrived.Add(way + wait)
-		vm.place = ""
-		return arrived.Add(way)
+		vm.retryAt[from.name] = arrived.Add(latency + wait)
+		vm.slotHolder = ""
+		return arrived.Add(latency)
 	}
-	from.out = later(from.out, arrived).Add(from.sending(a.Bytes))
-	vm.in = later(vm.in, from.out.Add(way-from.sending(a.Bytes))).Add(vm.sending(a.Bytes))
-	done := later(vm.in, from.out.Add(way))
+	from.outBusyUntil = later(from.outBusyUntil, arrived).Add(from.transmitTime(a.Bytes))
+	vm.inBusyUntil = later(vm.inBusyUntil, from.outBusyUntil.Add(latency-from.transmitTime(a.Bytes))).Add(vm.transmitTime(a.Bytes))
+	done := later(vm.inBusyUntil, from.outBusyUntil.Add(latency))
 	vm.bytes += a.Bytes
 	switch {
 	case a.Outline:
-		vm.aim = max(vm.aim, from.has(arrived))
-	case forPlace:
-		vm.place = from.name
+		vm.wanted = max(vm.wanted, from.has(arrived))
+	case forSlot:
+		vm.slotHolder = from.name
 	default:
-		vm.place = from.name
-		vm.got += a.Bytes
+		vm.slotHolder = from.name
+		vm.receivedContent += a.Bytes
 	}
-	if vm.aim > vm.has(done) && vm.got >= s.total(vm.aim) {
-		vm.inForce = append(vm.inForce, inForce{vm.aim, done})
-		vm.place = ""
+	if vm.wanted > vm.has(done) && vm.receivedContent >= s.contentBytes(vm.wanted) {
+		vm.inForce = append(vm.inForce, inForce{vm.wanted, done})
+		vm.slotHolder = ""
 	}
 	return done
 }
 
-// askOf returns what a question that arrives asks of the link of the VM that is asked.
-func (s *sim) askOf(vm, from *simVM, arrived time.Time, drafts, forPlace bool) spread.Ask {
-	piece := spread.PieceBytes(vm.rate*8/1e6) / packed
-	a := spread.Ask{From: string(vm.name), Piece: piece, Outline: !drafts || from.tells(arrived, vm.aim) != vm.aim}
-	left := s.total(vm.aim) - vm.got
+// askFor returns the load that a request puts on the link of the VM that answers it.
+func (s *sim) askFor(vm, from *simVM, arrived time.Time, hasOutline, forSlot bool) spread.Ask {
+	piece := spread.PieceBytes(vm.rate*8/1e6) / compressionRatio
+	a := spread.Ask{From: string(vm.name), Piece: piece, Outline: !hasOutline || from.answersWith(arrived, vm.wanted) != vm.wanted}
+	left := s.contentBytes(vm.wanted) - vm.receivedContent
 	switch {
 	case a.Outline:
 		a.Bytes = outlineBytes
-	case forPlace:
-		a.Bytes = shortQuestion
+	case forSlot:
+		a.Bytes = smallRequest
 	default:
 		a.Bytes = min(left, piece)
-		a.End = left == a.Bytes
+		a.Last = left == a.Bytes
 	}
 	return a
 }
--- a/steering/spread/spread_test.go
+++ b/steering/spread/spread_test.go
@@ -30,7 +30,7 @@
 	return routes.NewTable(version, all, services, routes.Limits{HeaderBytes: 8192})
 }
 
-func many(n int) map[int]float64 {
+func equalWeights(n int) map[int]float64 {
 	weights := make(map[int]float64, n)
 	for i := range n {
 		weights[i] = 1
@@ -38,8 +38,8 @@
 	return weights
 }
 
-// says returns what a table says, whatever the order of its routes.
-func says(t *routes.Table) string {
+// contentOf returns the content of a table, independent of the order of its routes.
+func contentOf(t *routes.Table) string {
 	var all []string
 	for _, r := range t.Routes {
 		all = append(all, fmt.Sprint(r.Name, r.Host, r.Prefix, r.Kind, r.Timeout, r.Aim, r.Rank, r.MaxAttempts, r.KeyAffinity, r.Parts, r.Homes))
@@ -51,40 +51,40 @@
 	return fmt.Sprint(t.Version, t.Limits, "\n", strings.Join(all, "\n"))
 }
 
-// bring asks until the draft is done, and returns how many bytes came, in how many pieces.
-func bring(t *testing.T, d *spread.Draft, from *spread.Index, piece int) (bytes, pieces int) {
+// fetch requests pieces until the draft is complete. It returns the number of bytes and pieces.
+func fetch(t *testing.T, d *spread.Draft, from *spread.Index, piece int) (bytes, pieces int) {
 	t.Helper()
 	for !d.Done() || d.Version() < from.Outline().Version {
 		p, ask := from.Answer(d.Need(piece))
 		assert.NilError(t, d.Take(p))
-		assert.Equal(t, ask.End, d.Done())
+		assert.Equal(t, ask.Last, d.Done())
 		bytes, pieces = bytes+ask.Bytes, pieces+1
 		assert.Assert(t, pieces < 10_000)
 	}
 	return bytes, pieces
 }
 
-// Symptom: VMs are behind for seconds after the change of one weight. Cause: what was told
-// for a change grew with the configuration. One route costs 1.7 kB beside 4,200,
-// and 9.7 kB beside 42,000, since an outline holds a hash for each 64 routes; the whole table
-// would be 0.4 and 4.2 MB.
-func TestWhatIsToldGrowsWithTheChange(t *testing.T) {
+// Guards against transfers that grow with the configuration instead of the change, which kept VMs
+// out of date for seconds after the change of one weight. One changed route costs 1.7 kB among
+// 4,200 and 9.7 kB among 42,000, since an outline holds a hash for each 64 routes; the whole table
+// would take 0.4 and 4.2 MB.
+func TestTransferSizeDependsOnTheChange(t *testing.T) {
 	for _, c := range []struct{ routes, added, most int }{{4200, 1, 2000}, {42_000, 1, 10_000}, {2800, 1400, 190_000}, {42_000, 1400, 480_000}} {
-		before := many(c.routes)
-		after := many(c.routes + c.added)
+		before := equalWeights(c.routes)
+		after := equalWeights(c.routes + c.added)
 		d := spread.NewDraft()
 		d.Base(spread.NewIndex(tableOf(1, before)))
-		bytes, pieces := bring(t, d, spread.NewIndex(tableOf(2, after)), 64<<10)
+		bytes, pieces := fetch(t, d, spread.NewIndex(tableOf(2, after)), 64<<10)
 		t.Logf("%d routes and %d more: %d bytes in %d pieces", c.routes, c.added, bytes, pieces)
 		assert.Check(t, bytes <= c.most, "%d routes and %d more: %d bytes", c.routes, c.added, bytes)
 		assert.Equal(t, len(d.Index().Table().Routes), c.routes+c.added)
 	}
 }
 
-// A VM without a configuration gets the whole, in pieces of which none is much larger than
-// it asked for.
+// A VM without a configuration must get all of it, in pieces that are not much larger than
+// requested.
 func TestWholeConfigurationComesInBoundedPieces(t *testing.T) {
-	from := spread.NewIndex(tableOf(7, many(5600)))
+	from := spread.NewIndex(tableOf(7, equalWeights(5600)))
 	d := spread.NewDraft()
 	const piece = 32 << 10
 	for !d.Done() {
@@ -92,16 +92,16 @@
 		assert.Assert(t, ask.Bytes < 2*piece, "%d bytes", ask.Bytes)
 		assert.NilError(t, d.Take(p))
 	}
-	assert.Equal(t, says(d.Index().Table()), says(from.Table()))
+	assert.Equal(t, contentOf(d.Index().Table()), contentOf(from.Table()))
 }
 
-// Symptom: a VM on a narrow link never gets a configuration that changes often. Sequence:
-// pieces are lost, peers end, newer versions come in between, one peer knows an older.
-// Cause: beginning anew each time. Here each route comes once at most, and what is put
-// together is what some peer has.
-func TestProgressIsNeverLost(t *testing.T) {
+// Guards against starting over each time, so that a VM on a narrow link never completes a
+// configuration that changes often. Pieces are lost, peers stop, newer versions arrive in between,
+// and one peer has an older version. Each route must be received at most once, and the result must
+// be the configuration of some peer.
+func TestNoRouteIsReceivedTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		weights := many(rapid.IntRange(0, 400).Draw(t, "routes"))
+		weights := equalWeights(rapid.IntRange(0, 400).Draw(t, "routes"))
 		d := spread.NewDraft()
 		if rapid.Bool().Draw(t, "begins with a configuration") {
 			d.Base(spread.NewIndex(tableOf(1, weights)))
@@ -110,9 +110,9 @@
 		older := newest
 		came := make(map[string]int)
 		for step := 0; !d.Done() || d.Version() < newest.Outline().Version; step++ {
-			assert.Assert(t, step < 3000, "no end")
+			assert.Assert(t, step < 3000, "the draft is never complete")
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
-			case 0: // a newer version, with some routes gone, new or changed
+			case 0: // a newer version, with some routes removed, added or changed
 				if step > 300 {
 					break
 				}
@@ -126,12 +126,12 @@
 					weights[n] = float64(newest.Outline().Version)
 				}
 				newest = spread.NewIndex(tableOf(newest.Outline().Version+3, weights))
-			case 1: // lost on the way
+			case 1: // the piece is lost
 				newest.Answer(d.Need(4 << 10))
-			case 2: // a peer that is behind
+			case 2: // a peer with an older version
 				p, _ := older.Answer(d.Need(4 << 10))
-				_ = d.Take(p) // an older one is refused, and harms nothing
-			case 3: // spoiled on the way
+				_ = d.Take(p) // an older one is rejected without any effect
+			case 3: // the piece is corrupted
 				p, _ := newest.Answer(d.Need(4 << 10))
 				if len(p.Buckets) > 0 && len(p.Buckets[0].Routes) > 0 {
 					p.Buckets[0].Routes = p.Buckets[0].Routes[1:]
@@ -147,18 +147,19 @@
 				assert.NilError(t, d.Take(p))
 			}
 		}
-		assert.Equal(t, says(d.Index().Table()), says(newest.Table()))
+		assert.Equal(t, contentOf(d.Index().Table()), contentOf(newest.Table()))
 		for name, times := range came {
-			assert.Assert(t, times <= 1, "%s came %d times", name, times)
+			assert.Assert(t, times <= 1, "%s was received %d times", name, times)
 		}
 	})
 }
 
-// What goes wrong when a field is left out of the hash: a change of it alone is never told.
-func TestEachFieldOfARouteCounts(t *testing.T) {
-	outline := func(change func(*routes.Route)) spread.Outline {
+// Guards against a field that is left out of the hash: a change of that field alone would never be
+// distributed.
+func TestEachFieldChangesTheHash(t *testing.T) {
+	outline := func(changeField func(*routes.Route)) spread.Outline {
 		r := route(1, 1)
-		change(r)
+		changeField(r)
 		return spread.NewIndex(routes.NewTable(1, []*routes.Route{r}, nil, routes.Limits{})).Outline()
 	}
 	same := outline(func(*routes.Route) {})
@@ -168,7 +169,7 @@
 		if !field.IsExported() {
 			continue
 		}
-		changed := outline(func(r *routes.Route) { change(t, reflect.ValueOf(r).Elem().Field(i)) })
+		changed := outline(func(r *routes.Route) { changeField(t, reflect.ValueOf(r).Elem().Field(i)) })
 		assert.Assert(t, changed.Buckets[0] != same.Buckets[0], "%s is not in the hash", field.Name)
 	}
 	rest := func(s routes.Service, l routes.Limits) uint64 {
@@ -177,19 +178,19 @@
 	service := reflect.TypeFor[routes.Service]()
 	for i := range service.NumField() {
 		var s routes.Service
-		change(t, reflect.ValueOf(&s).Elem().Field(i))
+		changeField(t, reflect.ValueOf(&s).Elem().Field(i))
 		assert.Assert(t, rest(s, routes.Limits{}) != rest(routes.Service{}, routes.Limits{}), "%s is not in the hash", service.Field(i).Name)
 	}
 	limits := reflect.TypeFor[routes.Limits]()
 	for i := range limits.NumField() {
 		var l routes.Limits
-		change(t, reflect.ValueOf(&l).Elem().Field(i))
+		changeField(t, reflect.ValueOf(&l).Elem().Field(i))
 		assert.Assert(t, rest(routes.Service{}, l) != rest(routes.Service{}, routes.Limits{}), "%s is not in the hash", limits.Field(i).Name)
 	}
 }
 
-// change sets a field to another value.
-func change(t *testing.T, field reflect.Value) {
+// changeField sets a field to another value.
+func changeField(t *testing.T, field reflect.Value) {
 	t.Helper()
 	switch field.Kind() {
 	case reflect.String:
@@ -205,28 +206,28 @@
 	case reflect.Slice:
 		field.Set(reflect.Append(field, reflect.Zero(field.Type().Elem())))
 	default:
-		t.Fatalf("no other value for a field of kind %s", field.Kind())
+		t.Fatalf("cannot change a field of kind %s", field.Kind())
 	}
 }
 
-// What was replaced is told for some seconds to those who began to ask for it, and no longer:
-// each is memory held.
-func TestReplacedConfigurationsAreKeptForAWhile(t *testing.T) {
+// A replaced configuration must remain available for some seconds to VMs that have begun to fetch
+// it, and no longer, since it occupies memory.
+func TestReplacedConfigurationsAreKeptForLimitedTime(t *testing.T) {
 	var recent spread.Recent
 	now := time.Unix(1000, 0)
 	all := make(map[uint64]*spread.Index)
 	for version := uint64(1); version <= 10; version++ {
-		all[version] = spread.NewIndex(tableOf(version, many(3)))
+		all[version] = spread.NewIndex(tableOf(version, equalWeights(3)))
 		now = now.Add(300 * time.Millisecond)
 		assert.Equal(t, recent.Find(now, all[version], 0), all[version])
 	}
 	for version := uint64(1); version <= 10; version++ {
 		want := all[version]
-		if version < 4 { // more than six are replaced
+		if version < 4 { // at most six replaced ones are kept
 			want = all[10]
 		}
 		assert.Equal(t, recent.Find(now, all[10], version), want, "version %d", version)
 	}
 	assert.Equal(t, recent.Find(now.Add(time.Second), all[10], 9), all[9])
-	assert.Equal(t, recent.Find(now.Add(2*time.Second), all[10], 9), all[10], "too long ago")
+	assert.Equal(t, recent.Find(now.Add(2*time.Second), all[10], 9), all[10], "expired")
 }
--- a/steering/spread/workspaces_test.go
+++ b/steering/spread/workspaces_test.go
@@ -30,11 +30,12 @@
 	for n := range count {
 		all = append(all, workspaceOf(n, keys, rate))
 	}
-	t := tableOf(version, many(20))
+	t := tableOf(version, equalWeights(20))
 	return routes.NewTable(version, t.Routes, []*routes.Service{{Name: "svc"}}, t.Limits, all...)
 }
 
-// Guards against a key that stays valid on a VM since two configurations look alike.
+// Guards against an API key that remains valid on a VM because two configurations have the same
+// hash.
 func TestEachPropertyOfAWorkspaceChangesTheContent(t *testing.T) {
 	rank := 1
 	base := identity.Workspace{Name: "w", Keys: []identity.Digest{identity.DigestOf("a")}, Rate: 1, Burst: 2}
@@ -49,12 +50,12 @@
 	for n, w := range variants {
 		hash := spread.NewIndex(routes.NewTable(1, nil, nil, routes.Limits{}, &w)).Outline().ContentHash()
 		other, double := seen[hash]
-		assert.Assert(t, !double, "variants %d and %d look alike", n, other)
+		assert.Assert(t, !double, "variants %d and %d have the same hash", n, other)
 		seen[hash] = n
 	}
 }
 
-// Guards against a lost, doubled or stale workspace after any sequence of configurations.
+// Guards against lost, duplicate or stale workspaces after any sequence of configurations.
 func TestWorkspacesFollowAnySequenceOfConfigurations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := spread.NewDraft()
@@ -77,9 +78,9 @@
 	})
 }
 
-// Guards against a key that is taken away late at size: what is told for one of 2,000
+// Guards against late removal of an API key in a large configuration: what is sent for one of 2,000
 // workspaces must not grow with their number.
-func TestOneKeyTakenAwayIsToldInFewBytes(t *testing.T) {
+func TestRemovedKeyIsSentInFewBytes(t *testing.T) {
 	before := withWorkspaces(1, 2000, 2, 10)
 	var all []*identity.Workspace
 	for _, w := range before.Workspaces.All() {
