--- a/steering/lookup/build.go
+++ b/steering/lookup/build.go
@@ -16,14 +16,16 @@
 )
 
 const (
-	// ownZoneEntries is the number of entry VMs named of the place's zone.
-	ownZoneEntries = 3
-	// otherZones is the number of other zones named after it, one entry VM
-	// each, for when the zone cannot be reached.
-	otherZones = 2
+	// sameZoneEntries is the maximum number of entry VMs that an answer lists from the place's own
+	// zone.
+	sameZoneEntries = 3
+	// fallbackZones is the number of other zones that an answer lists after it, with one entry VM
+	// each, for when the place's zone is unreachable.
+	fallbackZones = 2
 )
 
-// NewPlan makes the answers for a snapshot and the members.
+// NewPlan precomputes the answers for a snapshot and a list of members. It uses in.Snapshot.Blocks
+// only if that is a [*Table]; with any other value every client has an unknown home.
 func NewPlan(in Input) *Plan {
 	if in.TTL == 0 {
 		in.TTL = DefaultTTL
@@ -40,16 +42,16 @@
 	return b.plan
 }
 
-// builder collects the answers of a plan.
+// builder holds the intermediate state of NewPlan.
 type builder struct {
-	in     Input
-	plan   *Plan
-	blocks *Table
-	places []*routing.Place // open ones, by name
-	zones  map[steering.Zone][]Member
-	made   map[answerKey]int32
-	stops  stops
-	// servingZones are the zones with an open place that serves a service.
+	in          Input
+	plan        *Plan
+	blocks      *Table
+	places      []*routing.Place // the result of openPlaces, sorted by name
+	zones       map[steering.Zone][]Member
+	answerIndex map[answerKey]int32
+	stops       stops
+	// servingZones holds, for each service, the zones of the open places that have targets for it.
 	servingZones map[steering.Service]map[steering.Zone]bool
 }
 
@@ -58,20 +60,21 @@
 	service steering.Service
 }
 
-// stops are the subjects of the planned stops that have begun.
+// stops holds the entry VMs, zones and places whose planned stops have started, and the time at
+// which the next one starts.
 type stops struct {
-	vms    map[steering.VM]bool
-	zones  map[steering.Zone]bool
-	places map[steering.Place]bool
-	next   time.Time
+	vms       map[steering.VM]bool
+	zones     map[steering.Zone]bool
+	places    map[steering.Place]bool
+	nextStart time.Time
 }
 
-func begunStops(snapshot *routing.Snapshot, now time.Time) stops {
+func startedStops(snapshot *routing.Snapshot, now time.Time) stops {
 	s := stops{vms: map[steering.VM]bool{}, zones: map[steering.Zone]bool{}, places: map[steering.Place]bool{}}
 	for _, stop := range snapshot.Stops {
 		if !stop.Begun(now) {
-			if s.next.IsZero() || stop.At.Before(s.next) {
-				s.next = stop.At
+			if s.nextStart.IsZero() || stop.At.Before(s.nextStart) {
+				s.nextStart = stop.At
 			}
 			continue
 		}
@@ -89,15 +92,15 @@
 
 func newBuilder(in Input) *builder {
 	b := &builder{
-		in:    in,
-		plan:  &Plan{version: in.Snapshot.Version, services: map[steering.Service]*servicePlan{}},
-		zones: map[steering.Zone][]Member{},
-		made:  map[answerKey]int32{},
+		in:          in,
+		plan:        &Plan{version: in.Snapshot.Version, services: map[steering.Service]*servicePlan{}},
+		zones:       map[steering.Zone][]Member{},
+		answerIndex: map[answerKey]int32{},
 
 		servingZones: map[steering.Service]map[steering.Zone]bool{},
-		stops:        begunStops(in.Snapshot, in.Now),
+		stops:        startedStops(in.Snapshot, in.Now),
 	}
-	b.plan.next = b.stops.next
+	b.plan.nextStart = b.stops.nextStart
 	for _, m := range in.Members {
 		if !b.stops.vms[m.VM] && !b.stops.zones[m.Zone] && m.Address != "" {
 			b.zones[m.Zone] = append(b.zones[m.Zone], m)
@@ -107,9 +110,9 @@
 	return b
 }
 
-// openPlaces returns the places without a stop whose zone has an entry VM:
-// targets are reached through their own zone's entry VMs only. Where no zone
-// has one, the view of the members is in doubt and every place counts.
+// openPlaces returns the places that are not under a planned stop and whose zone has an entry VM,
+// because targets are reached only through the entry VMs of their own zone. If no such zone has an
+// entry VM, the member list is probably wrong, and all places without a stop are returned.
 func (b *builder) openPlaces() []*routing.Place {
 	var open, reachable []*routing.Place
 	for _, name := range slices.Sorted(maps.Keys(b.in.Snapshot.Places)) {
@@ -128,33 +131,33 @@
 	return reachable
 }
 
-// service makes the choices for every home.
+// service computes the answers to a service for callers of every home.
 func (b *builder) service(service steering.Service) *servicePlan {
 	plan := &servicePlan{}
 	serving := b.serving(service)
 	b.servingZones[service] = zonesOf(serving)
 	switch {
-	case len(serving) == 0 && b.servedAtAll(service):
-		plan.refuse = steering.ReasonStopped
+	case len(serving) == 0 && b.hasTargets(service):
+		plan.refusal = steering.ReasonStopped
 		return plan
 	case len(serving) == 0 || len(b.zones) == 0:
-		plan.refuse = steering.ReasonNoTarget
+		plan.refusal = steering.ReasonNoTarget
 		return plan
 	}
 	rules := b.shifts(service, serving)
-	plan.nowhere = b.home(service, &routing.Place{Zone: b.in.Zone, Region: b.in.Region}, serving, nil)
+	plan.unknownHome = b.home(service, &routing.Place{Zone: b.in.Zone, Region: b.in.Region}, serving, nil)
 	for _, name := range b.blocks.places {
-		home := plan.nowhere
+		home := plan.unknownHome
 		if place, declared := b.in.Snapshot.Places[name]; declared {
 			home = b.home(service, place, serving, rules)
 		}
 		plan.homes = append(plan.homes, home)
-		plan.simple = append(plan.simple, home.simple())
+		plan.singleAnswer = append(plan.singleAnswer, home.singleAnswer())
 	}
 	return plan
 }
 
-// serving returns the places that have a target for the service and no stop.
+// serving returns the open places that have a target for the service.
 func (b *builder) serving(service steering.Service) []*routing.Place {
 	var serving []*routing.Place
 	for _, place := range b.places {
@@ -173,7 +176,7 @@
 	return zones
 }
 
-func (b *builder) servedAtAll(service steering.Service) bool {
+func (b *builder) hasTargets(service steering.Service) bool {
 	for _, place := range b.in.Snapshot.Places {
 		if place.Serves(service) {
 			return true
@@ -182,15 +185,16 @@
 	return false
 }
 
-// shiftRule is a shift with the answers it moves callers to.
+// shiftRule is a shift of one service: the places it moves callers from, and the rule that selects
+// the callers and their destination.
 type shiftRule struct {
 	from []steering.Place
 	rule rule
 }
 
-// shifts returns the rules that apply to a service: its own shifts before
-// those of every service, then by name. A shift none of whose places can serve
-// moves nobody.
+// shifts returns the shift rules of a service: shifts of this service before shifts of all
+// services, and each group sorted by name. A shift is skipped if none of its destination places
+// serves the service.
 func (b *builder) shifts(service steering.Service, serving []*routing.Place) []shiftRule {
 	var shifts []*routing.Shift
 	for _, shift := range b.in.Snapshot.Shifts {
@@ -216,16 +220,16 @@
 			continue
 		}
 		rules = append(rules, shiftRule{from: shift.From, rule: rule{
-			seed:  xxhash.Sum64String(shift.Name),
-			below: uint64(shift.Moved) * unitsPerPercent,
-			to:    b.over(service, to, shift.Name),
+			seed:      xxhash.Sum64String(shift.Name),
+			threshold: uint64(shift.Moved) * unitsPerPercent,
+			to:        b.spreadOver(service, to, shift.Name),
 		}})
 	}
 	return rules
 }
 
-// home makes the choice for callers of one home. Where the home cannot serve,
-// its callers are spread over the nearest places that can.
+// home computes the answers for callers of one home. If the home does not serve the service, its
+// callers are spread over the nearest places that do.
 func (b *builder) home(service steering.Service, home *routing.Place, serving []*routing.Place, rules []shiftRule) *homePlan {
 	plan := &homePlan{}
 	for _, r := range rules {
@@ -233,12 +237,12 @@
 			plan.rules = append(plan.rules, r.rule)
 		}
 	}
-	plan.own = b.over(service, nearest(home, serving), string(home.Name))
+	plan.unshifted = b.spreadOver(service, nearest(home, serving), string(home.Name))
 	return plan
 }
 
-// nearest returns the home itself, else the places of its zone, else those of
-// its region, else all.
+// nearest returns the home itself if it serves, otherwise the serving places in its zone, otherwise
+// those in its region, otherwise all serving places.
 func nearest(home *routing.Place, serving []*routing.Place) []*routing.Place {
 	for _, near := range []func(*routing.Place) bool{
 		func(p *routing.Place) bool { return p.Name == home.Name },
@@ -258,10 +262,10 @@
 	return serving
 }
 
-// over spreads callers over places by rendezvous hashing, so that a place that
-// comes or goes moves only the callers it gains or loses.
-func (b *builder) over(service steering.Service, places []*routing.Place, salt string) *spread {
-	s := &spread{}
+// spreadOver distributes callers over places by rendezvous hashing, so that adding or removing a
+// place moves only the callers that this place gains or loses.
+func (b *builder) spreadOver(service steering.Service, places []*routing.Place, salt string) *distribution {
+	s := &distribution{}
 	if len(places) == 1 {
 		only := b.answer(service, places[0])
 		for i := range s.answers {
@@ -283,14 +287,15 @@
 	return s
 }
 
-// answer returns the index of the answer for a service at a place.
+// answer returns the index of the answer for a service at a place, and adds the answer to the plan
+// on first use.
 func (b *builder) answer(service steering.Service, place *routing.Place) int32 {
 	key := answerKey{place.Name, service}
-	if index, ok := b.made[key]; ok {
+	if index, ok := b.answerIndex[key]; ok {
 		return index
 	}
 	index := int32(len(b.plan.answers))
-	b.made[key] = index
+	b.answerIndex[key] = index
 	b.plan.answers = append(b.plan.answers, Answer{
 		Service: service,
 		Place:   place.Name,
@@ -301,31 +306,33 @@
 	return index
 }
 
-// entries orders the entry VMs: those of the place's zone with the pool's
-// owner first, then one each of the nearest other zones, and last, where the
-// zone has none in good standing, those in doubt.
+// entries returns the entry VMs of an answer in order of preference: usable ones of the place's
+// zone, with the owner of the pool first; then one usable VM from each of the nearest other zones.
+// Doubtful VMs of the place's zone are appended if the zone has no usable one, and doubtful VMs of
+// other zones if the list would otherwise be empty.
 func (b *builder) entries(service steering.Service, place *routing.Place) []Entry {
-	entries := b.first(service, place.Name, b.zones[place.Zone], Usable, ownZoneEntries)
+	entries := b.topEntries(service, place.Name, b.zones[place.Zone], Usable, sameZoneEntries)
 	inZone := len(entries)
-	for _, zone := range b.otherZones(service, place) {
-		if len(entries) >= inZone+otherZones {
+	for _, zone := range b.fallbackZones(service, place) {
+		if len(entries) >= inZone+fallbackZones {
 			break
 		}
-		entries = append(entries, b.first(service, place.Name, b.zones[zone], Usable, 1)...)
+		entries = append(entries, b.topEntries(service, place.Name, b.zones[zone], Usable, 1)...)
 	}
 	if inZone == 0 {
-		entries = append(entries, b.first(service, place.Name, b.zones[place.Zone], Doubtful, ownZoneEntries)...)
+		entries = append(entries, b.topEntries(service, place.Name, b.zones[place.Zone], Doubtful, sameZoneEntries)...)
 	}
 	if len(entries) == 0 {
-		for _, zone := range b.otherZones(service, place) {
-			entries = append(entries, b.first(service, place.Name, b.zones[zone], Doubtful, 1)...)
+		for _, zone := range b.fallbackZones(service, place) {
+			entries = append(entries, b.topEntries(service, place.Name, b.zones[zone], Doubtful, 1)...)
 		}
 	}
 	return entries
 }
 
-// first returns the n entry VMs of the state with the strongest claim.
-func (b *builder) first(service steering.Service, place steering.Place, members []Member, state MemberState, n int) []Entry {
+// topEntries returns up to n members in the given state, in the order in which the pool's ownership
+// ranks them.
+func (b *builder) topEntries(service steering.Service, place steering.Place, members []Member, state MemberState, n int) []Entry {
 	byName := map[steering.VM]Member{}
 	var vms []steering.VM
 	for _, m := range members {
@@ -342,11 +349,11 @@
 	return entries
 }
 
-// otherZones returns the zones to fall back to: those that serve the service
-// themselves before others, then those of the same region before others; equals
-// in an order of the place's own, so that a lost zone's callers do not all meet
-// in one.
-func (b *builder) otherZones(service steering.Service, place *routing.Place) []steering.Zone {
+// fallbackZones returns the zones other than the place's own. Zones that serve the service come
+// first, and within each group zones of the place's region. Zones of equal rank are ordered by a
+// hash that depends on the place, so that the callers of a failed zone are spread over several
+// zones instead of all moving to the same one.
+func (b *builder) fallbackZones(service steering.Service, place *routing.Place) []steering.Zone {
 	serves := b.servingZones[service]
 	type candidate struct {
 		zone steering.Zone
--- a/steering/lookup/plan.go
+++ b/steering/lookup/plan.go
@@ -11,61 +11,62 @@
 	"heatherlock/steering/routing"
 )
 
-// DefaultTTL is how long a client may keep an answer.
+// DefaultTTL is the default time for which a client may cache an answer.
 const DefaultTTL = 5 * time.Second
 
 const (
-	// buckets is the number of groups that clients are divided into where one
-	// place's callers are spread over several.
+	// buckets is the number of groups into which callers are hashed when they are spread over
+	// several places.
 	buckets = 64
-	// shareUnits is the resolution of a moved share.
+	// shareUnits is the resolution of the share of callers that a shift moves.
 	shareUnits = 10000
-	// unitsPerPercent converts a shift's percent.
+	// unitsPerPercent is the number of shareUnits in one percent.
 	unitsPerPercent = shareUnits / 100
 )
 
-// MemberState says how far an entry VM may be used in answers.
+// MemberState is the health of a member as far as answers depend on it.
 type MemberState uint8
 
-// States of a member. Leaving and dead ones are not given to NewPlan.
+// Member states. NewPlan is not given members that are leaving or have failed.
 const (
-	// Usable members come first.
+	// Usable members are listed first.
 	Usable MemberState = iota
-	// Doubtful members have not been heard from lately. They are named only
-	// where a zone has no other: when all look dead, the signal is in doubt.
+	// Doubtful members have missed heartbeats. They are listed only where a zone has no usable
+	// member: if every member of a zone seems to have failed, the failure detection itself is
+	// suspect.
 	Doubtful
 )
 
-// Member is an entry VM that answers may name.
+// Member is an entry VM that answers may list.
 type Member struct {
 	VM          steering.VM
 	Zone        steering.Zone
 	Region      steering.Region
-	Address     string               // caller listener, host:port
-	Incarnation steering.Incarnation // empty when not heard from yet
+	Address     string               // host:port of the listener for callers
+	Incarnation steering.Incarnation // empty before the first heartbeat
 	State       MemberState
 }
 
-// Input is what answers are made from.
+// Input holds the data that a plan is built from.
 type Input struct {
 	Snapshot *routing.Snapshot
 	Members  []Member
-	// Zone and Region are those of the answering entry VM; clients of unknown
-	// home are sent near it.
+	// Zone and Region are those of the entry VM that builds the plan. Clients with an unknown home
+	// are sent to places near it.
 	Zone   steering.Zone
 	Region steering.Region
 	Now    time.Time
 	TTL    time.Duration // zero means DefaultTTL
 }
 
-// Entry is one entry VM of an answer.
+// Entry is an entry VM listed in an answer.
 type Entry struct {
 	VM          steering.VM
 	Address     string
 	Incarnation steering.Incarnation
 }
 
-// Answer names the entry VMs to use for one service at one place, in order.
+// Answer lists the entry VMs to use for a service at a place, in order of preference.
 type Answer struct {
 	Service steering.Service
 	Place   steering.Place
@@ -74,110 +75,110 @@
 	Version int64
 }
 
-// Plan holds the answers for one snapshot and one view of the members. It is
-// immutable and safe for concurrent use.
+// Plan holds the precomputed answers for one snapshot and one list of members. It is immutable and
+// safe for concurrent use.
 type Plan struct {
-	blocks   numbered
-	version  int64
-	services map[steering.Service]*servicePlan
-	answers  []Answer
-	next     time.Time
+	blocks    homeFinder
+	version   int64
+	services  map[steering.Service]*servicePlan
+	answers   []Answer
+	nextStart time.Time
 }
 
-// numbered finds the number of a client's home place.
-type numbered interface {
+// homeFinder returns the index of a client's home place.
+type homeFinder interface {
 	find(netip.Addr) (uint16, bool)
 }
 
-// servicePlan holds the choices for one service by the number of the caller's
-// home place.
+// servicePlan holds the answers for one service, indexed by the number of the caller's home place.
 type servicePlan struct {
-	// simple holds the answer where all callers of a home get the same one,
-	// else notSimple. It spares most look-ups the reading of a homePlan, which
-	// is seldom in the processor's cache.
-	simple []int32
-	homes  []*homePlan
-	// nowhere is for callers of unknown home.
-	nowhere *homePlan
-	refuse  steering.Reason // set when no place can be answered
+	// singleAnswer holds the answer of each home whose callers all get the same one, and
+	// noSingleAnswer for every other home. With it most look-ups don't read a homePlan, which is
+	// rarely in the CPU cache.
+	singleAnswer []int32
+	homes        []*homePlan
+	// unknownHome applies to callers whose address is in no block.
+	unknownHome *homePlan
+	refusal     steering.Reason // set if there is no place to return
 }
 
-// notSimple stands in servicePlan.simple where callers' answers differ.
-const notSimple = -1
+// noSingleAnswer marks a home in servicePlan.singleAnswer whose callers get different answers.
+const noSingleAnswer = -1
 
-// homePlan is the choice for callers of one home.
+// homePlan holds the answers for callers of one home. The first rule that selects a caller applies;
+// unshifted applies to callers that no rule selects.
 type homePlan struct {
-	rules []rule
-	own   *spread
+	rules     []rule
+	unshifted *distribution
 }
 
-// rule is a shift as it applies to one home and service.
+// rule is a shift as it applies to callers of one home for one service.
 type rule struct {
-	seed  uint64 // of the shift's name
-	below uint64 // moved share in shareUnits
-	to    *spread
+	seed      uint64 // hash of the shift's name
+	threshold uint64 // share of callers that is moved, in shareUnits
+	to        *distribution
 }
 
-// simple returns the one answer of all callers, if there is one.
-func (h *homePlan) simple() int32 {
+// singleAnswer returns the answer that all callers of the home get, or noSingleAnswer.
+func (h *homePlan) singleAnswer() int32 {
 	if len(h.rules) > 0 {
-		return notSimple
+		return noSingleAnswer
 	}
-	for _, answer := range h.own.answers {
-		if answer != h.own.answers[0] {
-			return notSimple
+	for _, answer := range h.unshifted.answers {
+		if answer != h.unshifted.answers[0] {
+			return noSingleAnswer
 		}
 	}
-	return h.own.answers[0]
+	return h.unshifted.answers[0]
 }
 
-// spread divides callers over answers.
-type spread struct{ answers [buckets]int32 }
+// distribution maps each bucket of callers to an answer.
+type distribution struct{ answers [buckets]int32 }
 
-// Answers returns every answer; Choose returns indexes into it. The slice must
-// not be changed.
+// Answers returns all answers of the plan. Choose returns indexes into this slice, which must not
+// be modified.
 func (p *Plan) Answers() []Answer { return p.answers }
 
-// NextChange returns when a planned stop next begins, or the zero time. The
-// plan must be made anew then.
-func (p *Plan) NextChange() time.Time { return p.next }
+// NextChange returns the time at which the next planned stop starts, or the zero time if none is
+// scheduled. The plan is out of date from that time on and must be rebuilt.
+func (p *Plan) NextChange() time.Time { return p.nextStart }
 
-// Choose returns the index of the answer for a client and a service. It
-// allocates nothing unless it refuses; the error is a *steering.Refusal.
+// Choose returns the index of the answer for a client and a service. It allocates only when it
+// returns an error, which is a *steering.Refusal.
 func (p *Plan) Choose(client netip.Addr, service steering.Service) (int, error) {
 	choices, ok := p.services[service]
 	if !ok {
 		return 0, steering.Refuse(steering.ReasonNoService, 0, "service "+string(service))
 	}
-	if choices.refuse != "" {
-		return 0, steering.Refuse(choices.refuse, retryAfterRefusal, "service "+string(service))
+	if choices.refusal != "" {
+		return 0, steering.Refuse(choices.refusal, retryAfterRefusal, "service "+string(service))
 	}
 	number, ok := p.blocks.find(client)
 	if !ok {
-		return int(choices.nowhere.choose(client)), nil
+		return int(choices.unknownHome.choose(client)), nil
 	}
-	if answer := choices.simple[number]; answer != notSimple {
+	if answer := choices.singleAnswer[number]; answer != noSingleAnswer {
 		return int(answer), nil
 	}
 	return int(choices.homes[number].choose(client)), nil
 }
 
-// retryAfterRefusal is when to ask again while nothing can serve.
+// retryAfterRefusal is the retry delay sent to clients while no place can serve.
 const retryAfterRefusal = 5 * time.Second
 
 func (h *homePlan) choose(client netip.Addr) int32 {
 	bytes := client.As16()
 	for i := range h.rules {
 		r := &h.rules[i]
-		if hash := clientHash(&bytes, r.seed); hash%shareUnits < r.below {
+		if hash := clientHash(&bytes, r.seed); hash%shareUnits < r.threshold {
 			return r.to.answers[bucketOf(hash)]
 		}
 	}
-	return h.own.answers[bucketOf(clientHash(&bytes, 0))]
+	return h.unshifted.answers[bucketOf(clientHash(&bytes, 0))]
 }
 
-// clientHash is the same on every node and in every version: it alone decides
-// which clients a share covers.
+// clientHash decides which clients a shift moves. It must be the same on all entry VMs and in all
+// versions, otherwise two VMs would answer the same client differently.
 func clientHash(client *[16]byte, seed uint64) uint64 {
 	var b [24]byte
 	copy(b[:], client[:])
--- a/steering/lookup/plan_test.go
+++ b/steering/lookup/plan_test.go
@@ -17,9 +17,9 @@
 
 const service = steering.Service("tickets")
 
-// world is three regions of two zones, two places and three entry VMs each;
-// every place serves. Block 10.N.0.0/16 belongs to the N-th place.
-func world() Input {
+// testInput returns an input with three regions of two zones each, and two places and three entry
+// VMs in each zone. Every place serves the service. Block 10.N.0.0/16 belongs to the N-th place.
+func testInput() Input {
 	snapshot := &routing.Snapshot{
 		Version:  1,
 		Services: map[steering.Service]*routing.Service{service: {Name: service}},
@@ -60,27 +60,27 @@
 	return p.Answers()[index]
 }
 
-func TestHomeAndOwnerFirst(t *testing.T) {
-	in := world()
+func TestAnswerListsPoolOwnerFirst(t *testing.T) {
+	in := testInput()
 	answer := choose(t, NewPlan(in), client(2, 7))
 	assert.Equal(t, answer.Place, steering.Place("r0-z1-p0"))
 	vms := []steering.VM{"r0-z1-vm0", "r0-z1-vm1", "r0-z1-vm2"}
 	for i, vm := range ownership.Order(answer.Place, service, vms) {
 		assert.Equal(t, answer.Entries[i].VM, vm)
 	}
-	assert.Equal(t, len(answer.Entries), ownZoneEntries+otherZones)
-	assert.Equal(t, string(answer.Entries[ownZoneEntries].VM[:5]), "r0-z0", "the nearest zone is next")
+	assert.Equal(t, len(answer.Entries), sameZoneEntries+fallbackZones)
+	assert.Equal(t, string(answer.Entries[sameZoneEntries].VM[:5]), "r0-z0", "the nearest zone is next")
 }
 
-// Symptom: callers jump back and forth while a shift moves. Sequence: the
-// percent grows step by step, and nodes see different steps for a moment.
-// Cause: a share drawn anew at each step, or per node.
-func TestRaisingAShiftOnlyMovesMore(t *testing.T) {
+// Guards against clients that switch back and forth between places while a shift grows step by step
+// and entry VMs briefly use different percentages. This happens if the moved clients are selected
+// anew at each step or on each entry VM.
+func TestRaisingPercentKeepsMovedClients(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lower := rapid.IntRange(0, 100).Draw(t, "lower")
 		higher := rapid.IntRange(lower, 100).Draw(t, "higher")
 		at := func(moved int) *Plan {
-			in := world()
+			in := testInput()
 			in.Snapshot.Shifts["s"] = &routing.Shift{Name: "s", From: []steering.Place{"r0-z0-p0"},
 				To: []steering.Place{"r1-z0-p0", "r1-z0-p1", "r1-z1-p0"}, Moved: moved}
 			return NewPlan(in)
@@ -102,13 +102,12 @@
 	})
 }
 
-// Symptom: callers are sent to an entry VM or place that is stopped or gone,
-// or get no answer though somebody could serve. Sequence: any mix of planned
-// stops and members that left or are in doubt. Cause: one exclusion applied to
-// places and not to entry VMs, or exclusions that leave nothing.
-func TestAnswersAvoidWhatIsStoppedOrGone(t *testing.T) {
+// Guards against answers that list a stopped or departed entry VM or place, and against a refusal
+// while some place can still serve. This happens if a planned stop is applied to places but not to
+// entry VMs, or if exclusions together leave an empty answer.
+func TestAnswersExcludeStoppedAndDepartedMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		in := world()
+		in := testInput()
 		gone := map[steering.VM]bool{}
 		doubtful := map[steering.VM]bool{}
 		var members []Member
@@ -139,7 +138,7 @@
 		for block := range 12 {
 			index, err := plan.Choose(client(block, block), service)
 			if err != nil {
-				assert.Assert(t, !left, "refused though an entry VM is left: %v", err)
+				assert.Assert(t, !left, "refused although an entry VM is available: %v", err)
 				continue
 			}
 			answer := plan.Answers()[index]
@@ -156,7 +155,7 @@
 }
 
 func TestChooseAllocatesNothing(t *testing.T) {
-	in := world()
+	in := testInput()
 	in.Snapshot.Shifts["s"] = &routing.Shift{Name: "s", From: []steering.Place{"r0-z0-p0"}, To: []steering.Place{"r1-z0-p0"}, Moved: 50}
 	plan := NewPlan(in)
 	host := 0
@@ -167,10 +166,9 @@
 	assert.Equal(t, allocs, 0.0)
 }
 
-// Symptom: a client is sent to the home of a block that was taken away or
-// changed. Sequence: blocks change one by one while look-ups go on. Cause: a
-// changed table that differs from one built anew, or a change that shows in a
-// table already in use.
+// Guards against clients that are sent to the home of a removed or changed block. This happens if a
+// table changed block by block differs from a newly built one, or if a change is visible in a table
+// that is already in use.
 func TestChangedTableEqualsRebuilt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		blocks := map[netip.Prefix]steering.Place{}
--- a/steering/lookup/ranges.go
+++ b/steering/lookup/ranges.go
@@ -7,26 +7,25 @@
 	"slices"
 )
 
-// noPlace marks addresses that belong to no block.
+// noPlace is the place number of addresses that are in no block.
 const noPlace = maxPlaces
 
-// indexBits is the number of leading address bits that lead straight to a
-// group of ranges.
+// indexBits is the number of leading address bits that select an entry of the index.
 const indexBits = 16
 
-// ranges is the blocks of one address family as ranges that do not overlap,
-// each with the place of its longest block. A look-up reads the index, one
-// short run of starts and one place: three or four cache lines, where the
-// prefix tree that the ranges are made from reads ten or more.
+// ranges represents the blocks of one address family as consecutive address ranges that don't
+// overlap, each with the place of its longest matching block. A look-up reads the index, a short
+// run of range starts and one place: three or four cache lines, compared with ten or more for the
+// prefix tree from which the ranges are built.
 type ranges[K uint32 | uint64] struct {
-	// index[i] is the first range that starts at or after i<<shift.
+	// index[i] is the position in starts of the first range that starts at or after i<<shift.
 	index  []uint32
 	starts []K
 	places []uint16
 	shift  uint
 }
 
-// find returns the place number for a key, noPlace if there is none.
+// find returns the place number for a key, or noPlace.
 func (r *ranges[K]) find(key K) uint16 {
 	group := key >> r.shift
 	first, after := int(r.index[group]), int(r.index[group+1])
@@ -41,41 +40,42 @@
 	return r.places[first+n-1]
 }
 
-// open is a block whose end has not been passed.
-type open[K uint32 | uint64] struct {
+// openBlock is a block whose last address flatten has not reached yet.
+type openBlock[K uint32 | uint64] struct {
 	last  K
 	place uint16
 }
 
-// flatten makes ranges of blocks in order of address, shorter prefixes first.
-// key and the width in bits say how an address becomes a key.
+// flatten builds ranges from blocks sorted by address, shorter prefixes before longer ones with the
+// same address. key converts an address to a number of width bits.
 func flatten[K uint32 | uint64](blocks iter.Seq2[netip.Prefix, uint16], key func(netip.Addr) K, width int) *ranges[K] {
 	r := &ranges[K]{shift: uint(width - indexBits)}
-	var stack []open[K]
+	var stack []openBlock[K]
 	for prefix, place := range blocks {
 		first := key(prefix.Addr())
 		stack = r.closeBefore(stack, first)
-		r.begin(first, place)
-		span := ^K(0) >> prefix.Bits() // zero for a host
-		stack = append(stack, open[K]{last: first | span, place: place})
+		r.startRange(first, place)
+		span := ^K(0) >> prefix.Bits() // zero if the prefix covers a single key
+		stack = append(stack, openBlock[K]{last: first | span, place: place})
 	}
 	for len(stack) > 0 {
-		stack = r.closeTop(stack)
+		stack = r.closeInnermost(stack)
 	}
-	r.makeIndex()
+	r.buildIndex()
 	return r
 }
 
-// closeBefore ends the open blocks that end before first.
-func (r *ranges[K]) closeBefore(stack []open[K], first K) []open[K] {
+// closeBefore closes the open blocks whose last address is below first.
+func (r *ranges[K]) closeBefore(stack []openBlock[K], first K) []openBlock[K] {
 	for len(stack) > 0 && stack[len(stack)-1].last < first {
-		stack = r.closeTop(stack)
+		stack = r.closeInnermost(stack)
 	}
 	return stack
 }
 
-// closeTop ends the innermost open block: the one around it goes on.
-func (r *ranges[K]) closeTop(stack []open[K]) []open[K] {
+// closeInnermost closes the innermost open block. The enclosing block, or noPlace, applies after
+// its last address.
+func (r *ranges[K]) closeInnermost(stack []openBlock[K]) []openBlock[K] {
 	ended := stack[len(stack)-1]
 	stack = stack[:len(stack)-1]
 	if ended.last == ^K(0) {
@@ -85,13 +85,13 @@
 	if len(stack) > 0 {
 		place = stack[len(stack)-1].place
 	}
-	r.begin(ended.last+1, place)
+	r.startRange(ended.last+1, place)
 	return stack
 }
 
-// begin starts a range; a range begun at the same address is replaced, and one
-// that only continues the place before it is left out.
-func (r *ranges[K]) begin(first K, place uint16) {
+// startRange starts a range at first. It replaces a range that starts at the same address, and adds
+// nothing if the preceding range has the same place.
+func (r *ranges[K]) startRange(first K, place uint16) {
 	if n := len(r.starts); n > 0 && r.starts[n-1] == first {
 		r.starts = r.starts[:n-1]
 		r.places = r.places[:n-1]
@@ -103,9 +103,9 @@
 	r.places = append(r.places, place)
 }
 
-func (r *ranges[K]) makeIndex() {
-	r.starts = exact(r.starts)
-	r.places = exact(r.places)
+func (r *ranges[K]) buildIndex() {
+	r.starts = trimmed(r.starts)
+	r.places = trimmed(r.places)
 	r.index = make([]uint32, 1<<indexBits+1)
 	next := 0
 	for group := range 1 << indexBits {
@@ -117,21 +117,21 @@
 	r.index[1<<indexBits] = uint32(len(r.starts))
 }
 
-// exact returns a copy without spare capacity: a table is kept for days.
-func exact[T any](s []T) []T { return append(make([]T, 0, len(s)), s...) }
+// trimmed returns a copy without spare capacity, because a table may stay in memory for days.
+func trimmed[T any](s []T) []T { return append(make([]T, 0, len(s)), s...) }
 
-// key4 is an IPv4 address as a number.
-func key4(a netip.Addr) uint32 {
+// ipv4Key converts an IPv4 address to a number.
+func ipv4Key(a netip.Addr) uint32 {
 	bytes := a.As4()
 	return binary.BigEndian.Uint32(bytes[:])
 }
 
-// key6 is the first half of an IPv6 address; blocks are no longer than that.
-func key6(a netip.Addr) uint64 {
+// ipv6Key converts the upper 64 bits of an IPv6 address to a number.
+func ipv6Key(a netip.Addr) uint64 {
 	bytes := a.As16()
-	return binary.BigEndian.Uint64(bytes[:half6/8])
+	return binary.BigEndian.Uint64(bytes[:maxIPv6Bits/8])
 }
 
-// half6 is the longest IPv6 prefix that ranges are made of: networks are not
-// longer than that.
-const half6 = 64
+// maxIPv6Bits is the longest IPv6 prefix that ranges can represent. Networks don't use longer
+// prefixes; [Table] handles the exception with the prefix tree.
+const maxIPv6Bits = 64
--- a/steering/lookup/ranges_test.go
+++ b/steering/lookup/ranges_test.go
@@ -11,8 +11,8 @@
 	"heatherlock/steering/routing"
 )
 
-// drawAddr draws addresses that often share their leading bytes and often lie
-// at the ends of the address space.
+// drawAddr draws addresses that often have leading bytes in common and are often at the ends of the
+// address space.
 func drawAddr(t *rapid.T, size int) netip.Addr {
 	bytes := make([]byte, size)
 	for i := range bytes {
@@ -22,18 +22,17 @@
 	return addr
 }
 
-// Symptom: a client at the edge of a block, or in a block within a block, gets
-// another block's home. Sequence: any nesting of blocks of both families, down
-// to single hosts and up to the whole space. Cause: a range that ends one
-// address too early or late, or an inner block's end taken for the outer's.
-func TestRangesEqualTheTree(t *testing.T) {
+// Guards against a client at the boundary of a block, or in a nested block, that is given the home
+// of another block. This happens if a range ends one address too early or too late, or if the end
+// of a nested block is taken for the end of the enclosing one.
+func TestRangesMatchPrefixTree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var blocks []routing.Block
 		for range rapid.IntRange(0, 25).Draw(t, "blocks") {
 			size := rapid.SampledFrom([]int{4, 16}).Draw(t, "size")
 			longest := size * 8
 			if size == 16 && rapid.IntRange(0, 9).Draw(t, "long") > 0 {
-				longest = half6
+				longest = maxIPv6Bits
 			}
 			prefix, _ := drawAddr(t, size).Prefix(rapid.IntRange(0, longest).Draw(t, "bits"))
 			place := steering.Place(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "place"))
