--- a/steering/spill/doc.go
+++ b/steering/spill/doc.go
@@ -1,14 +1,14 @@
-// Package spill orders the places outside the own zone that a request may be
-// handed over to, by hints about their headroom.
+// Package spill orders the places outside the local zone to which a request may be handed over,
+// based on hints about their free capacity.
 //
-// The receiver decides; a hint only saves refused round trips. Each hint has
-// an age and fades to neutral, so that an old figure neither attracts nor
-// repels. Work is spread over equally near places in proportion to headroom
-// rather than sent to the best one: with many senders and the same stale
-// figures, "the best" would be flooded, refuse, and the next one would follow.
-// Each sender counts what it has sent since the hint against it.
+// The receiving place decides whether it admits a request; a hint only saves round trips that end
+// in a refusal. Each hint has an age and decays to a neutral value, so that an outdated figure
+// neither attracts nor repels requests. Requests are spread over places at equal distance in
+// proportion to their free capacity rather than all sent to the best place: many senders with the
+// same outdated figures would overload that place until it refuses, and then the next one. Each
+// sender subtracts the requests it has sent since the hint from the hint.
 //
-// Limits: hints of different senders are not coordinated, so that together
-// they may send more than fits; the receiver then refuses, and its refusal
-// holds the sender back for the time given.
+// Limits: the hints of different senders are not coordinated, so together they may send more than a
+// place can run. The place then refuses, and each refused sender backs off for the time given in
+// the refusal, within the bounds of [Params].
 package spill
--- a/steering/spill/table.go
+++ b/steering/spill/table.go
@@ -10,46 +10,45 @@
 	"heatherlock/steering"
 )
 
-// Params sets how hints count. Zero fields take the defaults.
+// Params configures a [Table]. Zero fields take the defaults.
 type Params struct {
-	// FadeAfter is the age at which a hint no longer counts.
-	FadeAfter time.Duration
-	// MinBackoff and MaxBackoff bound how long a refusal holds work back, and
-	// FullBackoff how long one does that says that all slots are in use.
-	MinBackoff  time.Duration
-	FullBackoff time.Duration
-	MaxBackoff  time.Duration
+	// HintTTL is the age at which a hint has decayed completely and is ignored.
+	HintTTL time.Duration
+	// MinBackoff and MaxBackoff bound the backoff after a refusal. MaxFullBackoff is the upper
+	// bound instead of MaxBackoff if the refusal says that the pool is at its limit.
+	MinBackoff     time.Duration
+	MaxFullBackoff time.Duration
+	MaxBackoff     time.Duration
 }
 
 // Defaults of Params.
 const (
-	DefaultFadeAfter   = 5 * time.Second
-	DefaultMinBackoff  = 20 * time.Millisecond
-	DefaultFullBackoff = 50 * time.Millisecond
-	DefaultMaxBackoff  = 5 * time.Second
+	DefaultHintTTL        = 5 * time.Second
+	DefaultMinBackoff     = 20 * time.Millisecond
+	DefaultMaxFullBackoff = 50 * time.Millisecond
+	DefaultMaxBackoff     = 5 * time.Second
 )
 
 const (
-	// neutralWeight is the weight of a place nothing is known of: as if it had
-	// two free slots.
+	// neutralWeight is the weight of a place without a valid hint, equal to two free slots.
 	neutralWeight = 2.0
-	// fullWeight keeps a place that is known to be full in the list, rarely
-	// first, so that it is still tried when all are full.
+	// fullWeight is the weight of a place that is known to be full. It is above zero so that the
+	// place stays in the list, rarely first, and is still tried when all places are full.
 	fullWeight = 0.05
-	// maxDoublings bounds the growth of a backoff.
+	// maxDoublings limits the exponential growth of the backoff.
 	maxDoublings = 10
 )
 
-// WithDefaults fills zero fields.
+// WithDefaults returns p with zero and negative fields set to the defaults.
 func (p Params) WithDefaults() Params {
-	if p.FadeAfter <= 0 {
-		p.FadeAfter = DefaultFadeAfter
+	if p.HintTTL <= 0 {
+		p.HintTTL = DefaultHintTTL
 	}
 	if p.MinBackoff <= 0 {
 		p.MinBackoff = DefaultMinBackoff
 	}
-	if p.FullBackoff <= 0 {
-		p.FullBackoff = DefaultFullBackoff
+	if p.MaxFullBackoff <= 0 {
+		p.MaxFullBackoff = DefaultMaxFullBackoff
 	}
 	if p.MaxBackoff <= 0 {
 		p.MaxBackoff = DefaultMaxBackoff
@@ -57,30 +56,32 @@
 	return p
 }
 
-// Pool names the slots that a place has for a service.
+// Pool identifies the slots of a service at a place.
 type Pool struct {
 	Place   steering.Place
 	Service steering.Service
 }
 
-// hint is what is known of one pool.
+// hint is the state of a pool as known to the sender.
 type hint struct {
 	free int
-	// at is when free was true.
+	// at is the time at which free was measured.
 	at time.Time
-	// sent counts the work sent there since.
+	// sent counts the requests sent to the pool since then.
 	sent int
-	// closedUntil is when a refusal ends, refusals how many came in a row.
-	closedUntil time.Time
-	refusals    int
+	// backoffUntil is the end of the backoff after the last refusal. refusals counts consecutive
+	// refusals.
+	backoffUntil time.Time
+	refusals     int
 }
 
 // Table holds the hints of one sender. It is not safe for concurrent use.
 type Table struct {
 	params Params
 	hints  map[Pool]*hint
-	// turn makes successive orders differ; see score.
-	turn uint64
+	// orderSeed differs for each call of Order, so that successive calls return different orders;
+	// see score.
+	orderSeed uint64
 }
 
 // NewTable returns an empty table.
@@ -97,8 +98,8 @@
 	return h
 }
 
-// Learn takes in that a pool had free slots at a time. An older figure than
-// the one known is ignored.
+// Learn records the number of free slots that a pool had at the given time. It ignores figures
+// older than the current one.
 func (t *Table) Learn(pool Pool, free int, at time.Time) {
 	h := t.hint(pool)
 	if at.Before(h.at) {
@@ -110,27 +111,30 @@
 	}
 }
 
-// Refused takes in that a pool refused work, why, and when to come back.
-// Refusals in a row double the least pause.
+// Refused records that a pool refused a request, with the reason and the requested retry delay. The
+// sender backs off for the retry delay or for MinBackoff, whichever is longer; MinBackoff doubles
+// with each consecutive refusal.
 //
-// The time to come back that a full pool gives is for one caller among many.
-// Slots come free within milliseconds; a sender that kept all its work back
-// for that time would refuse its callers although other places had room.
+// The backoff from a full pool is limited to MaxFullBackoff, because the retry delay in such a
+// refusal is meant for a single caller among many. Slots become free within milliseconds, and a
+// sender that stopped all its requests for the whole delay would refuse its callers although other
+// places had free capacity.
 func (t *Table) Refused(pool Pool, reason steering.Reason, retryAfter time.Duration, now time.Time) {
 	h := t.hint(pool)
 	longest := t.params.MaxBackoff
-	if passesSoon(reason) {
-		longest = t.params.FullBackoff
+	if isTransient(reason) {
+		longest = t.params.MaxFullBackoff
 	}
 	pause := t.params.MinBackoff << min(h.refusals, maxDoublings)
 	pause = min(max(pause, retryAfter), longest)
 	h.refusals++
 	h.free, h.at, h.sent = 0, now, 0
-	h.closedUntil = now.Add(pause)
+	h.backoffUntil = now.Add(pause)
 }
 
-// passesSoon says whether a reason ends with the next request that ends there.
-func passesSoon(reason steering.Reason) bool {
+// isTransient reports whether the condition behind a refusal can end as soon as the next running
+// request ends.
+func isTransient(reason steering.Reason) bool {
 	switch reason {
 	case steering.ReasonNoSlot, steering.ReasonQueueFull, steering.ReasonShed, steering.ReasonLinkFull:
 		return true
@@ -138,13 +142,13 @@
 	return false
 }
 
-// Sent counts work sent to a pool against its hint.
+// Sent subtracts one request, just sent to the pool, from the pool's hint.
 func (t *Table) Sent(pool Pool) { t.hint(pool).sent++ }
 
-// Forget drops hints that no longer count.
+// Forget removes hints that have expired and whose backoff has ended.
 func (t *Table) Forget(now time.Time) {
 	for pool, h := range t.hints {
-		if now.Sub(h.at) > t.params.FadeAfter && now.After(h.closedUntil) {
+		if now.Sub(h.at) > t.params.HintTTL && now.After(h.backoffUntil) {
 			delete(t.hints, pool)
 		}
 	}
@@ -153,32 +157,33 @@
 // Candidate is a place that has targets for a service.
 type Candidate struct {
 	Place steering.Place
-	// Distance orders candidates: nearer ones first, equal ones by headroom.
+	// Distance orders candidates, nearest first. Candidates at equal distance are ordered by free
+	// capacity.
 	Distance int
 }
 
-type ranked struct {
+type rankedCandidate struct {
 	place    steering.Place
 	full     bool
 	distance int
 	score    float64
 }
 
-// Order returns the candidates that may be tried now, best first: places known
-// to be full last, then by distance, then spread by headroom. Places that
-// refused and whose time has not come are left out.
+// Order returns the candidates that may be tried now, in order of preference. Places known to be
+// full are last; the others are sorted by distance and, at equal distance, in a random order
+// weighted by free capacity. Places in backoff are left out.
 func (t *Table) Order(service steering.Service, candidates []Candidate, now time.Time) []steering.Place {
-	t.turn++
-	list := make([]ranked, 0, len(candidates))
+	t.orderSeed++
+	list := make([]rankedCandidate, 0, len(candidates))
 	for _, c := range candidates {
 		h := t.hints[Pool{Place: c.Place, Service: service}]
-		if h != nil && now.Before(h.closedUntil) {
+		if h != nil && now.Before(h.backoffUntil) {
 			continue
 		}
 		w := t.weight(h, now)
-		list = append(list, ranked{place: c.Place, full: w <= fullWeight, distance: c.Distance, score: t.score(c.Place, w)})
+		list = append(list, rankedCandidate{place: c.Place, full: w <= fullWeight, distance: c.Distance, score: t.score(c.Place, w)})
 	}
-	slices.SortFunc(list, compare)
+	slices.SortFunc(list, compareCandidates)
 	places := make([]steering.Place, len(list))
 	for i, r := range list {
 		places[i] = r.place
@@ -186,7 +191,7 @@
 	return places
 }
 
-func compare(a, b ranked) int {
+func compareCandidates(a, b rankedCandidate) int {
 	switch {
 	case a.full != b.full && a.full:
 		return 1
@@ -202,20 +207,21 @@
 	return 0
 }
 
-// weight is the headroom a hint stands for, faded by its age to neutral.
+// weight returns the free capacity according to the hint, moved towards neutralWeight with the
+// hint's age.
 func (t *Table) weight(h *hint, now time.Time) float64 {
 	if h == nil || h.at.IsZero() {
 		return neutralWeight
 	}
 	age := now.Sub(h.at)
-	if age >= t.params.FadeAfter {
+	if age >= t.params.HintTTL {
 		return neutralWeight
 	}
 	left := float64(h.free - h.sent)
 	if left <= 0 {
 		left = 0
 	}
-	fade := max(0, float64(age)/float64(t.params.FadeAfter))
+	fade := max(0, float64(age)/float64(t.params.HintTTL))
 	w := left*(1-fade) + neutralWeight*fade
 	if left == 0 && fade < 0.5 {
 		return fullWeight
@@ -223,11 +229,12 @@
 	return max(w, fullWeight)
 }
 
-// score draws an exponential number with rate w from the turn and the place:
-// the lowest score falls on each place in proportion to its weight.
+// score returns an exponentially distributed pseudorandom number with rate w, derived from
+// orderSeed and the place. Each place gets the lowest score with a probability proportional to its
+// weight.
 func (t *Table) score(place steering.Place, w float64) float64 {
 	var d xxhash.Digest
-	d.ResetWithSeed(t.turn)
+	d.ResetWithSeed(t.orderSeed)
 	_, _ = d.WriteString(string(place))
 	u := (float64(d.Sum64()>>11) + 0.5) / (1 << 53)
 	return -math.Log(u) / w
--- a/steering/spill/table_test.go
+++ b/steering/spill/table_test.go
@@ -18,15 +18,15 @@
 
 func pool(p steering.Place) Pool { return Pool{Place: p, Service: service} }
 
-// machine checks every order against plain rules kept beside the table.
+// machine checks every order against a simple model kept beside the table.
 type machine struct {
-	table  *Table
-	now    time.Time
-	closed map[steering.Place]time.Time // at least until then
-	opens  map[steering.Place]time.Time // at most until then
-	free   map[steering.Place]int
-	at     map[steering.Place]time.Time
-	places []Candidate
+	table    *Table
+	now      time.Time
+	closed   map[steering.Place]time.Time // the place must not be offered before this time
+	openFrom map[steering.Place]time.Time // the place must be offered from this time on
+	free     map[steering.Place]int
+	at       map[steering.Place]time.Time
+	places   []Candidate
 }
 
 func (m *machine) drawPlace(t *rapid.T) steering.Place {
@@ -50,10 +50,10 @@
 	m.table.Refused(pool(p), reason, after, m.now)
 	longest := DefaultMaxBackoff
 	if reason == steering.ReasonNoSlot {
-		longest = DefaultFullBackoff
+		longest = DefaultMaxFullBackoff
 	}
 	m.closed[p] = m.now.Add(min(max(after, DefaultMinBackoff), longest))
-	m.opens[p] = m.now.Add(longest)
+	m.openFrom[p] = m.now.Add(longest)
 	m.free[p], m.at[p] = 0, m.now
 }
 
@@ -70,26 +70,26 @@
 		distance[c.Place] = c.Distance
 		closed := m.now.Before(m.closed[c.Place])
 		if closed {
-			assert.Assert(t, !slices.Contains(order, c.Place), "%s refused and is offered", c.Place)
+			assert.Assert(t, !slices.Contains(order, c.Place), "%s is in backoff and was offered", c.Place)
 		}
-		if !m.now.Before(m.opens[c.Place]) {
+		if !m.now.Before(m.openFrom[c.Place]) {
 			assert.Assert(t, slices.Contains(order, c.Place), "%s is missing", c.Place)
 		}
 	}
 	last := -1
 	for _, p := range order {
-		freshAndFull := m.free[p] == 0 && m.now.Sub(m.at[p]) < DefaultFadeAfter
+		freshAndFull := m.free[p] == 0 && m.now.Sub(m.at[p]) < DefaultHintTTL
 		if freshAndFull {
-			continue // may stand behind farther ones
+			continue // a full place may follow more distant ones
 		}
 		assert.Assert(t, distance[p] >= last, "order %v", order)
 		last = distance[p]
 	}
 }
 
-func TestOrderKeepsItsRules(t *testing.T) {
+func TestOrderInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &machine{table: NewTable(Params{}), now: start, closed: map[steering.Place]time.Time{}, opens: map[steering.Place]time.Time{},
+		m := &machine{table: NewTable(Params{}), now: start, closed: map[steering.Place]time.Time{}, openFrom: map[steering.Place]time.Time{},
 			free: map[steering.Place]int{}, at: map[steering.Place]time.Time{}}
 		for i := range 6 {
 			m.places = append(m.places, Candidate{Place: steering.Place(fmt.Sprint("p", i)), Distance: i / 2})
@@ -98,8 +98,8 @@
 	})
 }
 
-// firsts counts how often each place comes first in n orders.
-func firsts(table *Table, candidates []Candidate, n int, now time.Time) map[steering.Place]int {
+// countFirst counts how often each place comes first in n orders.
+func countFirst(table *Table, candidates []Candidate, n int, now time.Time) map[steering.Place]int {
 	count := map[steering.Place]int{}
 	for range n {
 		count[table.Order(service, candidates, now)[0]]++
@@ -107,27 +107,27 @@
 	return count
 }
 
-// Symptom: places in turn are flooded and then idle. Sequence: all senders see
-// the same figures and choose the place with the most free slots until the
-// figures change. Cause: choosing the best instead of sharing by headroom.
-func TestWorkIsSharedInProportion(t *testing.T) {
+// Guards against places that are overloaded one after another and idle in between. This happens if
+// all senders have the same figures and each chooses the place with the most free slots until the
+// figures change, instead of spreading requests in proportion to free slots.
+func TestOrderFollowsHeadroom(t *testing.T) {
 	table := NewTable(Params{})
 	candidates := []Candidate{{Place: "a"}, {Place: "b"}, {Place: "c"}}
 	table.Learn(pool("a"), 12, start)
 	table.Learn(pool("b"), 4, start)
 	table.Learn(pool("c"), 0, start)
-	count := firsts(table, candidates, 4000, start)
+	count := countFirst(table, candidates, 4000, start)
 	assert.Assert(t, count["a"] > 2850 && count["a"] < 3150, "%v", count)
 	assert.Assert(t, count["b"] > 850 && count["b"] < 1150, "%v", count)
 	assert.Equal(t, count["c"], 0)
 
-	old := firsts(table, candidates, 3000, start.Add(DefaultFadeAfter))
+	old := countFirst(table, candidates, 3000, start.Add(DefaultHintTTL))
 	for _, c := range candidates {
-		assert.Assert(t, old[c.Place] > 900 && old[c.Place] < 1100, "old hints still count: %v", old)
+		assert.Assert(t, old[c.Place] > 900 && old[c.Place] < 1100, "expired hints still have an effect: %v", old)
 	}
 }
 
-func TestWorkSentCountsAgainstTheHint(t *testing.T) {
+func TestSentRequestsReduceHint(t *testing.T) {
 	table := NewTable(Params{})
 	candidates := []Candidate{{Place: "near"}, {Place: "far", Distance: 1}}
 	table.Learn(pool("near"), 2, start)
@@ -138,18 +138,18 @@
 	assert.Equal(t, table.Order(service, candidates, start)[0], steering.Place("far"))
 }
 
-// Symptom: callers are refused although other zones have room. Sequence: a
-// zone fails, its neighbour's load doubles, other zones at 80 % load refuse
-// now and then. Cause: each such refusal held all of a sender's work back for
-// the time that one caller was told, up to 5 s.
-func TestFullPoolIsTriedAgainSoon(t *testing.T) {
+// Guards against callers that are refused although other zones have free capacity. When a zone
+// fails, the load of a neighboring zone doubles and other zones at 80 % load refuse occasionally;
+// if each such refusal stops all requests of a sender for the retry delay meant for one caller, up
+// to 5 s, their free capacity is not used.
+func TestFullPoolBackoffIsShort(t *testing.T) {
 	table := NewTable(Params{})
 	candidates := []Candidate{{Place: "a"}}
 	now := start
 	for range 20 {
 		table.Refused(pool("a"), steering.ReasonNoSlot, time.Second, now)
 		assert.Equal(t, len(table.Order(service, candidates, now)), 0)
-		now = now.Add(DefaultFullBackoff)
+		now = now.Add(DefaultMaxFullBackoff)
 		assert.Equal(t, len(table.Order(service, candidates, now)), 1)
 	}
 	table.Refused(pool("a"), steering.ReasonPeerDown, time.Second, now)
