--- a/steering/routes/routes_test.go
+++ b/steering/routes/routes_test.go
@@ -11,7 +11,7 @@
 	"heatherlock/steering/routes"
 )
 
-func TestLongestPrefixOfTheHostWins(t *testing.T) {
+func TestMatchPrefersLongestPrefix(t *testing.T) {
 	short := &routes.Route{Name: "short", Host: "a.example", Prefix: "/x/"}
 	long := &routes.Route{Name: "long", Host: "a.example", Prefix: "/x/y/"}
 	other := &routes.Route{Name: "other", Host: "b.example", Prefix: "/"}
@@ -29,11 +29,11 @@
 	assert.Assert(t, !found)
 }
 
-// Symptom: a canary of 10 in 100 gets 17 of its first hundred requests.
-// Sequence: an operator splits a route and judges the first minute. Cause: each
-// request was drawn at random. Every window has to hold each part's share to
-// within one request a part.
-func TestEveryWindowHoldsTheProportions(t *testing.T) {
+// Guards against a canary of weight 10 in 100 that gets 17 of its first hundred requests, by which
+// an operator judges the split. This happens if the service is chosen at random for each request.
+// After any number of requests, each part must have its exact share to within one request for each
+// part.
+func TestSplitterKeepsProportions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(0, 100), 1, 5).Draw(t, "weights")
 		var parts []routes.Part
--- a/steering/routes/split.go
+++ b/steering/routes/split.go
@@ -9,13 +9,13 @@
 // Splitter divides requests between services by weight. It is safe for
 // concurrent use.
 type Splitter struct {
-	mu    sync.Mutex
-	parts []Part
-	owed  []float64 // weight that each part is due
-	total float64
+	mu     sync.Mutex
+	parts  []Part
+	credit []float64 // weight credited to each part, minus the total for each request it got
+	total  float64
 }
 
-// NewSplitter returns a splitter; parts without weight get nothing.
+// NewSplitter returns a Splitter. Parts with a weight of zero or less get no requests.
 func NewSplitter(parts []Part) *Splitter {
 	s := &Splitter{}
 	for _, p := range parts {
@@ -24,13 +24,13 @@
 			s.total += p.Weight
 		}
 	}
-	s.owed = make([]float64, len(s.parts))
+	s.credit = make([]float64, len(s.parts))
 	return s
 }
 
-// Next returns the service of the next request: each part is credited its
-// weight, and the part that is owed most gets the request. It returns the empty
-// name when no part has weight.
+// Next returns the service for the next request. Every part is credited with its weight, and the
+// part with the highest credit gets the request and is charged the sum of all weights. Next returns
+// the empty name if no part has a positive weight.
 func (s *Splitter) Next() steering.Service {
 	if len(s.parts) == 0 {
 		return ""
@@ -42,11 +42,11 @@
 	defer s.mu.Unlock()
 	best := 0
 	for i, p := range s.parts {
-		s.owed[i] += p.Weight
-		if s.owed[i] > s.owed[best] {
+		s.credit[i] += p.Weight
+		if s.credit[i] > s.credit[best] {
 			best = i
 		}
 	}
-	s.owed[best] -= s.total
+	s.credit[best] -= s.total
 	return s.parts[best].Service
 }
--- a/steering/routes/table.go
+++ b/steering/routes/table.go
@@ -9,20 +9,20 @@
 	"heatherlock/steering/identity"
 )
 
-// Kind says what may be repeated.
+// Kind tells whether a request may be executed more than once.
 type Kind uint8
 
 // Kinds of request.
 const (
-	// Idempotent requests may run more than once.
+	// Idempotent requests may be executed more than once.
 	Idempotent Kind = iota
-	// Once requests run at most once for each id.
+	// Once requests are executed at most once for each request ID.
 	Once
-	// Upload requests are Once with large bodies.
+	// Upload requests are Once requests with large bodies.
 	Upload
 )
 
-// String names the kind in logs and metrics.
+// String returns the name of the kind in logs and metrics.
 func (k Kind) String() string {
 	switch k {
 	case Idempotent:
@@ -35,42 +35,43 @@
 	return "unknown"
 }
 
-// Repeatable reports whether a request may be sent again without a proof that
-// it has not run.
+// Repeatable reports whether a request may be sent again without proof that it has not been
+// executed.
 func (k Kind) Repeatable() bool { return k == Idempotent }
 
-// Part is a service and its share of a route's requests.
+// Part is a service with its weight in a traffic split.
 type Part struct {
 	Service steering.Service
 	Weight  float64
 }
 
-// Route is where requests of one host and path prefix may go.
+// Route defines how requests for one host and path prefix are handled.
 type Route struct {
 	Name   string
-	Host   string // lower case, without a port
+	Host   string // lowercase, without a port
 	Prefix string // begins and ends with a slash
 	Kind   Kind
-	// Timeout is the longest that a caller is kept waiting; 0 means no bound.
+	// Timeout is the maximum time that a caller waits; 0 means no limit.
 	Timeout time.Duration
-	// Aim is the time within which an answer is worth its full value.
+	// Aim is the latency target: a response within this time has its full value to the caller.
 	Aim time.Duration
-	// Rank orders kinds of request of one service; 0 is served first.
+	// Rank is the priority of the route's requests among those of the same service; 0 is served
+	// first.
 	Rank        int
 	Parts       []Part
 	MaxAttempts int
-	// KeyAffinity marks routes on which a target that handled a key recently is
-	// faster.
+	// KeyAffinity is set if a target that recently handled requests with the same affinity key
+	// responds faster.
 	KeyAffinity bool
-	// Homes are the regions it may run in; none means all.
+	// Homes lists the regions in which requests may be executed; empty means all.
 	Homes []steering.Region
-	// Public routes take requests without an API key.
+	// Public routes accept requests without an API key.
 	Public bool
 
 	splitter *Splitter
 }
 
-// MayRunIn reports whether the route's requests may run in region.
+// MayRunIn reports whether requests of the route may be executed in a region.
 func (r *Route) MayRunIn(region steering.Region) bool {
 	if len(r.Homes) == 0 {
 		return true
@@ -83,26 +84,25 @@
 	return false
 }
 
-// NeedsKey reports whether a request on the route has to name its workspace by an API
-// key.
+// NeedsKey reports whether a request on the route must identify its workspace by an API key.
 func (t *Table) NeedsKey(r *Route) bool { return t.Workspaces != nil && !r.Public }
 
-// Service returns the service of the next request.
+// Service returns the service for the next request according to the traffic split.
 func (r *Route) Service() steering.Service { return r.splitter.Next() }
 
-// Service holds what the operator says of a service.
+// Service holds the operator's settings for a service.
 type Service struct {
 	Name       steering.Service
 	HealthPath string
-	// MaxConnections bounds the connections to one target, over all entry VMs.
+	// MaxConnections limits the connections to one target, summed over all entry VMs.
 	MaxConnections int
-	// ColdFor is how long a target stays cold after its start.
+	// ColdFor is how long a target is considered cold after its start.
 	ColdFor time.Duration
-	// ColdRate is the requests per second that a cold target bears.
+	// ColdRate is the number of requests per second that a cold target can handle.
 	ColdRate float64
 }
 
-// Limits bounds what a caller may send and how long it may take.
+// Limits restricts the size of requests and the time that a connection may take.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -110,19 +110,20 @@
 	IdleTimeout   time.Duration
 }
 
-// Table is one whole configuration.
+// Table is a complete, immutable configuration.
 type Table struct {
 	Version  uint64
 	Routes   []*Route
 	Services map[steering.Service]*Service
 	Limits   Limits
-	// Workspaces is nil where requests need no API key.
+	// Workspaces is nil if requests need no API key.
 	Workspaces *identity.Directory
 
-	byHost map[string][]*Route // longest prefix first
+	byHost map[string][]*Route // sorted by before: longest prefix first
 }
 
-// NewTable returns the table of routes, services and workspaces.
+// NewTable returns a table of the routes, services and workspaces. Routes that are reused from an
+// earlier table keep their splitter and thereby the state of their traffic split.
 func NewTable(version uint64, all []*Route, services []*Service, limits Limits, workspaces ...*identity.Workspace) *Table {
 	t := &Table{Version: version, Routes: all, Limits: limits, Workspaces: identity.NewDirectory(workspaces),
 		Services: make(map[steering.Service]*Service, len(services)), byHost: make(map[string][]*Route)}
@@ -130,7 +131,7 @@
 		t.Services[s.Name] = s
 	}
 	for _, r := range all {
-		if r.splitter == nil { // a route carried over from the table before goes on dividing
+		if r.splitter == nil { // a route of an earlier table keeps its splitter
 			r.splitter = NewSplitter(r.Parts)
 		}
 		t.byHost[r.Host] = append(t.byHost[r.Host], r)
@@ -141,8 +142,8 @@
 	return t
 }
 
-// before orders routes of a host: longer prefixes first, and else the same on all entry
-// VMs, in whatever order they got the routes.
+// before defines the order in which the routes of a host are matched: longer prefixes first. The
+// order is total, so that all entry VMs match alike, in whatever order they received the routes.
 func (r *Route) before(o *Route) bool {
 	if len(r.Prefix) != len(o.Prefix) {
 		return len(r.Prefix) > len(o.Prefix)
@@ -153,7 +154,7 @@
 	return r.Name < o.Name
 }
 
-// Match returns the route of a request, or false if there is none.
+// Match returns the route for a Host field and a request target, or false if no route matches.
 func (t *Table) Match(host, target string) (*Route, bool) {
 	path := pathOf(target)
 	for _, r := range t.byHost[hostOf(host)] {
@@ -164,10 +165,10 @@
 	return nil, false
 }
 
-// Newer reports whether t is to replace old, which may be nil.
+// Newer reports whether t should replace old, which may be nil.
 func (t *Table) Newer(old *Table) bool { return old == nil || t.Version > old.Version }
 
-// hostOf strips a port and folds case, as in a Host field.
+// hostOf returns the lowercase host of a Host field without its port.
 func hostOf(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:colon]
@@ -175,7 +176,7 @@
 	return strings.ToLower(host)
 }
 
-// pathOf returns the path of a request target in origin or absolute form.
+// pathOf returns the path of a request target in origin form or absolute form.
 func pathOf(target string) string {
 	if query := strings.IndexByte(target, '?'); query >= 0 {
 		target = target[:query]
