--- a/steering/routing/doc.go
+++ b/steering/routing/doc.go
@@ -1,8 +1,8 @@
-// Package routing defines the immutable snapshot of configuration that every
-// decision reads. A snapshot is built whole from the operators' objects, is
-// never changed after it is published, and carries one monotone version: the
-// platform's revision it was built from.
+// Package routing defines the immutable configuration [Snapshot] on which every decision is based.
+// A snapshot is built as a whole from the operators' objects, is not modified after it is
+// published, and has a version that only increases: the revision of the platform from which it was
+// built.
 //
-// Limits: a snapshot says what was declared, never what is measured. Load,
-// health and membership live elsewhere and are looked up by name.
+// Limits: a snapshot contains declared configuration only. Measured data such as load, health and
+// membership is kept elsewhere and looked up by name.
 package routing
--- a/steering/routing/resolve.go
+++ b/steering/routing/resolve.go
@@ -7,9 +7,9 @@
 	"heatherlock/steering"
 )
 
-// Resolve returns the places that a name means in a shift: the place of that
-// name, else the places of the zone, else those of the region, by name. It is
-// empty when nothing has the name.
+// Resolve returns the places that a name in a shift refers to, sorted by name: the place of that
+// name if there is one, otherwise the places of the zone, otherwise those of the region. The result
+// is empty if nothing has that name.
 func Resolve(places map[steering.Place]*Place, name string) []steering.Place {
 	if _, ok := places[steering.Place(name)]; ok {
 		return []steering.Place{steering.Place(name)}
@@ -31,12 +31,12 @@
 	return found
 }
 
-// Serves says whether a place has a target for the service.
+// Serves reports whether the place has a target for the service.
 func (p *Place) Serves(service steering.Service) bool {
 	return slices.ContainsFunc(p.Targets, func(t Target) bool { return t.Service == service })
 }
 
-// Begun says whether the stop holds at now.
+// Begun reports whether the stop has started at the given time.
 func (s *Stop) Begun(now time.Time) bool {
 	return !now.Before(s.At)
 }
--- a/steering/routing/snapshot.go
+++ b/steering/routing/snapshot.go
@@ -7,7 +7,8 @@
 	"heatherlock/steering"
 )
 
-// Criticality orders services when not all work fits; lower is served first.
+// Criticality is the priority of a service when not all requests can be admitted; lower values are
+// served first.
 type Criticality uint8
 
 // Criticality classes.
@@ -17,36 +18,36 @@
 	Sheddable
 )
 
-// Service is a declared service.
+// Service is a service as declared by operators.
 type Service struct {
 	Name          steering.Service
 	Version       int64
 	Hosts         []string
 	Criticality   Criticality
-	Timeout       time.Duration // default deadline of a request
+	Timeout       time.Duration // default timeout of a request
 	MaxBodyBytes  int64
-	NonIdempotent []string // HTTP methods that must run at most once
-	RetryPercent  int      // retries allowed as a share of first tries
+	NonIdempotent []string // HTTP methods that must be executed at most once
+	RetryPercent  int      // retries allowed, in percent of first attempts
 	HedgeAfter    time.Duration
 }
 
-// Target is a declared endpoint.
+// Target is an endpoint as declared by operators.
 type Target struct {
 	Name           steering.Target
 	Service        steering.Service
 	Place          steering.Place
 	Address        string // host:port
-	Slots          int    // requests it can run at once
+	Slots          int    // maximum number of concurrent requests
 	MaxConnections int
 }
 
-// Place is a declared site.
+// Place is a site as declared by operators: a set of targets in one availability zone.
 type Place struct {
 	Name         steering.Place
 	Version      int64
 	Region       steering.Region
 	Zone         steering.Zone
-	LinkInFlight int // bound on requests from other zones; 0 means none set
+	LinkInFlight int // limit on in-flight requests from other zones; 0 means no limit
 	Targets      []Target
 }
 
@@ -56,23 +57,23 @@
 	Version int64
 	Service steering.Service // empty means every service
 	Route   Route
-	From    []steering.Place // resolved from a place, zone or region
+	From    []steering.Place // resolved from the name of a place, zone or region
 	To      []steering.Place
-	Percent int // where the shift is to end, 0..100
-	Step    int // percent per step
+	Percent int // final share of callers to move, 0 to 100
+	Step    int // percentage points per step
 	Every   time.Duration
-	Moved   int // percent in force now, from the shift's progress object
+	Moved   int // share moved now in percent, from the shift's ShiftProgress
 }
 
-// Route names where a shift moves work from and to, as declared: each a place,
+// Route names the source and the destination of a shift as declared: each is the name of a place,
 // zone or region.
 type Route struct {
 	From string `json:"from"`
 	To   string `json:"to"`
 }
 
-// Cap bounds the work that a shift brings into its receiving places: at most
-// Requests admitted in any window of length Window, over all entry VMs.
+// Cap limits the requests that a shift adds to its destination places: at most Requests are
+// admitted in any window of length Window, summed over all entry VMs.
 type Cap struct {
 	Name     string
 	Version  int64
@@ -81,7 +82,7 @@
 	Window   time.Duration
 }
 
-// StopKind says what a planned stop covers.
+// StopKind is the kind of object that a planned stop takes out of service.
 type StopKind string
 
 // Kinds of planned stop.
@@ -92,26 +93,27 @@
 	StopPlace   StopKind = "place"
 )
 
-// Stop is a planned stop.
+// Stop is a planned stop of a target, entry VM, zone or place.
 type Stop struct {
 	Name    string
 	Version int64
 	Kind    StopKind
 	Subject string    // name of the target, entry VM, zone or place
-	At      time.Time // zero means at once
-	// Deadline is when the operator wants it over; zero means none. Passing it
-	// is reported; work is cut only if Cut is set.
+	At      time.Time // start time; zero means immediately
+	// Deadline is the time by which the stop should be complete; zero means no deadline. A missed
+	// deadline is reported; requests still in flight are aborted only if Cut is set.
 	Deadline time.Time
 	Cut      bool
 }
 
-// Block maps a client block to its home place.
+// Block maps a client address block to its home place.
 type Block struct {
 	Prefix netip.Prefix
 	Place  steering.Place
 }
 
-// BlockTable answers longest-prefix matches; it is immutable once published.
+// BlockTable finds the home place of a client address by longest-prefix match. It is immutable once
+// published.
 type BlockTable interface {
 	// Lookup returns the home place of addr.
 	Lookup(addr netip.Addr) (steering.Place, bool)
@@ -119,7 +121,7 @@
 	Len() int
 }
 
-// Snapshot is one whole configuration.
+// Snapshot is a complete configuration.
 type Snapshot struct {
 	Version  int64
 	Services map[steering.Service]*Service
@@ -129,7 +131,7 @@
 	Shifts   map[string]*Shift
 	Caps     map[string]*Cap
 	Stops    map[string]*Stop
-	Seats    map[string]*CapSeats      // by cap
-	Progress map[string]*ShiftProgress // by shift
+	Seats    map[string]*CapSeats      // by name of the cap
+	Progress map[string]*ShiftProgress // by name of the shift
 	Blocks   BlockTable                // never nil
 }
