--- a/steering/shift/decide.go
+++ b/steering/shift/decide.go
@@ -22,112 +22,111 @@
 )
 
 const (
-	advance chart.Event = "advance"
-	hold    chart.Event = "hold"
-	arrive  chart.Event = "arrive"
-	retreat chart.Event = "retreat"
-	clearEv chart.Event = "clear"
+	advance    chart.Event = "advance"
+	hold       chart.Event = "hold"
+	arrive     chart.Event = "arrive"
+	retreat    chart.Event = "retreat"
+	clearShift chart.Event = "clear"
 )
 
 //go:embed shift.json
 var source []byte
 
-var life = chart.MustLoad("shift.json", source, chart.Bindings[*Decision]{
+var lifecycle = chart.MustLoad("shift.json", source, chart.Bindings[*Decision]{
 	States: []chart.State{Waiting, Moving, Held, Moved, Returning, Cleared},
-	Events: []chart.Event{advance, hold, arrive, retreat, clearEv},
+	Events: []chart.Event{advance, hold, arrive, retreat, clearShift},
 	Actions: map[string]func(*Decision){
-		"stepForward": func(d *Decision) { d.Moved = min(d.Moved+d.step, d.aim) },
-		"stepBack":    func(d *Decision) { d.Moved = max(d.Moved-d.step, d.aim) },
+		"stepForward": func(d *Decision) { d.Moved = min(d.Moved+d.step, d.targetPercent) },
+		"stepBack":    func(d *Decision) { d.Moved = max(d.Moved-d.step, d.targetPercent) },
 	},
 })
 
 const (
-	// holdBusy and resumeBusy are the busy shares of a receiver's slots from
-	// which a shift is held, and below which it goes on; the gap keeps it from
-	// flapping.
-	holdBusy   = 0.85
-	resumeBusy = 0.75
-	// holdQueued is the mean number of queued requests from which it is held.
-	holdQueued = 1.0
+	// holdUtilization is the utilization of a receiver's slots at which a shift is held, and
+	// resumeUtilization the one below which it resumes. The gap between them prevents the shift
+	// from alternating between the two states.
+	holdUtilization   = 0.85
+	resumeUtilization = 0.75
+	// holdQueueLength is the mean number of queued requests at a receiver at which a shift is held.
+	holdQueueLength = 1.0
 )
 
-// Receiver is what a receiving place reported of one service, smoothed since
-// the last step.
+// Receiver is the load that a receiving place reported for one service, smoothed over the reports.
 type Receiver struct {
 	Place   steering.Place
 	Service steering.Service
-	// Known is false when the place has not reported lately.
+	// Known is false if the place has not reported recently.
 	Known bool
-	// Busy is the share of its slots in use, Queued its queue.
+	// Busy is the fraction of the place's slots that are in use, and Queued the number of queued
+	// requests.
 	Busy, Queued float64
 }
 
-// Other is another shift into one of the same places.
+// Other is another shift with a destination place in common.
 type Other struct {
 	Name  string
-	Place steering.Place // that both move work to
-	// Forward is set when its last change was a step forward.
+	Place steering.Place // the destination in common
+	// Forward is set if the last change of the other shift was a step forward.
 	Forward bool
-	// Since is when it last changed as recorded, Age how long ago on the own
-	// clock.
+	// Since is the recorded time of that change, and Age the time since then by the local clock.
 	Since time.Time
 	Age   time.Duration
-	// Wants is set when it has a step forward to make that nothing but its turn
-	// holds.
+	// Wants is set if the other shift has a further step forward to make and is blocked by nothing
+	// except other shifts.
 	Wants bool
 }
 
-// Input is what a driver knows when it looks at a shift.
+// Input is the state from which a driver decides on a shift.
 type Input struct {
 	Now time.Time
-	// Shift is the shift in force (see InForce); nil when nothing is declared
-	// or moved.
+	// Shift is the result of InForce: nil if the shift is not declared and no callers are moved.
 	Shift *routing.Shift
-	// Progress is the record so far; nil when there is none.
+	// Progress is the stored progress; nil if there is none.
 	Progress *routing.ShiftProgress
-	// Age is how long ago the moved share last changed, on the own clock.
+	// Age is the time since the moved share last changed, by the local clock.
 	Age time.Duration
-	// TTL is how long clients keep look-up answers.
+	// TTL is the time for which clients cache look-up answers.
 	TTL       time.Duration
 	Receivers []Receiver
 	Others    []Other
-	// FullCaps are the caps on this shift that refused work lately.
+	// FullCaps lists the caps on this shift that refused requests recently.
 	FullCaps []string
-	// Stopped are the receiving places under a planned stop.
+	// Stopped lists the receiving places under a planned stop.
 	Stopped []steering.Place
 }
 
-// Decision is what the driver should record. Nothing is to be recorded when
-// Same is set.
+// Decision is the progress that the driver should store. If Same is set, the stored progress is
+// already up to date. If Delete is set, it should be deleted.
 type Decision struct {
 	Same   bool
 	Delete bool
 	State  chart.State
 	Moved  int
-	// HeldBy says what holds the shift back; empty when nothing does.
+	// HeldBy describes what blocks the next step forward; empty if nothing does.
 	HeldBy string
-	// WaitsForTurn is set when what holds it is another shift's step.
+	// WaitsForTurn is set if the step waits for a step of another shift.
 	WaitsForTurn bool
 	Remaining    time.Duration
 
-	step, aim int
+	step, targetPercent int
 }
 
-// Decide looks at a shift once.
+// Decide returns the next progress of a shift. The error means that the state chart has no
+// transition for the event, for example because the stored state is unknown.
 func Decide(in Input) (Decision, error) {
-	d := Decision{State: life.Initial()}
+	d := Decision{State: lifecycle.Initial()}
 	if in.Progress != nil {
 		d.State, d.Moved = chart.State(in.Progress.State), in.Progress.Moved
 		if d.State == Cleared || d.State == "" {
-			d.State = life.Initial()
+			d.State = lifecycle.Initial()
 		}
 	}
 	if in.Shift != nil {
-		d.step, d.aim = max(in.Shift.Step, 1), in.Shift.Percent
+		d.step, d.targetPercent = max(in.Shift.Step, 1), in.Shift.Percent
 	}
 	event, due := d.event(in)
 	if due {
-		state, err := life.Fire(&d, d.State, event)
+		state, err := lifecycle.Fire(&d, d.State, event)
 		if err != nil {
 			return d, err
 		}
@@ -140,30 +139,30 @@
 	return d, nil
 }
 
-// event chooses what to fire, and whether now.
+// event selects the event to fire, and reports whether to fire it now.
 func (d *Decision) event(in Input) (event chart.Event, due bool) {
 	stepDue := in.Progress == nil || in.Progress.Since.IsZero() || in.Age >= interval(in)
 	switch {
 	case in.Shift == nil && d.Moved == 0:
-		// The record stays while clients may still hold answers of the last
-		// step: a shift declared again under this name must wait for them.
-		return clearEv, in.Progress != nil && stepDue
-	case d.Moved > d.aim:
+		// Clients may still have cached answers from the last step. The record is kept until these
+		// expire, so that a shift declared again under the same name waits for them.
+		return clearShift, in.Progress != nil && stepDue
+	case d.Moved > d.targetPercent:
 		return retreat, stepDue
-	case d.Moved == d.aim:
+	case d.Moved == d.targetPercent:
 		return arrive, true
 	}
 	if d.HeldBy = heldBy(in, d.State == Held); d.HeldBy != "" {
 		return hold, true
 	}
-	if d.HeldBy = sharedRamp(in); d.HeldBy != "" {
+	if d.HeldBy = blockedByOther(in); d.HeldBy != "" {
 		d.WaitsForTurn = true
 		return hold, true
 	}
 	return advance, stepDue
 }
 
-// interval is the time between steps.
+// interval is the minimum time between two steps.
 func interval(in Input) time.Duration {
 	if in.Shift == nil {
 		return in.TTL
@@ -171,22 +170,23 @@
 	return max(in.Shift.Every, in.TTL)
 }
 
-// heldBy names the first thing that holds the next step forward.
+// heldBy returns the first condition that blocks a step forward, or "". held is set if the shift is
+// held already; the lower resumeUtilization then applies.
 func heldBy(in Input, held bool) string {
 	for _, place := range in.Shift.To {
 		if slices.Contains(in.Stopped, place) {
 			return fmt.Sprintf("place %s is under a planned stop", place)
 		}
 	}
-	busy := holdBusy
+	busy := holdUtilization
 	if held {
-		busy = resumeBusy
+		busy = resumeUtilization
 	}
 	for _, r := range in.Receivers {
 		switch {
 		case !r.Known:
 			return fmt.Sprintf("place %s has not reported its %s slots", r.Place, r.Service)
-		case r.Queued >= holdQueued:
+		case r.Queued >= holdQueueLength:
 			return fmt.Sprintf("requests for %s queue at place %s", r.Service, r.Place)
 		case r.Busy >= busy:
 			return fmt.Sprintf("the %s slots of place %s are busy", r.Service, r.Place)
@@ -198,9 +198,10 @@
 	return ""
 }
 
-// sharedRamp lets one of several shifts into a place step at a time: the one
-// that waited longest, by the recorded times, so that their drivers agree.
-func sharedRamp(in Input) string {
+// blockedByOther makes shifts into the same place take turns: only one of them steps at a time, the
+// one that has waited longest by the recorded times, so that all drivers come to the same decision.
+// It returns a description of the shift that steps first, or "".
+func blockedByOther(in Input) string {
 	var since time.Time
 	if in.Progress != nil {
 		since = in.Progress.Since
@@ -215,12 +216,12 @@
 	return ""
 }
 
-// remaining estimates the time until the aim is reached if nothing holds it.
+// remaining estimates the time until the target percentage is reached if no step is held.
 func (d *Decision) remaining(in Input) time.Duration {
 	if in.Shift == nil {
 		return 0
 	}
-	distance := d.aim - d.Moved
+	distance := d.targetPercent - d.Moved
 	if distance < 0 {
 		distance = -distance
 	}
@@ -228,5 +229,5 @@
 	return time.Duration(steps) * interval(in)
 }
 
-// Chart renders the shift's state chart for the documentation.
-func Chart() string { return life.Markdown() }
+// Chart returns the state chart of a shift as Markdown for the documentation.
+func Chart() string { return lifecycle.Markdown() }
--- a/steering/shift/inforce.go
+++ b/steering/shift/inforce.go
@@ -7,10 +7,10 @@
 	"heatherlock/steering/routing"
 )
 
-// InForce returns the shift that a node applies: the declared one with the
-// percent it has moved. While work is still moved on a route that is no longer
-// declared, the old route stays in force with 0 as its aim. It returns nil when
-// nothing is declared or moved.
+// InForce returns the shift that an entry VM applies: the declared shift with the percentage moved
+// so far. While callers are still moved along a route that is no longer declared, the shift along
+// the old route stays in force with a target of 0 percent. InForce returns nil if the shift is not
+// declared and no callers are moved.
 func InForce(name string, declared *routing.Shift, progress *routing.ShiftProgress, places map[steering.Place]*routing.Place) *routing.Shift {
 	if progress == nil || progress.Moved == 0 {
 		return declared
@@ -22,7 +22,7 @@
 	}
 	from, to := routing.Resolve(places, progress.Route.From), routing.Resolve(places, progress.Route.To)
 	if len(from) == 0 || len(to) == 0 {
-		return declared // the places of the old route are gone
+		return declared // the places of the old route no longer exist
 	}
 	return &routing.Shift{
 		Name: name, Version: progress.ShiftVersion, Service: progress.Service, Route: progress.Route,
--- a/steering/shift/shift_test.go
+++ b/steering/shift/shift_test.go
@@ -16,14 +16,14 @@
 
 const ttl = 5 * time.Second
 
-// world holds two shifts into one place, each with a driver of its own.
-type world struct {
+// simulation runs shifts into one place, each with its own driver.
+type simulation struct {
 	t        *rapid.T
 	now      time.Time
 	declared map[string]*routing.Shift
 	progress map[string]*routing.ShiftProgress
 	busy     float64
-	forward  []time.Time // steps forward of either shift
+	forward  []time.Time // times of all steps forward
 	changed  map[string]time.Time
 }
 
@@ -37,11 +37,11 @@
 	}
 }
 
-func (w *world) inForce(name string) *routing.Shift {
+func (w *simulation) inForce(name string) *routing.Shift {
 	return InForce(name, w.declared[name], w.progress[name], places)
 }
 
-func (w *world) others(name string, to steering.Place) []Other {
+func (w *simulation) others(name string, to steering.Place) []Other {
 	var others []Other
 	for other, p := range w.progress {
 		s := w.inForce(other)
@@ -56,8 +56,8 @@
 	return others
 }
 
-// look lets the driver of a shift decide and record.
-func (w *world) look(name string) Decision {
+// decide runs the driver of a shift once and stores its decision.
+func (w *simulation) decide(name string) Decision {
 	before := w.progress[name]
 	in := Input{Now: w.now, Shift: w.inForce(name), Progress: before, TTL: ttl, Age: w.now.Sub(w.changed[name])}
 	if in.Shift != nil {
@@ -80,42 +80,42 @@
 		next.Since, next.Forward, moved = before.Since, before.Forward, before.Moved
 	}
 	if d.Moved != moved {
-		w.step(name, moved, d.Moved, in.Shift)
+		w.checkStep(name, moved, d.Moved, in.Shift)
 		next.Since, next.Forward = w.now, d.Moved > moved
 	}
 	w.progress[name] = &next
 	return d
 }
 
-// step checks a change of the moved share against the rules.
-func (w *world) step(name string, from, to int, s *routing.Shift) {
+// checkStep checks a change of the moved share against the rules for steps.
+func (w *simulation) checkStep(name string, from, to int, s *routing.Shift) {
 	size := to - from
 	if size < 0 {
 		size = -size
 	}
 	assert.Assert(w.t, size <= s.Step, "a step of %d", size)
 	if last, ok := w.changed[name]; ok {
-		assert.Assert(w.t, w.now.Sub(last) >= ttl, "two steps within the time that clients keep answers")
+		assert.Assert(w.t, w.now.Sub(last) >= ttl, "two steps within the TTL of look-up answers")
 	}
 	w.changed[name] = w.now
 	if to < from {
 		return
 	}
-	assert.Assert(w.t, w.busy < holdBusy, "a step onto busy slots")
+	assert.Assert(w.t, w.busy < holdUtilization, "step forward although the slots are busy")
 	for _, at := range w.forward {
-		assert.Assert(w.t, w.now.Sub(at) >= ttl, "two shifts stepped into one place at once")
+		assert.Assert(w.t, w.now.Sub(at) >= ttl, "two shifts stepped into the same place within one TTL")
 	}
 	w.forward = append(w.forward, w.now)
 }
 
-// Symptom: a place is overloaded by work that was moved there. Sequences: steps
-// faster than clients forget old answers; steps onto busy slots; two shifts
-// that step into one place together; a shift deleted or pointed elsewhere while
-// work is moved, so that all of it comes back at once. Cause: a decision that
-// sees only the last step or only its own shift.
+// Guards against overloading a place with the callers moved to it. This happens if steps come
+// faster than cached look-up answers expire, if a step is made while the slots are busy, if two
+// shifts into the same place step at the same time, or if all moved callers return at once after a
+// shift is deleted or redirected. A decision that considers only the last step or only its own
+// shift has these faults.
 func TestStepsArePaced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, now: noon, declared: map[string]*routing.Shift{}, progress: map[string]*routing.ShiftProgress{}, changed: map[string]time.Time{}}
+		w := &simulation{t: t, now: noon, declared: map[string]*routing.Shift{}, progress: map[string]*routing.ShiftProgress{}, changed: map[string]time.Time{}}
 		name := rapid.SampledFrom([]string{"a", "b"})
 		t.Repeat(map[string]func(*rapid.T){
 			"declare": func(t *rapid.T) {
@@ -127,21 +127,21 @@
 			"time": func(t *rapid.T) {
 				w.now = w.now.Add(time.Duration(rapid.IntRange(1, 6000).Draw(t, "ms")) * time.Millisecond)
 			},
-			"look":  func(t *rapid.T) { w.look(name.Draw(t, "name")) },
-			"look2": func(t *rapid.T) { w.look(name.Draw(t, "name")) },
+			"look":  func(t *rapid.T) { w.decide(name.Draw(t, "name")) },
+			"look2": func(t *rapid.T) { w.decide(name.Draw(t, "name")) },
 		})
 		w.settle()
 	})
 }
 
-// settle: with idle receivers and time, every shift comes to its aim, and what
-// is not declared any more leaves nothing behind.
-func (w *world) settle() {
+// settle checks that with idle receivers every declared shift reaches its target, and that a shift
+// that is no longer declared leaves no progress behind.
+func (w *simulation) settle() {
 	w.busy = 0
 	for range 500 {
 		w.now = w.now.Add(ttl / 2)
-		w.look("a")
-		w.look("b")
+		w.decide("a")
+		w.decide("b")
 	}
 	for _, n := range []string{"a", "b"} {
 		p, declared := w.progress[n], w.declared[n]
@@ -155,7 +155,7 @@
 	}
 }
 
-func TestWhatHoldsAShiftBackIsNamed(t *testing.T) {
+func TestHeldByNamesCause(t *testing.T) {
 	s := declare("a", "centro", "sur", 50, 10)
 	cases := []struct {
 		change func(*Input)
