--- a/steering/losses/losses.go
+++ b/steering/losses/losses.go
@@ -1,21 +1,24 @@
-// Package losses says why a request was not answered within its aim, by one cause of
-// several that exclude each other, so that the causes of many requests add up to all that
-// callers lost.
+// Package losses attributes each request that was not answered within its latency
+// objective to a cause. Causes are mutually exclusive, so the counts of all causes add up
+// to the number of requests that missed the objective.
 //
-// An entry VM knows of a request what its caller told, what it decided itself and what
-// its tries showed; nothing here is known from outside. Causes are tried in a fixed order,
-// from what alone is enough to explain the loss to what is left over:
+// [CauseOf] classifies one request, a [Tally] counts requests by [Kind], outcome and cause.
 //
-//  1. refused here: the reason of the refusal;
-//  2. an answer that was ready in time and had to wait for those before it;
-//  3. a try ended badly: what the first such try showed of its target;
-//  4. the caller had used up its aim before it came here;
-//  5. the run itself, by how much longer than a warm one it took, and whether the target
-//     was full when it answered.
+// The input is what the entry VM itself knows of a request: what the caller sent, what the
+// entry VM decided, and how each of its tries ended. Causes are checked in a fixed order,
+// from those that explain the miss alone to the remainder:
 //
-// Trade-off: a run is taken for a cold one by its length alone. Entry VMs that share a
-// target do not know which keys it ran for others, and asking it would cost a call a
-// request. A target that has turned a little slow is thus told as cold runs.
+//  1. the entry VM refused the request: the reason of the refusal;
+//  2. the response was ready in time and waited for earlier responses on its connection;
+//  3. a try failed: what the first failed try shows about its target;
+//  4. the caller had used up the objective before the request arrived;
+//  5. the run itself: how much longer than a warm run it took, and whether the target had
+//     no free slot when it answered.
+//
+// Trade-off: a run is classified as cold by its duration alone. An entry VM does not know
+// which keys a shared target has run for other entry VMs, and asking the target would cost
+// a call per request. A target that has become slightly slow is therefore reported as cold
+// runs.
 package losses
 
 import (
@@ -25,136 +28,136 @@
 	"heatherlock/steering/placement"
 )
 
-// LineMessage is the message of the log line that holds what requests lost.
+// LineMessage is the message of the log line that reports the sums of a [Tally].
 const LineMessage = "answers"
 
-// Outcome is what a caller got.
+// Outcome is the result of a request as its caller sees it.
 type Outcome uint8
 
-// Outcomes.
 const (
-	// InAim is an answer within the aim.
+	// InAim means that the response came within the latency objective.
 	InAim Outcome = iota
-	// Late is an answer after the aim.
+	// Late means that the response came after the latency objective.
 	Late
-	// Refused is an answer that says that the request has not run.
+	// Refused means that the response states that the request has not run.
 	Refused
-	// Failed is any other end.
+	// Failed means any other result.
 	Failed
 )
 
 var outcomeNames = [...]string{"in_aim", "late", "refused", "failed"}
 
-// String names the outcome in logs.
+// String returns the name of the outcome in logs.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Cause is why a request was not answered within its aim.
+// Cause is the reason why a request was not answered within its latency objective.
 type Cause string
 
-// Causes.
 const (
-	// Starting: the entry VM knew no configuration or no targets yet.
-	Starting Cause = "vm_starting"
-	// Behind: it knew that a newer configuration exists and did not have it.
-	Behind Cause = "config_behind"
-	// Unidentified: its API key was missing, malformed or unknown.
-	Unidentified Cause = "workspace_unknown"
-	// OverAllowance: its workspace was beyond its allowance of requests.
+	// VMStarting: the entry VM had no configuration or no targets yet.
+	VMStarting Cause = "vm_starting"
+	// ConfigBehind: the entry VM knew that a newer configuration existed but had not
+	// received it.
+	ConfigBehind Cause = "config_behind"
+	// WorkspaceUnknown: the API key was missing, repeated, malformed or unknown.
+	WorkspaceUnknown Cause = "workspace_unknown"
+	// OverAllowance: the workspace had exceeded its allowance, the limit on its request rate.
 	OverAllowance Cause = "over_allowance"
-	// NoHome: it may run in no region by its route's and its workspace's homes.
-	NoHome Cause = "no_common_home"
-	// NoTarget: no target of the service was known or reachable.
+	// NoCommonRegion: no region is allowed by both the route and the workspace.
+	NoCommonRegion Cause = "no_common_home"
+	// NoTarget: the service had no known or reachable target.
 	NoTarget Cause = "no_target"
-	// Predicted: no target had room in time, as predicted before any try.
+	// Predicted: before the first try, no target was predicted to have a free slot in time.
 	Predicted Cause = "refused_by_prediction"
-	// HeldBack: requests like it took down targets.
-	HeldBack Cause = "held_back"
-	// Budget: the budget for further tries was used up.
-	Budget Cause = "retry_budget"
-	// Shedding: its target refused it.
-	Shedding Cause = "target_shedding"
-	// Failing: its target answered with a failure of its own.
-	Failing Cause = "target_failing"
-	// Gone: its target took no connection, or broke the exchange off.
+	// PoisonRequest: similar requests had crashed the targets that ran them.
+	PoisonRequest Cause = "held_back"
+	// RetryBudgetSpent: the retry budget was used up.
+	RetryBudgetSpent Cause = "retry_budget"
+	// TargetShedding: the target refused the request without running it.
+	TargetShedding Cause = "target_shedding"
+	// TargetFailing: the target answered with a server error.
+	TargetFailing Cause = "target_failing"
+	// Gone: the target accepted no connection, or the connection broke.
 	Gone Cause = "target_gone"
-	// Spoiled: its target's answer could not be passed on.
+	// Spoiled: the target's response was complete but could not be forwarded.
 	Spoiled Cause = "answer_spoiled"
-	// Slow: its target gave no answer in a multiple of the time of a cold run.
-	Slow Cause = "target_slow"
-	// CameLate: its caller had used its aim up, on another entry VM or waiting.
-	CameLate Cause = "caller_came_late"
-	// Short: the time that its caller allowed is less than a warm run takes.
-	Short Cause = "deadline_too_short"
-	// Waited: it waited for a slot of its target.
+	// TargetSlow: the target sent no response, or took longer than even a cold run takes.
+	TargetSlow Cause = "target_slow"
+	// CallerLate: the caller had used up the latency objective before the request arrived,
+	// at another entry VM or by waiting before a retry.
+	CallerLate Cause = "caller_came_late"
+	// DeadlineTooShort: the caller's deadline is shorter than a warm run.
+	DeadlineTooShort Cause = "deadline_too_short"
+	// Waited: the request waited for a slot of the target.
 	Waited Cause = "waited_for_slot"
-	// Cold: it took as long as the first run of a key takes.
+	// Cold: the run took as long as the first run of a key.
 	Cold Cause = "key_cold"
-	// Away: a warm run in another region took too long with the way there.
+	// Away: a warm run in another region took too long because of the round trip.
 	Away Cause = "other_region"
-	// Queued: its answer was ready in time, but its caller had sent other requests before
-	// it on its connection, whose answers go first.
-	Queued Cause = "behind_other_answers"
-	// CallerLeft: the caller went away.
-	CallerLeft Cause = "caller_left"
-	// Other: none of these.
+	// HeadOfLineBlocked: the response was ready in time but waited for the responses to
+	// requests that the caller had sent earlier on the same connection.
+	HeadOfLineBlocked Cause = "behind_other_answers"
+	// CallerDisconnected: the caller closed the connection or cancelled the request.
+	CallerDisconnected Cause = "caller_left"
+	// Other: none of the other causes applies.
 	Other Cause = "other"
 )
 
 const (
-	// warmFactor is up to how many warm times a run counts as a warm one: runs of one
-	// kind differ by a few tenths, and the way to the target adds to them.
+	// warmFactor is the longest warm run, as a multiple of [Request.Warm]: the durations
+	// of similar runs differ by a few tenths, and the round trip to the target is added.
 	warmFactor = 1.6
-	// coldFactor is up to how many warm times a run counts as a cold one. Targets take
-	// four times as long for the first run of a key, and twice that in the seconds after
-	// they have started.
+	// coldFactor is the longest cold run, as a multiple of [Request.Warm]. The first run
+	// of a key takes four times as long as a warm run, and twice that in the seconds after
+	// the target has started.
 	coldFactor = 9
 )
 
-// Try is how one try at a target ended.
+// Try is the result of one try to run a request on a target.
 type Try struct {
 	Outcome placement.Outcome
 	// Took is the time from the start of the try to its end.
 	Took time.Duration
-	// Spoiled is set when an answer came whole and could not be passed on.
+	// Spoiled is set if the response was complete but could not be forwarded.
 	Spoiled bool
-	// Crowded is set when the target said that its slots were taken as it answered.
+	// Crowded is set if the target reported with its response that all its slots were taken.
 	Crowded bool
-	// Wait is the wait that was predicted.
+	// Wait is the predicted wait for a slot.
 	Wait time.Duration
-	// Away is set when it ran in another region.
+	// Away is set if the target is in another region.
 	Away bool
 }
 
 // Request is what an entry VM knows of a request that has ended.
 type Request struct {
 	Outcome Outcome
-	// Reason is that of the entry VM's own answer, empty for a target's.
+	// Reason is the reason of the entry VM's own response; empty if a target responded.
 	Reason steering.Reason
-	// Aim is the time from the caller's first attempt within which the answer has its
-	// full worth, and Used how much of it had passed when it came here.
+	// Aim is the latency objective, measured from the caller's first attempt. Used is the
+	// part of it that had passed when the request arrived at this entry VM.
 	Aim  time.Duration
 	Used time.Duration
-	// Ready is how long after it came its answer was ready, and Took how long after it
-	// came the answer could be written.
+	// Ready is the time from the arrival of the request until its response was ready, and
+	// Took the time until the response could be written.
 	Ready time.Duration
 	Took  time.Duration
-	// Deadline is how long the caller waits; 0 if it did not say.
+	// Deadline is the time left for the caller on arrival; 0 if the caller sent none.
 	Deadline time.Duration
-	// Warm is the time of a warm run of its service; 0 if it is not known.
+	// Warm is the duration of a warm run of the service; 0 if it is not known.
 	Warm  time.Duration
 	Tries []Try
 }
 
-// CauseOf returns why a request was not answered within its aim.
+// CauseOf returns why a request was not answered within its latency objective.
 func CauseOf(r Request) Cause {
-	if cause, ok := ofReason(r); ok {
+	if cause, ok := causeOfReason(r); ok {
 		return cause
 	}
 	if r.Outcome == Late && r.Used+r.Ready <= r.Aim {
-		return Queued
+		return HeadOfLineBlocked
 	}
 	for _, t := range r.Tries[:max(len(r.Tries)-1, 0)] {
-		if cause, ok := ofBadTry(t); ok {
+		if cause, ok := causeOfFailedTry(t); ok {
 			return cause
 		}
 	}
@@ -162,85 +165,85 @@
 		return Other
 	}
 	last := r.Tries[len(r.Tries)-1]
-	if cause, ok := ofBadTry(last); ok {
+	if cause, ok := causeOfFailedTry(last); ok {
 		return cause
 	}
-	return ofRun(r, last)
+	return causeOfLateRun(r, last)
 }
 
-// ofReason returns the cause of what the entry VM decided by itself.
-func ofReason(r Request) (Cause, bool) {
+// causeOfReason returns the cause of a response that the entry VM sent itself.
+func causeOfReason(r Request) (Cause, bool) {
 	switch r.Reason {
 	case steering.ReasonNotReady:
-		return Starting, true
+		return VMStarting, true
 	case steering.ReasonConfigBehind:
-		return Behind, true
+		return ConfigBehind, true
 	case steering.ReasonPoison:
-		return HeldBack, true
+		return PoisonRequest, true
 	case steering.ReasonOverAllowance:
 		return OverAllowance, true
 	case steering.ReasonNoCommonHome:
-		return NoHome, true
+		return NoCommonRegion, true
 	case steering.ReasonAPIKeyMissing, steering.ReasonAPIKeyRepeated, steering.ReasonAPIKeyMalformed, steering.ReasonAPIKeyUnknown:
-		return Unidentified, true
+		return WorkspaceUnknown, true
 	case steering.ReasonCancelled:
-		return CallerLeft, true
+		return CallerDisconnected, true
 	}
 	if len(r.Tries) > 0 {
-		return "", false // what the tries showed comes first
+		return "", false // failed tries take precedence over the reasons below
 	}
 	switch r.Reason {
 	case steering.ReasonNoTarget:
 		return NoTarget, true
 	case steering.ReasonRetryBudget:
-		return Budget, true
+		return RetryBudgetSpent, true
 	case steering.ReasonNoSlot:
-		return ofPrediction(r), true
+		return causeOfNoSlot(r), true
 	}
 	return "", false
 }
 
-// ofPrediction parts refusals of requests that could not be in time anywhere from those
-// that found no room.
-func ofPrediction(r Request) Cause {
+// causeOfNoSlot separates requests that could not be in time on any target from those
+// for which no target had a free slot.
+func causeOfNoSlot(r Request) Cause {
 	switch {
 	case r.Deadline > 0 && r.Deadline < r.Warm && r.Used < r.Warm:
-		return Short
+		return DeadlineTooShort
 	case r.Aim > 0 && r.Used+r.Warm > r.Aim:
-		return CameLate
+		return CallerLate
 	}
 	return Predicted
 }
 
-// ofBadTry returns the cause of a try that brought no usable answer.
-func ofBadTry(t Try) (Cause, bool) {
+// causeOfFailedTry returns the cause if a try brought no usable response.
+func causeOfFailedTry(t Try) (Cause, bool) {
 	if t.Spoiled {
 		return Spoiled, true
 	}
 	switch t.Outcome {
 	case placement.Shed:
-		return Shedding, true
+		return TargetShedding, true
 	case placement.Failed:
-		return Failing, true
+		return TargetFailing, true
 	case placement.Unreachable, placement.Broken, placement.Replaced:
 		return Gone, true
 	case placement.Silent, placement.Abandoned:
-		return Slow, true
+		return TargetSlow, true
 	}
 	return "", false
 }
 
-// ofRun returns the cause of an answer that came late.
-func ofRun(r Request, t Try) Cause {
+// causeOfLateRun returns the cause of a response that came late, given its try.
+func causeOfLateRun(r Request, t Try) Cause {
 	switch {
 	case r.Aim > 0 && r.Used+r.Warm > r.Aim:
-		return CameLate
+		return CallerLate
 	case t.Crowded || t.Wait > r.Warm/2 && t.Wait > 0:
 		return Waited
 	case r.Warm <= 0:
-		return Cold // nothing of the service has run yet
+		return Cold // no request of the service has run yet
 	case float64(t.Took) > coldFactor*float64(r.Warm):
-		return Slow
+		return TargetSlow
 	case float64(t.Took) > warmFactor*float64(r.Warm):
 		return Cold
 	case t.Away:
--- a/steering/losses/losses_test.go
+++ b/steering/losses/losses_test.go
@@ -16,7 +16,7 @@
 	aim  = 400 * time.Millisecond
 )
 
-func answered(took time.Duration, change func(*Request, *Try)) Request {
+func lateRequest(took time.Duration, change func(*Request, *Try)) Request {
 	r := Request{Outcome: Late, Aim: aim, Deadline: 2 * time.Second, Warm: warm, Ready: took, Took: took}
 	t := Try{Outcome: placement.Served, Took: took}
 	if change != nil {
@@ -26,9 +26,11 @@
 	return r
 }
 
-func TestEachCauseIsFound(t *testing.T) {
+// Guards against a change of the order in which causes are checked: each case is a lost
+// request with the cause that explains it.
+func TestCauseOf(t *testing.T) {
 	const late = 500 * time.Millisecond
-	own := func(o Outcome, reason steering.Reason, tries ...placement.Outcome) Request {
+	refusedOrFailed := func(o Outcome, reason steering.Reason, tries ...placement.Outcome) Request {
 		r := Request{Outcome: o, Reason: reason, Aim: aim, Deadline: 2 * time.Second, Warm: warm}
 		for _, outcome := range tries {
 			r.Tries = append(r.Tries, Try{Outcome: outcome})
@@ -39,45 +41,46 @@
 		r    Request
 		want Cause
 	}{
-		"cold run":              {answered(late, nil), Cold},
-		"nothing known yet":     {answered(late, func(r *Request, _ *Try) { r.Warm = 0 }), Cold},
-		"slow target":           {answered(coldFactor*warm+time.Millisecond, nil), Slow},
-		"full target":           {answered(late, func(_ *Request, t *Try) { t.Crowded = true }), Waited},
-		"wait foreseen":         {answered(late, func(_ *Request, t *Try) { t.Wait = warm }), Waited},
-		"far away":              {answered(late, func(_ *Request, t *Try) { t.Took, t.Away = warm, true }), Away},
-		"came late":             {answered(late, func(r *Request, _ *Try) { r.Used = 350 * time.Millisecond }), CameLate},
-		"behind others":         {answered(late, func(r *Request, _ *Try) { r.Ready = warm }), Queued},
-		"nothing of these":      {answered(late, func(_ *Request, t *Try) { t.Took = warm }), Other},
-		"no room":               {own(Refused, steering.ReasonNoSlot), Predicted},
-		"no target":             {own(Refused, steering.ReasonNoTarget), NoTarget},
-		"no budget":             {own(Refused, steering.ReasonRetryBudget), Budget},
-		"shed, no budget":       {own(Refused, steering.ReasonRetryBudget, placement.Shed), Shedding},
-		"shed":                  {own(Refused, steering.ReasonShed, placement.Shed), Shedding},
-		"failed then no room":   {own(Refused, steering.ReasonNoSlot, placement.Unreachable), Gone},
-		"starting":              {own(Refused, steering.ReasonNotReady), Starting},
-		"behind":                {own(Refused, steering.ReasonConfigBehind), Behind},
-		"harmful":               {own(Refused, steering.ReasonPoison), HeldBack},
-		"caller left":           {own(Failed, steering.ReasonCancelled, placement.Abandoned), CallerLeft},
-		"no answer in time":     {own(Failed, steering.ReasonDeadline, placement.Silent), Slow},
-		"target died":           {own(Failed, steering.ReasonTargetDied, placement.Broken), Gone},
-		"target's own failure":  {own(Failed, "", placement.Failed), Failing},
-		"second try after slow": {own(Failed, steering.ReasonDeadline, placement.Broken, placement.Silent), Gone},
+		"cold run":              {lateRequest(late, nil), Cold},
+		"no warm run yet":       {lateRequest(late, func(r *Request, _ *Try) { r.Warm = 0 }), Cold},
+		"slow target":           {lateRequest(coldFactor*warm+time.Millisecond, nil), TargetSlow},
+		"full target":           {lateRequest(late, func(_ *Request, t *Try) { t.Crowded = true }), Waited},
+		"predicted wait":        {lateRequest(late, func(_ *Request, t *Try) { t.Wait = warm }), Waited},
+		"other region":          {lateRequest(late, func(_ *Request, t *Try) { t.Took, t.Away = warm, true }), Away},
+		"caller late":           {lateRequest(late, func(r *Request, _ *Try) { r.Used = 350 * time.Millisecond }), CallerLate},
+		"head-of-line blocked":  {lateRequest(late, func(r *Request, _ *Try) { r.Ready = warm }), HeadOfLineBlocked},
+		"no other cause":        {lateRequest(late, func(_ *Request, t *Try) { t.Took = warm }), Other},
+		"no slot":               {refusedOrFailed(Refused, steering.ReasonNoSlot), Predicted},
+		"no target":             {refusedOrFailed(Refused, steering.ReasonNoTarget), NoTarget},
+		"no retry budget":       {refusedOrFailed(Refused, steering.ReasonRetryBudget), RetryBudgetSpent},
+		"shed, no retry budget": {refusedOrFailed(Refused, steering.ReasonRetryBudget, placement.Shed), TargetShedding},
+		"shed":                  {refusedOrFailed(Refused, steering.ReasonShed, placement.Shed), TargetShedding},
+		"failed, then no slot":  {refusedOrFailed(Refused, steering.ReasonNoSlot, placement.Unreachable), Gone},
+		"VM starting":           {refusedOrFailed(Refused, steering.ReasonNotReady), VMStarting},
+		"config behind":         {refusedOrFailed(Refused, steering.ReasonConfigBehind), ConfigBehind},
+		"poison":                {refusedOrFailed(Refused, steering.ReasonPoison), PoisonRequest},
+		"caller disconnected":   {refusedOrFailed(Failed, steering.ReasonCancelled, placement.Abandoned), CallerDisconnected},
+		"no answer in time":     {refusedOrFailed(Failed, steering.ReasonDeadline, placement.Silent), TargetSlow},
+		"target crashed":        {refusedOrFailed(Failed, steering.ReasonTargetDied, placement.Broken), Gone},
+		"server error":          {refusedOrFailed(Failed, "", placement.Failed), TargetFailing},
+		"broken, then silent":   {refusedOrFailed(Failed, steering.ReasonDeadline, placement.Broken, placement.Silent), Gone},
 	} {
 		t.Run(name, func(t *testing.T) { assert.Equal(t, CauseOf(c.r), c.want) })
 	}
-	spoiled := own(Failed, steering.ReasonAnswerCrossed)
+	spoiled := refusedOrFailed(Failed, steering.ReasonAnswerCrossed)
 	spoiled.Tries = []Try{{Outcome: placement.Broken, Spoiled: true}}
 	assert.Equal(t, CauseOf(spoiled), Spoiled)
-	short := own(Refused, steering.ReasonNoSlot)
+	short := refusedOrFailed(Refused, steering.ReasonNoSlot)
 	short.Deadline = warm / 2
-	assert.Equal(t, CauseOf(short), Short)
-	tooLate := own(Refused, steering.ReasonNoSlot)
+	assert.Equal(t, CauseOf(short), DeadlineTooShort)
+	tooLate := refusedOrFailed(Refused, steering.ReasonNoSlot)
 	tooLate.Used = aim
-	assert.Equal(t, CauseOf(tooLate), CameLate)
+	assert.Equal(t, CauseOf(tooLate), CallerLate)
 }
 
-// Every request that was lost has one cause, whatever is known of it.
-func TestEveryLossHasACause(t *testing.T) {
+// Guards against lost requests that are counted under no cause: CauseOf has to return one
+// for any combination of outcome, reason, times and tries.
+func TestCauseOfIsNeverEmpty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		span := func(name string) time.Duration {
 			return time.Duration(rapid.IntRange(0, 5000).Draw(t, name)) * time.Millisecond
@@ -92,30 +95,33 @@
 	})
 }
 
-// Callers differ in patience by a sixth; one that has surely come back allows less.
-func TestUsedTimeIsToldFromPatience(t *testing.T) {
+// The deadlines of first attempts differ by a sixth, so 5 s after 6 s may still be a first
+// attempt, while a request with 4 s left must be a repeated one.
+func TestUsedTimeFromRemainingDeadline(t *testing.T) {
 	tally := NewTally()
 	k := Kind{Service: "s"}
 	assert.Equal(t, tally.Used(k, 6*time.Second), time.Duration(0))
 	assert.Equal(t, tally.Used(k, 5*time.Second), time.Duration(0), "another caller's first attempt")
 	assert.Assert(t, tally.Used(k, 4*time.Second) > 500*time.Millisecond)
-	assert.Equal(t, tally.Used(k, 0), time.Duration(0), "one that states no deadline")
+	assert.Equal(t, tally.Used(k, 0), time.Duration(0), "no deadline")
 }
 
-func TestTallyIsBoundedAndTakenOnce(t *testing.T) {
+// Guards against a tally that grows with the number of kinds, and against requests that are
+// lost at the bound or counted again after Take.
+func TestTallyIsBoundedAndReset(t *testing.T) {
 	tally := NewTally()
-	for n := range 10 * mostKinds {
+	for n := range 10 * maxKinds {
 		k := Kind{AimMs: int64(n + 1)}
 		tally.Used(k, time.Second)
 		tally.Add(k, Late, Cold, false)
 	}
-	assert.Assert(t, len(tally.longest) <= mostKinds)
+	assert.Assert(t, len(tally.longestDeadline) <= maxKinds)
 	all := tally.Take()
-	assert.Equal(t, len(all), mostKinds+1)
+	assert.Equal(t, len(all), maxKinds+1)
 	asked := 0
 	for _, s := range all {
 		asked += s.Asked
 	}
-	assert.Equal(t, asked, 10*mostKinds)
+	assert.Equal(t, asked, 10*maxKinds)
 	assert.Equal(t, len(tally.Take()), 0)
 }
--- a/steering/losses/tally.go
+++ b/steering/losses/tally.go
@@ -6,44 +6,48 @@
 	"heatherlock/steering"
 )
 
-// Kind is what requests are counted by. Operators tell kinds of requests apart by their
-// service, by what may be repeated and by their aim.
+// Kind is the key by which requests are counted. It holds the properties by which
+// operators distinguish requests: service, which requests may be repeated, and latency
+// objective. The zero Kind stands for requests without a route and for the kinds beyond
+// [maxKinds].
 type Kind struct {
 	Service steering.Service `json:"service"`
-	// Repeats is the route's kind, which says what may be repeated.
+	// Repeats is the kind of the route, which determines which requests may be repeated.
 	Repeats string `json:"kind"`
 	AimMs   int64  `json:"aim_ms"`
 }
 
-// Sum is what became of the requests of a kind.
+// Sum holds the counts of the requests of one kind.
 type Sum struct {
 	Kind
+	// Asked is the number of all requests.
 	Asked int `json:"asked"`
-	// Again counts those whose caller had asked before.
+	// Again is the number of requests that a caller repeated.
 	Again int `json:"again,omitempty"`
 	InAim int `json:"in_aim,omitempty"`
-	// Late, Refused and Failed count by cause.
+	// Late, Refused and Failed hold counts by cause.
 	Late    map[Cause]int `json:"late,omitempty"`
 	Refused map[Cause]int `json:"refused,omitempty"`
 	Failed  map[Cause]int `json:"failed,omitempty"`
 }
 
-// Add counts a request.
+// Add counts n requests with the same outcome and cause. The cause of requests answered
+// within their latency objective is ignored.
 func (s *Sum) Add(o Outcome, cause Cause, n int) {
 	s.Asked += n
 	switch o {
 	case InAim:
 		s.InAim += n
 	case Late:
-		s.Late = counted(s.Late, cause, n)
+		s.Late = addCount(s.Late, cause, n)
 	case Refused:
-		s.Refused = counted(s.Refused, cause, n)
+		s.Refused = addCount(s.Refused, cause, n)
 	case Failed:
-		s.Failed = counted(s.Failed, cause, n)
+		s.Failed = addCount(s.Failed, cause, n)
 	}
 }
 
-// Merge adds another sum of the kind.
+// Merge adds the counts of o to s. It leaves the kind of s as it is.
 func (s *Sum) Merge(o Sum) {
 	s.Again += o.Again
 	s.Add(InAim, "", o.InAim)
@@ -58,7 +62,7 @@
 	}
 }
 
-func counted(by map[Cause]int, cause Cause, n int) map[Cause]int {
+func addCount(by map[Cause]int, cause Cause, n int) map[Cause]int {
 	if by == nil {
 		by = make(map[Cause]int)
 	}
@@ -66,44 +70,47 @@
 	return by
 }
 
-// mostKinds bounds the kinds of a tally; the rest are counted as one. A deployment has a
-// few, and one with hundreds of services would fill the log with its sums.
-const mostKinds = 24
+// maxKinds is the number of kinds that a tally counts separately; all others are counted
+// under the zero Kind. A deployment has a few kinds, and one with hundreds of services
+// would fill the log with its sums.
+const maxKinds = 24
 
-// Tally counts requests until they are taken. It is not safe for concurrent use.
+// Tally counts requests between calls of Take. It is not safe for concurrent use.
 type Tally struct {
 	sums map[Kind]*Sum
-	// longest is the longest time that callers of a kind allow, which those have left
-	// that make their first attempt.
-	longest map[Kind]time.Duration
+	// longestDeadline is the longest time left with which requests of a kind have arrived.
+	// A caller has the most time left at its first attempt.
+	longestDeadline map[Kind]time.Duration
 }
 
 // NewTally returns an empty tally.
 func NewTally() *Tally {
-	return &Tally{sums: make(map[Kind]*Sum), longest: make(map[Kind]time.Duration)}
+	return &Tally{sums: make(map[Kind]*Sum), longestDeadline: make(map[Kind]time.Duration)}
 }
 
-// patienceSpread is the part of the longest time that callers of a kind allow which each
-// of them allows at least at its first attempt: their deadlines differ by a sixth.
-const patienceSpread = 0.82
+// minDeadlineFraction is the shortest deadline of a first attempt, as a fraction of the
+// longest deadline of its kind: the deadlines of callers differ by a sixth.
+const minDeadlineFraction = 0.82
 
-// Used returns how much of its time a caller has surely used before it came here, as told
-// by the deadline that is left: a caller that comes back allows less than any at first.
+// Used returns a lower bound of the time that a caller had used before its request
+// arrived, given the time left until its deadline: a repeated request has less time left
+// than any first attempt of its kind. It returns 0 for a first attempt, and if deadline is 0
+// because the caller sent none.
 func (t *Tally) Used(k Kind, deadline time.Duration) time.Duration {
 	if deadline <= 0 {
 		return 0
 	}
-	if len(t.longest) < mostKinds || t.longest[k] > 0 {
-		t.longest[k] = max(t.longest[k], deadline)
+	if len(t.longestDeadline) < maxKinds || t.longestDeadline[k] > 0 {
+		t.longestDeadline[k] = max(t.longestDeadline[k], deadline)
 	}
-	return max(time.Duration(patienceSpread*float64(t.longest[k]))-deadline, 0)
+	return max(time.Duration(minDeadlineFraction*float64(t.longestDeadline[k]))-deadline, 0)
 }
 
-// Add counts a request; again tells that its caller had asked before.
+// Add counts a request; again is set if its caller has sent it before.
 func (t *Tally) Add(k Kind, o Outcome, cause Cause, again bool) {
 	s := t.sums[k]
 	if s == nil {
-		if len(t.sums) >= mostKinds {
+		if len(t.sums) >= maxKinds {
 			k = Kind{}
 		}
 		if s = t.sums[k]; s == nil {
@@ -117,7 +124,7 @@
 	}
 }
 
-// Take returns what was counted since the last call, in no order.
+// Take returns the counts since the last call, in no particular order, and resets them.
 func (t *Tally) Take() []Sum {
 	all := make([]Sum, 0, len(t.sums))
 	for _, s := range t.sums {
