--- a/steering/health/doc.go
+++ b/steering/health/doc.go
@@ -1,21 +1,23 @@
-// Package health judges the targets of one pool by what happened to requests
-// sent to them, and decides which get no new work for a while.
+// Package health implements passive health checks and outlier ejection for the
+// targets of one pool. A [Tracker] receives the outcomes of requests and returns
+// the state changes of targets.
 //
-// First-hand evidence outranks a target's own word: one that reports health
-// while requests fail is ejected, one that reports sickness while it serves
-// stays. All evidence fades with time, so that a target nothing is known of
-// counts as well. An ejected target comes back through a trial with a single
-// request at a time, and then through a slow start.
+// The outcomes of requests take precedence over what a target reports of itself:
+// a target that reports that it is healthy while requests to it fail is ejected,
+// and a target that reports that it is unhealthy while it serves requests stays in
+// service. The weight of outcomes decays with time, so a target without recent
+// outcomes counts as healthy. An ejected target returns through a trial with a
+// single request at a time, followed by a slow start.
 //
-// When most targets look sick, the fault is more likely in the requests, in
-// something all targets share or in this side of the network; taking targets
-// out would only load the others more. Nothing is ejected then, and what was
-// ejected serves again. Targets that cannot even be reached are an exception:
-// no request is lost by passing them over, as long as one target is left.
+// When most targets look unhealthy, the fault is more likely in the requests, in a
+// dependency that all targets share, or in the network on this side, and ejecting
+// targets would only overload the others. The tracker is then in panic mode: it
+// ejects nothing and returns ejected targets to service. Unreachable targets are
+// the exception: skipping them loses no requests as long as one target is left.
 //
-// The life of a target is the state chart target.json.
+// The states and transitions of a target are defined in target.json.
 //
-// Limits: a target that is merely slow is not ejected unless its requests time
-// out; the choice among targets sees to it that it gets less. Nothing here
-// knows why a target fails.
+// Limits: a slow target is not ejected unless its requests time out; target
+// selection gives it fewer requests. The package does not find out why a target
+// fails.
 package health
--- a/steering/health/evidence.go
+++ b/steering/health/evidence.go
@@ -5,67 +5,70 @@
 	"time"
 )
 
-// Outcome classifies a request's end by what it says about the target.
+// Outcome classifies the result of a request by what it shows about the target.
 type Outcome uint8
 
-// Outcomes.
 const (
-	// Neutral says nothing, for example a shed or a caller that went away.
+	// Neutral shows nothing about the target, for example when the target shed
+	// the request or the caller cancelled it.
 	Neutral Outcome = iota
 	Success
-	// Failure is a failed, broken or timed-out answer.
+	// Failure is an error response, a broken connection or a timeout.
 	Failure
-	// Unreachable means that no byte could be sent.
+	// Unreachable means that not a single byte of the request could be sent.
 	Unreachable
 )
 
-// evidence is what requests showed of one target; it fades.
+// evidence aggregates the outcomes of the requests to one target. The weights
+// of outcomes decay exponentially with time.
 type evidence struct {
-	total       float64 // weight of outcomes
-	failed      float64 // weight of failures among them
-	at          time.Time
-	consecutive int // failures of any kind in a row
-	unreachable int // of them at the end, unreachable
-	lastSuccess time.Time
+	totalWeight            float64 // weight of all outcomes
+	failedWeight           float64 // weight of the failures among them
+	updatedAt              time.Time
+	consecutiveFailures    int // latest outcomes in a row that failed in any way
+	consecutiveUnreachable int // latest outcomes in a row that were Unreachable
+	lastSuccess            time.Time
 }
 
-func (e *evidence) fade(now time.Time, halfLife time.Duration) {
-	if !now.After(e.at) {
+func (e *evidence) decay(now time.Time, halfLife time.Duration) {
+	if !now.After(e.updatedAt) {
 		return
 	}
-	factor := math.Exp2(-float64(now.Sub(e.at)) / float64(halfLife))
-	e.total *= factor
-	e.failed *= factor
-	e.at = now
+	factor := math.Exp2(-float64(now.Sub(e.updatedAt)) / float64(halfLife))
+	e.totalWeight *= factor
+	e.failedWeight *= factor
+	e.updatedAt = now
 }
 
 func (e *evidence) add(now time.Time, o Outcome, halfLife time.Duration) {
-	e.fade(now, halfLife)
-	e.total++
+	e.decay(now, halfLife)
+	e.totalWeight++
 	if o == Success {
-		e.consecutive = 0
-		e.unreachable = 0
+		e.consecutiveFailures = 0
+		e.consecutiveUnreachable = 0
 		e.lastSuccess = now
 		return
 	}
-	e.failed++
-	e.consecutive++
+	e.failedWeight++
+	e.consecutiveFailures++
 	if o == Unreachable {
-		e.unreachable++
+		e.consecutiveUnreachable++
 	} else {
-		e.unreachable = 0
+		e.consecutiveUnreachable = 0
 	}
 }
 
-// sick says whether requests show that the target fails.
-func (e *evidence) sick(cfg *Config) bool {
-	if e.consecutive >= cfg.Consecutive || e.dead(cfg) {
+// showsUnhealthy reports whether the outcomes show that the target fails requests
+// or is unreachable.
+func (e *evidence) showsUnhealthy(cfg *Config) bool {
+	if e.consecutiveFailures >= cfg.ConsecutiveFailures || e.showsUnreachable(cfg) {
 		return true
 	}
-	return e.total >= cfg.MinEvidence && e.failed >= cfg.FailureRate*e.total
+	return e.totalWeight >= cfg.MinWeight && e.failedWeight >= cfg.FailureRate*e.totalWeight
 }
 
-// dead says whether the target could not even be reached.
-func (e *evidence) dead(cfg *Config) bool {
-	return e.unreachable >= cfg.Unreachable
+// showsUnreachable reports whether the latest outcomes show that the target is
+// unreachable.
+func (e *evidence) showsUnreachable(cfg *Config) bool {
+	return e.consecutiveUnreachable >= cfg.ConsecutiveUnreachable
 }
--- a/steering/health/tracker.go
+++ b/steering/health/tracker.go
@@ -30,159 +30,163 @@
 //go:embed target.json
 var targetSource []byte
 
-var targetChart = chart.MustLoad("health/target.json", targetSource, chart.Bindings[*firing]{
+var targetChart = chart.MustLoad("health/target.json", targetSource, chart.Bindings[*chartModel]{
 	States: []chart.State{Serving, Warming, Ejected, Trial},
 	Events: []chart.Event{eventCold, eventWarm, eventFailing, eventReported, eventWaited, eventPassed, eventDoubted},
-	Guards: map[string]func(*firing) bool{
-		"mayEject": func(f *firing) bool { return f.tracker.mayEject(f.subject) },
+	Guards: map[string]func(*chartModel) bool{
+		"mayEject": func(m *chartModel) bool { return m.tracker.mayEject(m.target) },
 	},
-	Actions: map[string]func(*firing){
-		"eject":      func(f *firing) { f.tracker.eject(f.subject) },
-		"startTrial": func(f *firing) { f.subject.trialLeft = f.tracker.cfg.TrialSuccesses },
-		"forget":     func(f *firing) { f.subject.forget() },
+	Actions: map[string]func(*chartModel){
+		"eject":      func(m *chartModel) { m.tracker.eject(m.target) },
+		"startTrial": func(m *chartModel) { m.target.trialSuccessesLeft = m.tracker.cfg.TrialSuccesses },
+		"forget":     func(m *chartModel) { m.target.resetEvidence() },
 	},
 })
 
-// Chart returns the life of a target, for documentation.
-func Chart() *chart.Chart[*firing] { return targetChart }
+// Chart returns the state chart of a target, for the documentation.
+func Chart() *chart.Chart[*chartModel] { return targetChart }
 
-// firing is what the chart's guards and actions look at.
-type firing struct {
+// chartModel is the argument of the chart's guards and actions.
+type chartModel struct {
 	tracker *Tracker
-	subject *subject
+	target  *target
 }
 
-// subject is one judged target.
-type subject struct {
-	name        steering.Target
-	state       chart.State
-	look        look
-	evidence    evidence
-	reportedTil time.Time // a reported sickness counts until then
-	until       time.Time // end of an ejected target's wait
-	wait        time.Duration
-	ejectedAt   time.Time
-	trialLeft   int
-	misled      bool // an early trial was granted and has not passed
+// target is the health state of one target.
+type target struct {
+	name               steering.Target
+	state              chart.State
+	class              class
+	evidence           evidence
+	reportedUntil      time.Time // end of the validity of the last unhealthy report
+	ejectedUntil       time.Time // end of the current or last ejection
+	ejectionTime       time.Duration
+	ejectedAt          time.Time
+	trialSuccessesLeft int
+	earlyTrialUsed     bool // an early trial was granted, and no trial has passed since
 }
 
-// forget starts the judgement afresh, so that what led to an ejection does
-// not lead to the next.
-func (s *subject) forget() {
-	s.evidence = evidence{lastSuccess: s.evidence.lastSuccess}
-	s.misled = false
+// resetEvidence discards the outcomes that led to an ejection, so that they do not
+// lead to another one.
+func (tgt *target) resetEvidence() {
+	tgt.evidence = evidence{lastSuccess: tgt.evidence.lastSuccess}
+	tgt.earlyTrialUsed = false
 }
 
-// Change is a state that a target has entered.
+// Change reports that a target has entered a state.
 type Change struct {
 	Target steering.Target
 	State  chart.State
 }
 
-// Tracker judges the targets of one pool. It is not safe for concurrent use.
+// Tracker decides which targets of one pool get new requests. Methods that return
+// changes reuse the slice, so it is valid until the next call. A Tracker is not safe
+// for concurrent use.
 type Tracker struct {
-	cfg      Config
-	now      time.Time
-	subjects map[steering.Target]*subject
-	order    []*subject // by name, so that equal input gives equal decisions
-	ejected  int
-	looks    [looks]int // targets by look
-	doubting bool
-	changes  []Change
+	cfg        Config
+	now        time.Time
+	targets    map[steering.Target]*target
+	order      []*target // sorted by name, so that decisions are deterministic
+	ejected    int
+	classCount [classCount]int // number of targets by class
+	panicMode  bool
+	changes    []Change
 }
 
 // New returns a tracker without targets.
 func New(cfg Config) *Tracker {
-	return &Tracker{cfg: cfg.withDefaults(), subjects: map[steering.Target]*subject{}}
+	return &Tracker{cfg: cfg.withDefaults(), targets: map[steering.Target]*target{}}
 }
 
-// SetTargets replaces the targets. Those that stay keep their state; new ones
-// start cold if cold is set.
+// SetTargets replaces the targets. Targets that were there before keep their state;
+// new ones begin with a slow start if cold is set.
 func (t *Tracker) SetTargets(now time.Time, names []steering.Target, cold bool) []Change {
 	t.begin(now)
-	kept := map[steering.Target]*subject{}
+	kept := map[steering.Target]*target{}
 	for _, name := range names {
-		s, known := t.subjects[name]
+		tgt, known := t.targets[name]
 		if !known {
-			s = &subject{name: name, state: targetChart.Initial()}
+			tgt = &target{name: name, state: targetChart.Initial()}
 		}
-		kept[name] = s
+		kept[name] = tgt
 		if !known && cold {
-			t.fire(s, eventCold)
+			t.fire(tgt, eventCold)
 		}
 	}
-	t.subjects = kept
+	t.targets = kept
 	t.order = t.order[:0]
-	for _, s := range kept {
-		t.order = append(t.order, s)
+	for _, tgt := range kept {
+		t.order = append(t.order, tgt)
 	}
-	slices.SortFunc(t.order, func(a, b *subject) int { return compare(a.name, b.name) })
+	slices.SortFunc(t.order, func(a, b *target) int { return compare(a.name, b.name) })
 	t.recount()
-	t.judge()
+	t.evaluateAll()
 	return t.changes
 }
 
-// Observe takes how a request ended.
+// Observe records the outcome of a request to a target.
 func (t *Tracker) Observe(now time.Time, name steering.Target, o Outcome) []Change {
 	t.begin(now)
-	s, known := t.subjects[name]
+	tgt, known := t.targets[name]
 	if !known || o == Neutral {
 		return t.changes
 	}
-	s.evidence.add(now, o, t.cfg.HalfLife)
-	t.classify(s)
-	if s.state == Trial {
-		t.observeTrial(s, o)
+	tgt.evidence.add(now, o, t.cfg.HalfLife)
+	t.classify(tgt)
+	if tgt.state == Trial {
+		t.observeTrial(tgt, o)
 		return t.changes
 	}
-	if t.doubt() {
-		t.judge()
+	if t.updatePanicMode() {
+		t.evaluateAll()
 	} else {
-		t.judgeOne(s)
+		t.evaluate(tgt)
 	}
 	return t.changes
 }
 
-func (t *Tracker) observeTrial(s *subject, o Outcome) {
+func (t *Tracker) observeTrial(tgt *target, o Outcome) {
 	if o != Success {
-		t.fire(s, eventFailing)
+		t.fire(tgt, eventFailing)
 		return
 	}
-	s.trialLeft--
-	if s.trialLeft <= 0 {
-		t.fire(s, eventPassed)
+	tgt.trialSuccessesLeft--
+	if tgt.trialSuccessesLeft <= 0 {
+		t.fire(tgt, eventPassed)
 	}
 }
 
-// Report takes a target's own word on its health. Its word that it is well
-// changes nothing: only requests show that.
-func (t *Tracker) Report(now time.Time, name steering.Target, well bool) []Change {
+// Report records the health that a target reports of itself. A target that
+// reports that it is unhealthy is put on trial unless a request to it has
+// succeeded within Config.ReportTTL. A report that it is healthy changes no
+// state, because only successful requests prove that.
+func (t *Tracker) Report(now time.Time, name steering.Target, healthy bool) []Change {
 	t.begin(now)
-	s, known := t.subjects[name]
+	tgt, known := t.targets[name]
 	if !known {
 		return t.changes
 	}
-	if well {
-		s.reportedTil = time.Time{}
+	if healthy {
+		tgt.reportedUntil = time.Time{}
 		return t.changes
 	}
-	s.reportedTil = now.Add(t.cfg.ReportFor)
-	if now.Sub(s.evidence.lastSuccess) > t.cfg.ReportFor {
-		t.fire(s, eventReported)
+	tgt.reportedUntil = now.Add(t.cfg.ReportTTL)
+	if now.Sub(tgt.evidence.lastSuccess) > t.cfg.ReportTTL {
+		t.fire(tgt, eventReported)
 	}
 	return t.changes
 }
 
-// Answered takes that a target can be reached. One that was ejected because it
-// could not be reached is tried at once, without the rest of its wait. When the
-// trial fails, such answers count no more until a trial has passed: a load
-// endpoint may answer for a target that takes no requests.
+// Answered records that a target responded to a request for its load. A target
+// that was ejected as unreachable is put on trial at once instead of at the end of
+// its ejection. If that trial fails, further calls have no effect until a trial has
+// passed: the load endpoint may respond although the target accepts no requests.
 func (t *Tracker) Answered(now time.Time, name steering.Target) []Change {
 	t.begin(now)
-	s, known := t.subjects[name]
-	if known && s.state == Ejected && s.evidence.dead(&t.cfg) && !s.misled {
-		t.fire(s, eventWaited)
-		s.misled = true // until the trial passes
+	tgt, known := t.targets[name]
+	if known && tgt.state == Ejected && tgt.evidence.showsUnreachable(&t.cfg) && !tgt.earlyTrialUsed {
+		t.fire(tgt, eventWaited)
+		tgt.earlyTrialUsed = true // reset when a trial passes
 	}
 	return t.changes
 }
@@ -190,148 +194,152 @@
 // Warm ends a target's slow start.
 func (t *Tracker) Warm(now time.Time, name steering.Target) []Change {
 	t.begin(now)
-	if s, known := t.subjects[name]; known {
-		t.fire(s, eventWarm)
+	if tgt, known := t.targets[name]; known {
+		t.fire(tgt, eventWarm)
 	}
 	return t.changes
 }
 
-// Tick lets time act: waits end and evidence fades.
+// Tick puts targets whose ejection has ended on trial and evaluates all targets
+// with the weights of their outcomes decayed to now.
 func (t *Tracker) Tick(now time.Time) []Change {
 	t.begin(now)
-	for _, s := range t.order {
-		if s.state == Ejected && !now.Before(s.until) {
-			t.fire(s, eventWaited)
+	for _, tgt := range t.order {
+		if tgt.state == Ejected && !now.Before(tgt.ejectedUntil) {
+			t.fire(tgt, eventWaited)
 		}
 	}
-	t.judge()
+	t.evaluateAll()
 	return t.changes
 }
 
-// State returns a target's state.
+// State returns the state of a target, and Serving for an unknown target.
 func (t *Tracker) State(name steering.Target) chart.State {
-	if s, known := t.subjects[name]; known {
-		return s.state
+	if tgt, known := t.targets[name]; known {
+		return tgt.state
 	}
 	return targetChart.Initial()
 }
 
-// Doubting says whether most targets look sick, so that the signal is doubted.
-func (t *Tracker) Doubting() bool { return t.doubting }
+// PanicMode reports whether so many targets look unhealthy that ejection of
+// reachable targets is suspended.
+func (t *Tracker) PanicMode() bool { return t.panicMode }
 
 func (t *Tracker) begin(now time.Time) {
 	t.now = now
 	t.changes = t.changes[:0]
 }
 
-// fire takes a transition if the chart has one that applies.
-func (t *Tracker) fire(s *subject, e chart.Event) {
-	state, err := targetChart.Fire(&firing{t, s}, s.state, e)
+// fire applies an event to a target. An event for which the target's state has no
+// transition is ignored.
+func (t *Tracker) fire(tgt *target, e chart.Event) {
+	state, err := targetChart.Fire(&chartModel{t, tgt}, tgt.state, e)
 	if err != nil {
-		return // the event means nothing in this state
+		return // the state ignores the event, or the guard rejects it
 	}
-	if s.state == Ejected {
+	if tgt.state == Ejected {
 		t.ejected--
 	}
 	if state == Ejected {
 		t.ejected++
 	}
-	s.state = state
-	t.classify(s)
-	t.changes = append(t.changes, Change{s.name, state})
+	tgt.state = state
+	t.classify(tgt)
+	t.changes = append(t.changes, Change{tgt.name, state})
 }
 
 func (t *Tracker) recount() {
 	t.ejected = 0
-	t.looks = [looks]int{}
-	for _, s := range t.order {
-		t.looks[s.look]++
-		if s.state == Ejected {
+	t.classCount = [classCount]int{}
+	for _, tgt := range t.order {
+		t.classCount[tgt.class]++
+		if tgt.state == Ejected {
 			t.ejected++
 		}
 	}
 }
 
-// judge looks at every target anew.
-func (t *Tracker) judge() {
-	for _, s := range t.order {
-		s.evidence.fade(t.now, t.cfg.HalfLife)
-		t.classify(s)
+// evaluateAll classifies and evaluates every target.
+func (t *Tracker) evaluateAll() {
+	for _, tgt := range t.order {
+		tgt.evidence.decay(t.now, t.cfg.HalfLife)
+		t.classify(tgt)
 	}
-	t.doubt()
-	for _, s := range t.order {
-		t.judgeOne(s)
+	t.updatePanicMode()
+	for _, tgt := range t.order {
+		t.evaluate(tgt)
 	}
 }
 
-// doubt decides whether most targets look sick, and says whether that changed.
-func (t *Tracker) doubt() bool {
-	sick := t.looks[looksSick]
-	reachable := len(t.order) - t.looks[looksDead]
-	was := t.doubting
+// updatePanicMode enters panic mode when more than half of the reachable targets are
+// unhealthy, leaves it when fewer than half are, and reports whether the mode changed.
+func (t *Tracker) updatePanicMode() bool {
+	unhealthy := t.classCount[classUnhealthy]
+	reachable := len(t.order) - t.classCount[classUnreachable]
+	was := t.panicMode
 	switch {
-	case !t.doubting && 2*sick > reachable:
-		t.doubting = true
-	case t.doubting && 2*sick < reachable:
-		t.doubting = false
+	case !t.panicMode && 2*unhealthy > reachable:
+		t.panicMode = true
+	case t.panicMode && 2*unhealthy < reachable:
+		t.panicMode = false
 	}
-	return t.doubting != was
+	return t.panicMode != was
 }
 
-// judgeOne ejects a target that looks sick, or gives it work while that is
-// doubted.
-func (t *Tracker) judgeOne(s *subject) {
+// evaluate ejects an unhealthy target. In panic mode it returns ejected targets and
+// targets on trial to service instead, except unreachable ones.
+func (t *Tracker) evaluate(tgt *target) {
 	switch {
-	case t.doubting && s.look != looksDead:
-		if s.state == Ejected || s.state == Trial {
-			t.fire(s, eventDoubted)
+	case t.panicMode && tgt.class != classUnreachable:
+		if tgt.state == Ejected || tgt.state == Trial {
+			t.fire(tgt, eventDoubted)
 		}
-	case s.state != Trial && s.state != Ejected && s.evidence.sick(&t.cfg):
-		t.fire(s, eventFailing)
+	case tgt.state != Trial && tgt.state != Ejected && tgt.evidence.showsUnhealthy(&t.cfg):
+		t.fire(tgt, eventFailing)
 	}
 }
 
-// look is how a target appears in the count that doubt rests on.
-type look uint8
+// class is the class under which a target is counted for panic mode.
+type class uint8
 
 const (
-	looksWell look = iota
-	looksSick
-	looksDead
-	looks // their number
+	classHealthy class = iota
+	classUnhealthy
+	classUnreachable
+	classCount // number of classes
 )
 
-// classify counts a target as it looks now. An ejected target counts as it did
-// when it was ejected: its evidence fades only because it gets no work.
-func (t *Tracker) classify(s *subject) {
-	t.looks[s.look]--
+// classify updates the class of a target and the counts. An ejected target stays
+// unhealthy or unreachable: its evidence decays only because it gets no requests.
+func (t *Tracker) classify(tgt *target) {
+	t.classCount[tgt.class]--
 	switch {
-	case s.evidence.dead(&t.cfg):
-		s.look = looksDead
-	case s.state == Ejected || s.evidence.sick(&t.cfg):
-		s.look = looksSick
+	case tgt.evidence.showsUnreachable(&t.cfg):
+		tgt.class = classUnreachable
+	case tgt.state == Ejected || tgt.evidence.showsUnhealthy(&t.cfg):
+		tgt.class = classUnhealthy
 	default:
-		s.look = looksWell
+		tgt.class = classHealthy
 	}
-	t.looks[s.look]++
+	t.classCount[tgt.class]++
 }
 
-// mayEject keeps a floor of targets: half of them, or one when the others
-// cannot be reached at all.
-func (t *Tracker) mayEject(s *subject) bool {
-	if s.evidence.dead(&t.cfg) {
+// mayEject is the guard of ejections. It keeps at least half of the targets in
+// service, or one target if the target to eject is unreachable.
+func (t *Tracker) mayEject(tgt *target) bool {
+	if tgt.evidence.showsUnreachable(&t.cfg) {
 		return t.ejected+1 < len(t.order)
 	}
-	return !t.doubting && 2*(t.ejected+1) <= len(t.order)
+	return !t.panicMode && 2*(t.ejected+1) <= len(t.order)
 }
 
-func (t *Tracker) eject(s *subject) {
-	if t.now.Sub(s.ejectedAt) > t.cfg.ForgiveAfter {
-		s.wait = 0
+func (t *Tracker) eject(tgt *target) {
+	if t.now.Sub(tgt.ejectedAt) > t.cfg.EjectionResetAfter {
+		tgt.ejectionTime = 0
 	}
-	s.wait = min(max(2*s.wait, t.cfg.FirstWait), t.cfg.MaxWait)
-	s.ejectedAt = t.now
-	s.until = t.now.Add(s.wait)
+	tgt.ejectionTime = min(max(2*tgt.ejectionTime, t.cfg.BaseEjectionTime), t.cfg.MaxEjectionTime)
+	tgt.ejectedAt = t.now
+	tgt.ejectedUntil = t.now.Add(tgt.ejectionTime)
 }
 
 func compare(a, b steering.Target) int {
--- a/steering/health/tracker_test.go
+++ b/steering/health/tracker_test.go
@@ -20,9 +20,9 @@
 	return all
 }
 
-// run sends rounds of one request to each target that gets work; outcome says
-// how it ends.
-func run(tr *Tracker, now time.Time, d time.Duration, all []steering.Target, outcome func(steering.Target) Outcome) time.Time {
+// sendRounds sends one request every 50 ms to each target that is not ejected, and
+// returns the time after the last round. The function outcome returns the results.
+func sendRounds(tr *Tracker, now time.Time, d time.Duration, all []steering.Target, outcome func(steering.Target) Outcome) time.Time {
 	for end := now.Add(d); now.Before(end); now = now.Add(50 * time.Millisecond) {
 		tr.Tick(now)
 		for _, name := range all {
@@ -37,10 +37,11 @@
 	return now
 }
 
-// Promise: whatever requests and reports say, and in whatever order, a floor
-// of targets gets work, an ejected target is tried again in bounded time, and
-// once requests succeed everywhere, everything serves again.
-func TestFloorAndRecovery(t *testing.T) {
+// Guards against a pool without usable targets: for any sequence of outcomes and
+// reports, the ejected targets that are reachable are at most half of all targets, one
+// target always stays in service, every ejected target is tried again in bounded time,
+// and all targets serve again once requests succeed.
+func TestMinimumInServiceAndRecovery(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := names(rapid.IntRange(1, 7).Draw(t, "targets"))
 		now := start
@@ -80,28 +81,28 @@
 						continue
 					}
 					ejected++
-					if unreachable[name] < defaultUnreachable {
+					if unreachable[name] < defaultConsecutiveUnreachable {
 						reachableEjected++
 					}
 					if _, known := ejectedAt[name]; !known {
 						ejectedAt[name] = now
 					}
-					assert.Assert(t, now.Sub(ejectedAt[name]) < defaultMaxWait+3*time.Second, "%s is never tried again", name)
+					assert.Assert(t, now.Sub(ejectedAt[name]) < defaultMaxEjectionTime+3*time.Second, "%s is never tried again", name)
 				}
 				assert.Assert(t, ejected < len(all), "all targets ejected")
 				assert.Assert(t, 2*reachableEjected <= len(all), "%d of %d reachable targets ejected", reachableEjected, len(all))
 			},
 		})
-		now = run(tr, now, 2*defaultMaxWait, all, func(steering.Target) Outcome { return Success })
+		now = sendRounds(tr, now, 2*defaultMaxEjectionTime, all, func(steering.Target) Outcome { return Success })
 		for _, name := range all {
 			assert.Equal(t, tr.State(name), Serving)
 		}
 	})
 }
 
-// Symptom: callers keep getting errors from one target. Sequence: the target
-// says that it is well, and fails what it is sent. Cause: its word was taken.
-func TestTargetThatLiesAboutHealthIsEjected(t *testing.T) {
+// Guards against callers that keep getting errors from one target: a target that
+// reports that it is healthy while it fails its requests has to be ejected.
+func TestFailingTargetThatReportsHealthyIsEjected(t *testing.T) {
 	all := names(4)
 	tr := New(Config{})
 	tr.SetTargets(start, all, false)
@@ -109,7 +110,7 @@
 	sent := 0
 	for range 40 {
 		tr.Report(now, all[0], true)
-		now = run(tr, now, 50*time.Millisecond, all, func(name steering.Target) Outcome {
+		now = sendRounds(tr, now, 50*time.Millisecond, all, func(name steering.Target) Outcome {
 			if name == all[0] {
 				sent++
 				return Failure
@@ -118,55 +119,55 @@
 		})
 	}
 	assert.Equal(t, tr.State(all[0]), Ejected)
-	assert.Assert(t, sent <= defaultConsecutive+1, "%d requests failed in two seconds", sent)
+	assert.Assert(t, sent <= defaultConsecutiveFailures+1, "%d requests failed in two seconds", sent)
 }
 
-// Symptom: a zone loses half its slots while nothing is wrong. Sequence:
-// targets that serve well report sickness. Cause: their word was taken.
-func TestTargetThatReportsSicknessButServesStays(t *testing.T) {
+// Guards against a zone that loses half its slots without a fault: targets that
+// serve requests but report that they are unhealthy have to stay in service.
+func TestServingTargetThatReportsUnhealthyStays(t *testing.T) {
 	all := names(4)
 	tr := New(Config{})
 	tr.SetTargets(start, all, false)
-	now := run(tr, start, time.Second, all, func(steering.Target) Outcome { return Success })
+	now := sendRounds(tr, start, time.Second, all, func(steering.Target) Outcome { return Success })
 	tr.Report(now, all[0], false)
 	assert.Equal(t, tr.State(all[0]), Serving)
 	idle := now.Add(time.Minute)
 	tr.Report(idle, all[0], false)
-	assert.Equal(t, tr.State(all[0]), Trial, "with no recent request, its word calls for care")
+	assert.Equal(t, tr.State(all[0]), Trial, "without a recent success, an unhealthy report starts a trial")
 }
 
-// Symptom: after a fault in a database that all targets use, the few targets
-// left are overloaded. Sequence: two thirds of all requests fail, everywhere.
-// Cause: targets were ejected one by one for what was not their fault.
-func TestMostLookSick(t *testing.T) {
+// Guards against overload of the targets that are left when a fault in a shared
+// database fails two thirds of the requests on all targets: ejecting targets one by
+// one for a fault that is not theirs moves their load to the others.
+func TestPanicModeWhenMostTargetsFail(t *testing.T) {
 	all := names(6)
 	tr := New(Config{})
 	tr.SetTargets(start, all, false)
 	i := 0
-	now := run(tr, start, 10*time.Second, all, func(steering.Target) Outcome {
+	now := sendRounds(tr, start, 10*time.Second, all, func(steering.Target) Outcome {
 		i++
 		if i%3 == 0 {
 			return Success
 		}
 		return Failure
 	})
-	assert.Assert(t, tr.Doubting())
+	assert.Assert(t, tr.PanicMode())
 	for _, name := range all {
 		assert.Equal(t, tr.State(name), Serving)
 	}
-	run(tr, now, time.Minute, all, func(steering.Target) Outcome { return Success })
-	assert.Assert(t, !tr.Doubting())
+	sendRounds(tr, now, time.Minute, all, func(steering.Target) Outcome { return Success })
+	assert.Assert(t, !tr.PanicMode())
 }
 
-// Symptom: most requests fail their first try after a rack is lost. Sequence:
-// four of six targets cannot be reached. Cause: the rule that doubts a signal
-// when most look sick sent work to targets that are plainly gone.
-func TestMostAreDead(t *testing.T) {
+// Guards against most requests failing their first try after the loss of a rack,
+// when four of six targets are unreachable: panic mode must not send requests to
+// unreachable targets.
+func TestUnreachableMajorityIsEjected(t *testing.T) {
 	all := names(6)
 	tr := New(Config{})
 	tr.SetTargets(start, all, false)
 	wasted, total := 0, 0
-	run(tr, start, time.Minute, all, func(name steering.Target) Outcome {
+	sendRounds(tr, start, time.Minute, all, func(name steering.Target) Outcome {
 		total++
 		if name < all[4] {
 			wasted++
@@ -174,13 +175,13 @@
 		}
 		return Success
 	})
-	assert.Assert(t, !tr.Doubting())
-	assert.Assert(t, wasted*20 < total, "%d of %d requests went to dead targets", wasted, total)
+	assert.Assert(t, !tr.PanicMode())
+	assert.Assert(t, wasted*20 < total, "%d of %d requests went to unreachable targets", wasted, total)
 }
 
-// The counts that doubt rests on are kept step by step; they have to stay what
-// counting afresh gives.
-func TestCountsAreKept(t *testing.T) {
+// The counts that panic mode is based on are updated incrementally. They have to
+// equal a full recount after every event.
+func TestIncrementalCountsMatchRecount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := names(5)
 		now := start
@@ -193,9 +194,9 @@
 			if rapid.Bool().Draw(t, "tick") {
 				tr.Tick(now)
 			}
-			kept, ejected := tr.looks, tr.ejected
+			kept, ejected := tr.classCount, tr.ejected
 			tr.recount()
-			assert.Equal(t, tr.looks, kept)
+			assert.Equal(t, tr.classCount, kept)
 			assert.Equal(t, tr.ejected, ejected)
 		}
 	})
