--- a/steering/config/adopt.go
+++ b/steering/config/adopt.go
@@ -1,43 +1,44 @@
 package config
 
-// Verdict says what became of something offered to a set.
+// Verdict is the result of applying an offer or a platform reading to a set. Its
+// value is also the name of a counter.
 type Verdict string
 
-// Verdicts. Each is also the name of a counter.
 const (
 	// Adopted means the new set is in force.
 	Adopted Verdict = "adopted"
-	// NotNewer means that what was offered is no newer than the set: a stale
-	// reading, a late or repeated message. Nothing changes.
+	// NotNewer means that the input is not newer than the set, as with a stale
+	// reading or a delayed or repeated message. The set stays as it is.
 	NotNewer Verdict = "not_newer"
-	// SumMismatch means that a delta or a whole did not add up to the checksum
-	// that came with it. Nothing changes; fetch the whole set.
+	// SumMismatch means that the resulting set does not have the checksum of the
+	// offer. The set stays as it is, and the caller should fetch a full set.
 	SumMismatch Verdict = "sum_mismatch"
-	// Repaired means that the platform's own reading at the set's version
-	// differed from the set, which was wrong; the reading is in force.
+	// Repaired means that a platform reading at the version of the set differed
+	// from the set. The set was wrong, and the reading is in force.
 	Repaired Verdict = "repaired"
 )
 
-// Offer is what a peer answered to a fetch.
+// Offer is the response of a peer to a fetch: a full configuration, or a delta
+// to the version that the fetch named.
 type Offer struct {
-	Whole   bool // Objects are the whole configuration
+	Whole   bool // Objects is the full configuration
 	Version int64
-	Sum     uint64 // checksum of the whole configuration at Version
+	Sum     uint64 // checksum of the full configuration at Version
 	Objects []Object
 }
 
-// Adopt takes a peer's offer. The checksum of the result must be the one that
-// came with the offer: a delta that was computed for another base would
-// otherwise leave a node that looks current and silently lacks an object.
+// Adopt applies a peer's offer. The checksum of the result must equal that of
+// the offer: a delta that was computed for another version would otherwise leave
+// a node that reports the current version and silently lacks an object.
 func (s *Set) Adopt(o Offer) (*Set, Verdict) {
 	if o.Version <= s.version {
 		return s, NotNewer
 	}
 	var next *Set
 	if o.Whole {
-		next = s.replaced(o.Objects, o.Version)
+		next = s.withObjects(o.Objects, o.Version)
 	} else {
-		next = s.with(o.Objects, o.Version)
+		next = s.withChanges(o.Objects, o.Version)
 	}
 	if next.sum != o.Sum {
 		return s, SumMismatch
@@ -45,13 +46,14 @@
 	return next, Adopted
 }
 
-// Listed takes a whole reading of the platform at a revision. A reading that
-// is behind the set comes from a replica that lags or was delayed on the way.
+// Listed applies the result of a list call to the platform at a revision. A result
+// that is older than the set comes from a lagging replica or was delayed in the
+// network, and is ignored. So is revision 0.
 func (s *Set) Listed(objects []Object, revision int64) (*Set, Verdict) {
 	if revision < s.version || revision == 0 {
 		return s, NotNewer
 	}
-	next := s.replaced(objects, revision)
+	next := s.withObjects(objects, revision)
 	if revision == s.version {
 		if next.sum == s.sum {
 			return s, NotNewer
@@ -61,10 +63,11 @@
 	return next, Adopted
 }
 
-// Watched takes the platform's changes after a revision at which the set was
-// complete. The version grows to the newest change only, not to the revision
-// of the reading: other kinds move the revision all the time, and a version
-// that followed it would spread without a change.
+// Watched applies the platform's changes after a revision at which the set was
+// complete. The new version is that of the newest change, not the platform
+// revision of the response: writes to other kinds of objects increase the revision
+// all the time, and a version that followed it would be propagated to all nodes
+// without any change.
 func (s *Set) Watched(changes []Object) (*Set, Verdict) {
 	newest := s.version
 	for _, change := range changes {
@@ -73,5 +76,5 @@
 	if newest == s.version {
 		return s, NotNewer
 	}
-	return s.with(changes, newest), Adopted
+	return s.withChanges(changes, newest), Adopted
 }
--- a/steering/config/doc.go
+++ b/steering/config/doc.go
@@ -1,14 +1,16 @@
-// Package config decides how configuration spreads between entry VMs and which
-// entry VM of a zone reads it from the platform.
+// Package config implements the propagation of configuration between entry VMs and
+// the lease that selects the entry VM of a zone that reads it from the platform.
 //
-// A [Set] is one whole configuration: the stored objects at one platform
-// revision. A set never changes; adopting an [Offer] or a platform reading
-// gives another set with a higher version, or a [Verdict] that says why not.
-// Every way into a set goes through this package, so that nothing that a late,
-// stale, repeated or wrongly based message carries can take a node back.
+// A [Set] is one full configuration: the stored objects at one platform revision.
+// Sets are immutable. Applying an [Offer] of a peer or a platform reading returns
+// another set with a higher version, or a [Verdict] that tells why the set stays.
+// All updates go through this package, so a message that is delayed, stale,
+// repeated or computed for another version cannot set a node back to an older
+// configuration.
 //
-// A [Lease] decides who reads the platform for a zone. It is judged by the
-// time that a record has stayed unchanged on the observer's own clock, and its
-// epoch fences what an earlier holder still writes. Two readers at once cost
-// calls; they cannot make a node go back, because sets decide that.
+// A [Lease] elects the reader of a zone. It expires when its stored record has not
+// changed for the TTL, measured on the observer's own clock. Its epoch is a fencing
+// token against delayed writes of an earlier holder. Two concurrent readers cost
+// additional calls to the platform, but cannot set a node back, because only sets
+// decide which version is newer.
 package config
--- a/steering/config/lease_test.go
+++ b/steering/config/lease_test.go
@@ -11,20 +11,20 @@
 	"heatherlock/steering"
 )
 
-// leaseMachine runs candidates against a store. A candidate that is not
-// stepped is paused; calls may be refused, lose their reply, take effect late,
-// or read a replica that lags.
+// leaseMachine is a rapid state machine that runs candidates against a store. A
+// candidate that is not stepped is paused. Calls may be rejected, lose their response,
+// take effect late, or read a lagging replica.
 type leaseMachine struct {
-	now     time.Time
-	records []Record // by version; records[0] stands for none
-	leases  []*Lease
-	late    []lateWrite
-	epochs  map[int64]int // epoch -> holder
-	lives   int
+	now           time.Time
+	records       []Record // by version; records[0] means that none is stored
+	leases        []*Lease
+	delayedWrites []delayedWrite
+	epochs        map[int64]int // epoch -> holder
+	incarnations  int
 }
 
-// lateWrite is a write that was given up on and may still take effect.
-type lateWrite struct {
+// delayedWrite is a write that timed out for its sender and may still take effect.
+type delayedWrite struct {
 	version int64
 	record  Record
 }
@@ -41,13 +41,13 @@
 }
 
 func (m *leaseMachine) replace(i int) {
-	m.lives++
-	m.leases[i] = NewLease(steering.VM(fmt.Sprint(i)), steering.Incarnation(fmt.Sprint(m.lives)), testTerms)
+	m.incarnations++
+	m.leases[i] = NewLease(steering.VM(fmt.Sprint(i)), steering.Incarnation(fmt.Sprint(m.incarnations)), testTerms)
 }
 
 func (m *leaseMachine) version() int64 { return int64(len(m.records) - 1) }
 
-// store makes a conditional write.
+// store makes a conditional write and reports whether it took effect.
 func (m *leaseMachine) store(version int64, r Record) bool {
 	if version != m.version() {
 		return false
@@ -56,34 +56,34 @@
 	return true
 }
 
-// Advance lets time pass; whoever is not stepped meanwhile was paused.
+// Advance moves the clock.
 func (m *leaseMachine) Advance(t *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 15000).Draw(t, "ms")) * time.Millisecond)
 }
 
-// Replace ends a candidate's process and starts another under its name.
+// Replace ends a candidate's process and starts another one with the same VM name.
 func (m *leaseMachine) Replace(t *rapid.T) {
 	m.replace(rapid.IntRange(0, len(m.leases)-1).Draw(t, "candidate"))
 }
 
-// Late lets a write that was given up on take effect.
+// Late lets the oldest delayed write take effect.
 func (m *leaseMachine) Late(t *rapid.T) {
-	if len(m.late) == 0 {
+	if len(m.delayedWrites) == 0 {
 		t.Skip("none")
 	}
-	m.store(m.late[0].version, m.late[0].record)
-	m.late = m.late[1:]
+	m.store(m.delayedWrites[0].version, m.delayedWrites[0].record)
+	m.delayedWrites = m.delayedWrites[1:]
 }
 
-// actionsMost bounds the calls of one step.
-const actionsMost = 4
+// maxActions is the maximum number of actions in one step.
+const maxActions = 4
 
-// Step lets one candidate act until it has to wait.
+// Step runs one VM, which in a few cases is not a candidate, until it has to wait.
 func (m *leaseMachine) Step(t *rapid.T) {
 	l := rapid.SampledFrom(m.leases).Draw(t, "candidate")
-	bystander := m.rarely(t, "bystander")
-	for range actionsMost {
-		switch action := l.Next(m.now, !bystander); action.Step {
+	nonCandidate := m.rarely(t, "bystander")
+	for range maxActions {
+		switch action := l.Next(m.now, !nonCandidate); action.Step {
 		case Read:
 			m.read(t, l)
 		case Write:
@@ -94,7 +94,7 @@
 	}
 }
 
-// rarely draws true about one time in six.
+// rarely draws true in about one of six cases.
 func (m *leaseMachine) rarely(t *rapid.T, what string) bool {
 	return rapid.IntRange(0, 5).Draw(t, what) == 5
 }
@@ -114,13 +114,13 @@
 }
 
 func (m *leaseMachine) write(t *rapid.T, l *Lease, a Action) {
-	fate := rapid.SampledFrom([]string{"ok", "ok", "ok", "ok", "ok", "ok", "refused", "lost", "late"}).Draw(t, "fate")
-	switch fate {
+	result := rapid.SampledFrom([]string{"ok", "ok", "ok", "ok", "ok", "ok", "refused", "lost", "late"}).Draw(t, "fate")
+	switch result {
 	case "refused":
 		l.Written(m.now, WriteRefused, 0)
 		return
 	case "late":
-		m.late = append(m.late, lateWrite{a.Version, a.Record})
+		m.delayedWrites = append(m.delayedWrites, delayedWrite{a.Version, a.Record})
 		l.Written(m.now, WriteUnknown, 0)
 		return
 	}
@@ -130,7 +130,7 @@
 		m.Advance(t)
 	}
 	switch {
-	case fate == "lost":
+	case result == "lost":
 		l.Written(m.now, WriteUnknown, 0)
 	case stored:
 		l.Written(m.now, WriteOK, version)
@@ -139,17 +139,18 @@
 	}
 }
 
-// Release lets a candidate give up what it holds.
+// Release lets a candidate give up the lease if it holds it.
 func (m *leaseMachine) Release(t *rapid.T) {
 	l := rapid.SampledFrom(m.leases).Draw(t, "candidate")
 	if action, held := l.Release(m.now); held {
 		m.write(t, l, action)
 		_, holding := l.Holding(m.now)
-		assert.Assert(t, !holding, "holds what it released")
+		assert.Assert(t, !holding, "holds the lease after its release")
 	}
 }
 
-// Check: one holder at a time, and no epoch for two.
+// Check asserts that at most one candidate holds the lease, and that no two
+// candidates ever hold it with the same epoch.
 func (m *leaseMachine) Check(t *rapid.T) {
 	holders := 0
 	for i, l := range m.leases {
@@ -165,10 +166,11 @@
 	assert.Assert(t, holders <= 1, "%d holders at once", holders)
 }
 
-// Symptom: two readers of one zone write its status against each other, or
-// none reads for long. Sequence: pauses past the term, lost replies, writes
-// that take effect late, lagging reads, replacement, release. Cause: a term
-// counted from a reply or a reading instead of from the sending of the write.
+// Guards against two readers in one zone that overwrite each other's status, and
+// against a zone without a reader. This happens if the validity of the lease is
+// counted from the response or from a reading instead of from the time at which the
+// write was sent, after pauses longer than the TTL, lost responses, delayed writes,
+// stale readings, replacement or release.
 func TestOneLeaseHolderAtATime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newLeaseMachine(3)
@@ -176,29 +178,29 @@
 		actions["StepAgain"] = m.Step
 		actions["StepMore"] = m.Step
 		t.Repeat(actions)
-		m.settles(t)
+		m.assertSettles(t)
 	})
 }
 
-// settles: once calls succeed again, somebody holds within a term and a few
-// polls, and goes on holding.
-func (m *leaseMachine) settles(t *rapid.T) {
-	m.late = nil
+// assertSettles asserts that, once calls succeed again, a candidate holds the lease
+// within the TTL and four poll intervals, and that the lease stays held.
+func (m *leaseMachine) assertSettles(t *rapid.T) {
+	m.delayedWrites = nil
 	bound := m.now.Add(testTerms.TTL + 4*testTerms.Poll)
 	for m.now.Before(bound.Add(30 * time.Second)) {
 		holding := false
 		for _, l := range m.leases {
-			m.stepWell(l)
+			m.stepWithoutFaults(l)
 			_, holds := l.Holding(m.now)
 			holding = holding || holds
 		}
-		assert.Assert(t, holding || m.now.Before(bound), "nobody holds at %s", m.now)
+		assert.Assert(t, holding || m.now.Before(bound), "no holder at %s", m.now)
 		m.now = m.now.Add(500 * time.Millisecond)
 		m.Check(t)
 	}
 }
 
-func (m *leaseMachine) stepWell(l *Lease) {
+func (m *leaseMachine) stepWithoutFaults(l *Lease) {
 	for {
 		action := l.Next(m.now, true)
 		switch action.Step {
--- a/steering/config/set.go
+++ b/steering/config/set.go
@@ -8,17 +8,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxTombstones bounds the deletions a set remembers for deltas. A node that
-// is further behind than the oldest remembered deletion gets the whole set.
+// maxTombstones is the maximum number of deletions that a set keeps for deltas. A
+// node whose version is older than the oldest kept deletion gets the full set.
 const maxTombstones = 1024
 
-// ID names a stored object.
+// ID identifies a stored object.
 type ID struct {
 	Kind string
 	Name string
 }
 
-// Object is one stored object, or its deletion.
+// Object is a stored object, or the deletion of one.
 type Object struct {
 	ID
 	// Version is the platform revision of the object's last change, or of its
@@ -28,7 +28,8 @@
 	Deleted bool
 }
 
-// hash covers everything that two nodes must agree on.
+// hash returns a hash of all fields that must be equal on two nodes with the same
+// configuration.
 func (o Object) hash() uint64 {
 	d := xxhash.New()
 	var version [8]byte
@@ -42,35 +43,38 @@
 	return d.Sum64()
 }
 
-// Set is one whole configuration. It is immutable; the zero value is the
-// empty set at version 0.
+// Set is a full configuration. It is immutable and safe for concurrent use; the
+// zero value is the empty set at version 0.
 type Set struct {
 	version int64
-	// sum is the sum of the objects' hashes: it does not depend on their
-	// sequence, and a delta updates it without hashing the rest again.
+	// sum is the sum of the hashes of the objects. It does not depend on their
+	// order, and a delta updates it without hashing unchanged objects again.
 	sum     uint64
 	objects map[ID]Object
-	// tombstones are the deletions after base, needed to answer with a delta.
-	tombstones map[ID]int64
-	base       int64
+	// tombstones holds the versions of the deletions after tombstoneBase. Deltas
+	// for versions before tombstoneBase would lack deletions.
+	tombstones    map[ID]int64
+	tombstoneBase int64
 }
 
-// Version returns the platform revision that the set was complete at.
+// Version returns the platform revision at which the set was complete.
 func (s *Set) Version() int64 { return s.version }
 
-// Sum returns the checksum of the whole set.
+// Sum returns the checksum of the set. Sets with the same objects have the same
+// checksum, whatever their versions are.
 func (s *Set) Sum() uint64 { return s.sum }
 
 // Len returns the number of objects.
 func (s *Set) Len() int { return len(s.objects) }
 
-// Get returns one object.
+// Get returns the object with the given ID and whether the set has one.
 func (s *Set) Get(id ID) (Object, bool) {
 	o, ok := s.objects[id]
 	return o, ok
 }
 
-// Objects calls yield with every object, in no particular sequence.
+// Objects calls yield with every object, in no particular order, until yield
+// returns false.
 func (s *Set) Objects(yield func(Object) bool) {
 	for _, o := range s.objects {
 		if !yield(o) {
@@ -79,21 +83,23 @@
 	}
 }
 
-// Delta is what a node at an older version needs.
+// Delta holds the objects that a node at an older version needs to reach Version.
 type Delta struct {
-	Whole   bool // Objects are the whole set
+	Whole   bool // Objects is the full set
 	Version int64
-	Sum     uint64
-	Objects []Object // by version
+	Sum     uint64   // checksum of the full set at Version
+	Objects []Object // sorted by version
 }
 
-// Since returns what a node at version have needs to reach this set.
+// Since returns what a node at version have needs to reach this set. That is nothing
+// if the node is not behind, and the full set if have is 0 or if not all deletions
+// after have are kept.
 func (s *Set) Since(have int64) Delta {
 	d := Delta{Version: s.version, Sum: s.sum}
 	if have >= s.version {
 		return d
 	}
-	d.Whole = have <= 0 || have < s.base
+	d.Whole = have <= 0 || have < s.tombstoneBase
 	for _, o := range s.objects {
 		if d.Whole || o.Version > have {
 			d.Objects = append(d.Objects, o)
@@ -106,21 +112,21 @@
 			}
 		}
 	}
-	slices.SortFunc(d.Objects, byVersion)
+	slices.SortFunc(d.Objects, compareByVersion)
 	return d
 }
 
-func byVersion(a, b Object) int {
+func compareByVersion(a, b Object) int {
 	switch {
 	case a.Version != b.Version:
 		return int(min(1, max(-1, a.Version-b.Version)))
 	case a.Kind != b.Kind:
-		return cmpString(a.Kind, b.Kind)
+		return compareStrings(a.Kind, b.Kind)
 	}
-	return cmpString(a.Name, b.Name)
+	return compareStrings(a.Name, b.Name)
 }
 
-func cmpString(a, b string) int {
+func compareStrings(a, b string) int {
 	switch {
 	case a < b:
 		return -1
@@ -130,10 +136,10 @@
 	return 0
 }
 
-// with returns the set after changes, at the given version. Changes that the
-// set already holds, in this or a newer version, are skipped.
-func (s *Set) with(changes []Object, version int64) *Set {
-	next := &Set{version: version, sum: s.sum, base: s.base, objects: maps.Clone(s.objects), tombstones: maps.Clone(s.tombstones)}
+// withChanges returns the set with the changes applied, at the given version. Changes
+// that are not newer than the set are skipped, because it already contains them.
+func (s *Set) withChanges(changes []Object, version int64) *Set {
+	next := &Set{version: version, sum: s.sum, tombstoneBase: s.tombstoneBase, objects: maps.Clone(s.objects), tombstones: maps.Clone(s.tombstones)}
 	if next.objects == nil {
 		next.objects = map[ID]Object{}
 	}
@@ -142,15 +148,16 @@
 	}
 	for _, change := range changes {
 		if change.Version > s.version {
-			next.put(change)
+			next.applyChange(change)
 		}
 	}
-	next.trim()
+	next.trimTombstones()
 	return next
 }
 
-// put makes one change; the set must not be published yet.
-func (s *Set) put(change Object) {
+// applyChange applies one change in place, unless the set already has a newer
+// version of the object. It must only be called before the set is shared.
+func (s *Set) applyChange(change Object) {
 	old, had := s.objects[change.ID]
 	if had && old.Version > change.Version || s.tombstones[change.ID] > change.Version {
 		return
@@ -168,21 +175,22 @@
 	s.sum += change.hash()
 }
 
-// trim forgets the oldest deletions over the bound and raises base to match.
-func (s *Set) trim() {
+// trimTombstones removes the oldest deletions beyond maxTombstones and raises
+// tombstoneBase to the newest one removed.
+func (s *Set) trimTombstones() {
 	over := len(s.tombstones) - maxTombstones
 	if over <= 0 {
 		return
 	}
 	versions := slices.Sorted(maps.Values(s.tombstones))
-	s.base = max(s.base, versions[over-1])
-	maps.DeleteFunc(s.tombstones, func(_ ID, version int64) bool { return version <= s.base })
+	s.tombstoneBase = max(s.tombstoneBase, versions[over-1])
+	maps.DeleteFunc(s.tombstones, func(_ ID, version int64) bool { return version <= s.tombstoneBase })
 }
 
-// replaced returns the set that holds exactly objects, at the given version.
-// What vanished counts as deleted at that version.
-func (s *Set) replaced(objects []Object, version int64) *Set {
-	next := &Set{version: version, base: s.base, objects: make(map[ID]Object, len(objects)), tombstones: maps.Clone(s.tombstones)}
+// withObjects returns the set that holds exactly objects, at the given version. An
+// object of s that is not among them counts as deleted at that version.
+func (s *Set) withObjects(objects []Object, version int64) *Set {
+	next := &Set{version: version, tombstoneBase: s.tombstoneBase, objects: make(map[ID]Object, len(objects)), tombstones: maps.Clone(s.tombstones)}
 	if next.tombstones == nil {
 		next.tombstones = map[ID]int64{}
 	}
@@ -200,8 +208,8 @@
 		}
 	}
 	if s.version == 0 {
-		next.base = version
+		next.tombstoneBase = version
 	}
-	next.trim()
+	next.trimTombstones()
 	return next
 }
--- a/steering/config/set_test.go
+++ b/steering/config/set_test.go
@@ -10,19 +10,20 @@
 	"pgregory.net/rapid"
 )
 
-// spreadMachine spreads a platform's objects over nodes through stale lists,
-// delayed watches and late, repeated or tampered offers. The reference is the
-// platform's own history: a set at version v must be the objects as of v.
-type spreadMachine struct {
+// replicationMachine is a rapid state machine that propagates the platform's objects
+// to nodes through stale lists, delayed watches and late, repeated or incomplete
+// offers. The reference is the history of the platform: a set at version v must hold
+// the objects of revision v.
+type replicationMachine struct {
 	history []map[ID]Object // by revision
 	events  []Object        // events[i] made revision i+1
 	nodes   []*Set
 	cursors []int64
-	offers  []Offer // on their way, for any node
+	offers  []Offer // in transit, for any node
 }
 
-func newSpreadMachine(nodes int) *spreadMachine {
-	m := &spreadMachine{history: []map[ID]Object{{}}}
+func newReplicationMachine(nodes int) *replicationMachine {
+	m := &replicationMachine{history: []map[ID]Object{{}}}
 	for range nodes {
 		m.nodes = append(m.nodes, new(Set))
 		m.cursors = append(m.cursors, 0)
@@ -30,14 +31,14 @@
 	return m
 }
 
-func (m *spreadMachine) revision() int64 { return int64(len(m.history) - 1) }
+func (m *replicationMachine) revision() int64 { return int64(len(m.history) - 1) }
 
-func (m *spreadMachine) node(t *rapid.T) int {
+func (m *replicationMachine) node(t *rapid.T) int {
 	return rapid.IntRange(0, len(m.nodes)-1).Draw(t, "node")
 }
 
-// Write is an operator's write or removal.
-func (m *spreadMachine) Write(t *rapid.T) {
+// Write stores or deletes an object on the platform.
+func (m *replicationMachine) Write(t *rapid.T) {
 	id := ID{Kind: "Service", Name: rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "name")}
 	next := maps.Clone(m.history[m.revision()])
 	change := Object{ID: id, Version: m.revision() + 1}
@@ -52,8 +53,8 @@
 	m.events = append(m.events, change)
 }
 
-// List is a whole reading, as of any revision.
-func (m *spreadMachine) List(t *rapid.T) {
+// List lets a node list the platform at any revision, as from a lagging replica.
+func (m *replicationMachine) List(t *rapid.T) {
 	i := m.node(t)
 	at := rapid.Int64Range(0, m.revision()).Draw(t, "at")
 	next, _ := m.nodes[i].Listed(slices.Collect(maps.Values(m.history[at])), at)
@@ -63,9 +64,9 @@
 	}
 }
 
-// Watch continues from the node's cursor up to any revision. Its reply may
-// come after the node has learned more from peers.
-func (m *spreadMachine) Watch(t *rapid.T) {
+// Watch delivers changes from about the node's cursor up to any revision. The response
+// may come after the node has received newer versions from peers.
+func (m *replicationMachine) Watch(t *rapid.T) {
 	i := m.node(t)
 	if m.nodes[i].Version() == 0 {
 		t.Skip("a node lists first")
@@ -80,9 +81,8 @@
 	m.cursors[i] = max(m.cursors[i], m.nodes[i].Version())
 }
 
-// Send makes an offer for a node at any version, perhaps with something
-// missing from it.
-func (m *spreadMachine) Send(t *rapid.T) {
+// Send creates an offer for a node at any version. It may lack an object.
+func (m *replicationMachine) Send(t *rapid.T) {
 	from := m.nodes[m.node(t)]
 	delta := from.Since(rapid.Int64Range(0, m.revision()).Draw(t, "have"))
 	offer := Offer(delta)
@@ -93,10 +93,11 @@
 	m.offers = append(m.offers, offer)
 }
 
-// Deliver hands any offer made so far to any node; it stays for repetition.
-func (m *spreadMachine) Deliver(t *rapid.T) {
+// Deliver applies any offer created so far to any node. The offer is kept, so that it
+// may be delivered again.
+func (m *replicationMachine) Deliver(t *rapid.T) {
 	if len(m.offers) == 0 {
-		t.Skip("nothing on its way")
+		t.Skip("no offer in transit")
 	}
 	i := m.node(t)
 	offer := rapid.SampledFrom(m.offers).Draw(t, "offer")
@@ -105,13 +106,13 @@
 	m.adopt(t, i, next)
 }
 
-func (m *spreadMachine) adopt(t *rapid.T, i int, next *Set) {
-	assert.Assert(t, next.Version() >= m.nodes[i].Version(), "went back from %d to %d", m.nodes[i].Version(), next.Version())
+func (m *replicationMachine) adopt(t *rapid.T, i int, next *Set) {
+	assert.Assert(t, next.Version() >= m.nodes[i].Version(), "version decreased from %d to %d", m.nodes[i].Version(), next.Version())
 	m.nodes[i] = next
 }
 
-// Check holds every set against the history.
-func (m *spreadMachine) Check(t *rapid.T) {
+// Check asserts that every set equals the history at its version.
+func (m *replicationMachine) Check(t *rapid.T) {
 	for _, set := range m.nodes {
 		want := m.history[set.Version()]
 		assert.Equal(t, set.Len(), len(want))
@@ -124,21 +125,21 @@
 	}
 }
 
-// Symptom: a node goes back, or says it has a version and lacks an object.
-// Sequence: lists from lagging replicas, watch replies that come late, offers
-// that come late, twice, for another base or with something missing. Cause: an
-// adoption that trusts the sequence of messages, or a version without a
-// checksum.
+// Guards against a node that returns to an older configuration, or reports a version
+// and lacks one of its objects. This happens if updates rely on the order of messages
+// or have no checksum, after lists from lagging replicas, late watch responses, and
+// offers that are late, repeated, incomplete or computed for another version.
 func TestSetsFollowThePlatformAndNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newSpreadMachine(3)
+		m := newReplicationMachine(3)
 		t.Repeat(rapid.StateMachineActions(m))
-		m.converge(t)
+		m.assertConverges(t)
 	})
 }
 
-// converge lets the nodes reach each other, and a reader the platform.
-func (m *spreadMachine) converge(t *rapid.T) {
+// assertConverges asserts that all nodes reach the configuration of the platform once
+// a reader has listed it and the nodes can fetch from the reader.
+func (m *replicationMachine) assertConverges(t *rapid.T) {
 	reader, _ := m.nodes[0].Listed(slices.Collect(maps.Values(m.history[m.revision()])), m.revision())
 	for i := range m.nodes {
 		delta := reader.Since(m.nodes[i].Version())
@@ -154,10 +155,9 @@
 	m.Check(t)
 }
 
-// Symptom: a node that was away keeps an object that was deleted. Sequence:
-// more deletions than a set remembers, then a delta for an old version. Cause:
-// a delta made without the forgotten deletions.
-func TestForgottenDeletionsGiveTheWhole(t *testing.T) {
+// Guards against a node that was partitioned and keeps a deleted object: after more
+// deletions than a set keeps, a delta for an old version would lack some of them.
+func TestSinceReturnsFullSetWithoutOldTombstones(t *testing.T) {
 	set := new(Set)
 	set, _ = set.Listed([]Object{{ID: ID{"Service", "kept"}, Version: 1}}, 1)
 	version := int64(1)
@@ -172,7 +172,9 @@
 	assert.Equal(t, len(recent.Objects), 5)
 }
 
-func TestWrongSetIsRepairedByThePlatform(t *testing.T) {
+// Guards against a node that permanently lacks an object: a platform reading at the
+// same version with other objects has to replace the set.
+func TestListRepairsDivergentSet(t *testing.T) {
 	wrong, _ := new(Set).Listed([]Object{{ID: ID{"Cap", "a"}, Version: 2}}, 5)
 	right, verdict := wrong.Listed([]Object{{ID: ID{"Cap", "a"}, Version: 2}, {ID: ID{"Cap", "b"}, Version: 4}}, 5)
 	assert.Equal(t, verdict, Repaired)
