--- a/steering/identity/identity.go
+++ b/steering/identity/identity.go
@@ -11,19 +11,22 @@
 	"heatherlock/steering"
 )
 
-// digestBytes is the length of a Digest: long enough that two keys never share one.
+// digestBytes is the length of a Digest. 16 bytes rule out that two keys have the same
+// digest by chance.
 const digestBytes = 16
 
-// longestKey bounds an API key, in bytes. A longer one is malformed.
-const longestKey = 512
+// maxKeyBytes is the maximum length of an API key. A longer one is malformed.
+const maxKeyBytes = 512
 
-// digestDomain keeps digests of API keys apart from other uses of the hash.
+// digestDomain is a prefix that separates digests of API keys from other uses of the
+// hash function.
 const digestDomain = "heatherlock api key\x00"
 
-// Digest stands for an API key. It does not reveal the key.
+// Digest identifies an API key without revealing it.
 type Digest [digestBytes]byte
 
-// String implements fmt.Stringer. Digests are not for logs either.
+// String implements fmt.Stringer. It returns a fixed text, because digests do not
+// belong in logs either.
 func (Digest) String() string { return "(digest of an API key)" }
 
 // DigestOf returns the digest of an API key.
@@ -32,30 +35,34 @@
 	return Digest(sum[:digestBytes])
 }
 
-// Workspace is what is declared of a workspace. It does not change.
+// Workspace is the declared configuration of a workspace. It is immutable.
 type Workspace struct {
 	Name steering.Workspace
 	Keys []Digest
-	// Rank goes before that of a route; nil means that the route's holds.
+	// Rank is the priority of the workspace's requests, 0 being the most urgent. It
+	// overrides the rank of the route; nil selects that of the route.
 	Rank *int
-	// Rate is the requests per second that it may have run, over all entry VMs, and
-	// Burst how many more at once; a Rate of 0 means no limit.
+	// Rate is the number of requests per second that may run for the workspace, summed
+	// over all entry VMs, and Burst the number that may run at once beyond it. A Rate
+	// of 0 means no limit.
 	Rate  float64
 	Burst float64
-	// Homes are the regions in which its requests may run; none means all.
+	// Homes are the home regions, the regions in which the workspace's requests may
+	// run. If there are none, they may run in any region.
 	Homes []steering.Region
 }
 
 // MayRunIn reports whether the workspace's requests may run in a region. A nil
-// workspace allows all.
+// workspace may run requests in any region.
 func (w *Workspace) MayRunIn(region steering.Region) bool {
 	return w == nil || len(w.Homes) == 0 || slices.Contains(w.Homes, region)
 }
 
-// Limited reports whether the workspace has an allowance. A nil workspace has none.
+// Limited reports whether the workspace has a rate limit. A nil workspace has none.
 func (w *Workspace) Limited() bool { return w != nil && w.Rate > 0 }
 
-// RankOr returns the workspace's rank, or that of the route if it has none.
+// RankOr returns the rank of the workspace, or that of the route if the workspace is nil
+// or has no rank.
 func (w *Workspace) RankOr(route int) int {
 	if w == nil || w.Rank == nil {
 		return route
@@ -63,29 +70,30 @@
 	return *w.Rank
 }
 
-// Problem is why the workspace of a request is not known.
+// Problem is the reason why the workspace of a request cannot be determined.
 type Problem uint8
 
-// Problems.
 const (
-	// None: the workspace is known.
+	// None means that there is no problem.
 	None Problem = iota
-	// Missing: the request has no API key.
+	// Missing means that the request has no API key.
 	Missing
-	// Repeated: it has several.
+	// Repeated means that the request has several API keys.
 	Repeated
-	// Malformed: its API key is empty, too long, or holds more than the key alone.
+	// Malformed means that the API key is empty or too long, or that the header field
+	// contains more than the key.
 	Malformed
-	// Unknown: no workspace holds its API key.
+	// Unknown means that no workspace has the API key.
 	Unknown
 )
 
 var problemReasons = [...]steering.Reason{"", steering.ReasonAPIKeyMissing, steering.ReasonAPIKeyRepeated, steering.ReasonAPIKeyMalformed, steering.ReasonAPIKeyUnknown}
 
-// Reason returns the refusal reason of a problem.
+// Reason returns the refusal reason of the problem; it is empty for None.
 func (p Problem) Reason() steering.Reason { return problemReasons[p] }
 
-// Read returns the digest of the one API key among the values of a header field.
+// Read returns the digest of the API key in the values of a header field, which must be
+// exactly one value.
 func Read(values []string) (Digest, Problem) {
 	switch {
 	case len(values) == 0:
@@ -98,33 +106,33 @@
 	return DigestOf(values[0]), None
 }
 
-// wellFormed reports whether a value can be an API key: printable ASCII without blanks
-// or commas, which join the values of repeated fields.
+// wellFormed reports whether a value can be an API key: printable ASCII without spaces
+// and without commas, since a comma joins the values of repeated header fields.
 func wellFormed(key string) bool {
-	if key == "" || len(key) > longestKey {
+	if key == "" || len(key) > maxKeyBytes {
 		return false
 	}
 	return strings.IndexFunc(key, func(r rune) bool { return r <= ' ' || r > '~' || r == ',' }) < 0
 }
 
-// SharedKeyError is an API key that two workspaces hold.
+// SharedKeyError reports that two workspaces have the same API key.
 type SharedKeyError struct{ First, Second steering.Workspace }
 
-// Error implements error.
+// Error implements error. The message ends with the remedy.
 func (e *SharedKeyError) Error() string {
 	return fmt.Sprintf("workspaces %s and %s hold the same API key; give one of them another", e.First, e.Second)
 }
 
-// DuplicateError is a workspace that is declared twice.
+// DuplicateError reports that a workspace is declared twice.
 type DuplicateError struct{ Name steering.Workspace }
 
-// Error implements error.
+// Error implements error. The message ends with the remedy.
 func (e *DuplicateError) Error() string {
 	return fmt.Sprintf("workspace %q is declared twice; merge the two", e.Name)
 }
 
-// Check returns what is wrong with a set of workspaces: a *DuplicateError or a
-// *SharedKeyError, or nil.
+// Check validates a set of workspaces. It returns a *DuplicateError, a *SharedKeyError or
+// nil.
 func Check(all []*Workspace) error {
 	names := make(map[steering.Workspace]bool, len(all))
 	holders := make(map[Digest]steering.Workspace, len(all))
@@ -143,40 +151,42 @@
 	return nil
 }
 
-// Directory finds workspaces by their API keys. It does not change and is safe for
-// concurrent use. A nil Directory has no workspaces.
+// Directory finds workspaces by API key or name. It is immutable and safe for concurrent
+// use. A nil Directory has no workspaces.
 type Directory struct {
 	all    []*Workspace
 	byName map[steering.Workspace]*Workspace
 	seed   maphash.Seed
-	byKey  map[uint64][]held
+	byKey  map[uint64][]keyHolder
 }
 
-// held is an API key and its workspace.
-type held struct {
+// keyHolder is an API key with its workspace.
+type keyHolder struct {
 	key       Digest
 	workspace *Workspace
 }
 
-// NewDirectory returns the directory of workspaces that passed Check; nil for none.
+// NewDirectory returns a directory of the given workspaces, which must have passed Check.
+// It returns nil if there are none.
 func NewDirectory(all []*Workspace) *Directory {
 	if len(all) == 0 {
 		return nil
 	}
-	d := &Directory{all: all, byName: make(map[steering.Workspace]*Workspace, len(all)), seed: maphash.MakeSeed(), byKey: make(map[uint64][]held)}
+	d := &Directory{all: all, byName: make(map[steering.Workspace]*Workspace, len(all)), seed: maphash.MakeSeed(), byKey: make(map[uint64][]keyHolder)}
 	for _, w := range all {
 		d.byName[w.Name] = w
 		for _, key := range w.Keys {
-			place := d.place(key)
-			d.byKey[place] = append(d.byKey[place], held{key, w})
+			bucket := d.bucket(key)
+			d.byKey[bucket] = append(d.byKey[bucket], keyHolder{key, w})
 		}
 	}
 	return d
 }
 
-func (d *Directory) place(key Digest) uint64 { return maphash.Bytes(d.seed, key[:]) }
+func (d *Directory) bucket(key Digest) uint64 { return maphash.Bytes(d.seed, key[:]) }
 
-// All returns the workspaces.
+// All returns the workspaces in the order given to NewDirectory. Callers must not modify
+// the slice.
 func (d *Directory) All() []*Workspace {
 	if d == nil {
 		return nil
@@ -184,7 +194,7 @@
 	return d.all
 }
 
-// Named returns a workspace by its name, or nil.
+// Named returns the workspace with the given name, or nil.
 func (d *Directory) Named(name steering.Workspace) *Workspace {
 	if d == nil {
 		return nil
@@ -192,12 +202,13 @@
 	return d.byName[name]
 }
 
-// Find returns the workspace that holds a key.
+// Find returns the workspace that has the given API key. If there is none, it returns nil
+// and Unknown.
 func (d *Directory) Find(key Digest) (*Workspace, Problem) {
 	if d == nil {
 		return nil, Unknown
 	}
-	for _, h := range d.byKey[d.place(key)] {
+	for _, h := range d.byKey[d.bucket(key)] {
 		if subtle.ConstantTimeCompare(h.key[:], key[:]) == 1 {
 			return h.workspace, None
 		}
--- a/steering/identity/identity_test.go
+++ b/steering/identity/identity_test.go
@@ -21,7 +21,9 @@
 	return w
 }
 
-func TestReadTakesOneKeyAlone(t *testing.T) {
+// Guards against requests that are attributed to a workspace although their header field
+// does not hold exactly one well-formed key.
+func TestReadAcceptsOneWellFormedKey(t *testing.T) {
 	for name, c := range map[string]struct {
 		values []string
 		want   identity.Problem
@@ -41,9 +43,9 @@
 	}
 }
 
-// A directory finds the holder of each key, and nobody for any other, over any set of
-// workspaces.
-func TestDirectoryFindsHoldersAlone(t *testing.T) {
+// Guards against keys that are attributed to a wrong workspace: for any set of workspaces,
+// Find returns the holder of each key, and Unknown for a key that nobody holds.
+func TestDirectoryFindsOnlyHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		holders := map[string]string{}
 		var all []*identity.Workspace
@@ -72,7 +74,7 @@
 	})
 }
 
-func TestCheckNamesWhatIsDeclaredTwice(t *testing.T) {
+func TestCheckReportsDuplicates(t *testing.T) {
 	var shared *identity.SharedKeyError
 	err := identity.Check([]*identity.Workspace{workspace("a", "k"), workspace("b", "j", "k")})
 	assert.Assert(t, errors.As(err, &shared), "%v", err)
@@ -82,8 +84,8 @@
 	assert.NilError(t, identity.Check([]*identity.Workspace{workspace("a", "k", "k"), workspace("b")}))
 }
 
-// Guards against keys in logs: what is kept of a key prints as nothing of it.
-func TestDigestDoesNotPrintTheKey(t *testing.T) {
+// Guards against keys in logs: a formatted workspace must not contain any part of its key.
+func TestFormattedWorkspaceHidesKey(t *testing.T) {
 	w := workspace("a", "spuxsr7i427eya6u6sz9")
 	for _, format := range []string{"%v", "%+v", "%s", "%x"} {
 		text := fmt.Sprintf(format, w)
@@ -91,6 +93,8 @@
 	}
 }
 
+// Guards against values that are accepted in place of the exact key, such as one with
+// a trailing NUL byte or comma, in other case, or after a no-break space.
 func FuzzRead(f *testing.F) {
 	for _, seed := range []string{"", "spuxsr7i427eya6u6sz9", "a b", "Bearer x", "k\x00", "\xff\xfe", strings.Repeat("k", 600)} {
 		f.Add(seed)
@@ -103,7 +107,7 @@
 		}
 		w, problem := d.Find(key)
 		if (problem == identity.None) != (value == "spuxsr7i427eya6u6sz9") {
-			t.Fatalf("%q names %v", value, w)
+			t.Fatalf("%q: got workspace %v", value, w)
 		}
 	})
 }
--- a/steering/losses/losses.go
+++ b/steering/losses/losses.go
@@ -63,8 +63,8 @@
 	WorkspaceUnknown Cause = "workspace_unknown"
 	// OverAllowance: the workspace had exceeded its allowance, the limit on its request rate.
 	OverAllowance Cause = "over_allowance"
-	// NoCommonRegion: no region is allowed by both the route and the workspace.
-	NoCommonRegion Cause = "no_common_home"
+	// NoCommonHomeRegion: the route and the workspace have no home region in common.
+	NoCommonHomeRegion Cause = "no_common_home"
 	// NoTarget: the service had no known or reachable target.
 	NoTarget Cause = "no_target"
 	// Predicted: before the first try, no target was predicted to have a free slot in time.
@@ -183,7 +183,7 @@
 	case steering.ReasonOverAllowance:
 		return OverAllowance, true
 	case steering.ReasonNoCommonHome:
-		return NoCommonRegion, true
+		return NoCommonHomeRegion, true
 	case steering.ReasonAPIKeyMissing, steering.ReasonAPIKeyRepeated, steering.ReasonAPIKeyMalformed, steering.ReasonAPIKeyUnknown:
 		return WorkspaceUnknown, true
 	case steering.ReasonCancelled:
