--- a/steering/drain/doc.go
+++ b/steering/drain/doc.go
@@ -1,14 +1,15 @@
-// Package drain decides what planned stops take out of service and how far
-// they have come.
+// Package drain determines what planned stops take out of service and tracks the
+// progress of draining.
 //
-// A stop covers a target, an entry VM, a zone or a place. Each node works out
-// the stopped set for itself from its snapshot, so a stop needs no message of
-// its own: from the moment a snapshot with the stop is in force and the stop's
-// time has come, the node gives what it covers nothing new. Work that is in
-// flight is never touched by the set; it is counted down for the status.
+// A stop covers a target, an entry VM, a zone or a place. [Stopped] derives the
+// [Set] of what is stopped from a snapshot, so a stop needs no message of its own:
+// once a snapshot with the stop is in force and its start time has come, a node
+// assigns no new requests to what the stop covers. Requests in flight are not
+// affected; they are only counted for the status of the stop. [PlannedStop] and
+// [EntryVM] track the states of a stop and of an entry VM that shuts down.
 //
-// Limits: a stop's start time is compared with the node's wall clock, so a
-// node whose clock is wrong starts the stop that much early or late. A request
-// that was admitted just before the snapshot arrived still runs: the spread of
-// a configuration is the bound on new work after a stop.
+// Limits: the start time of a stop is compared with the wall clock of the node, so
+// a clock error starts the stop early or late by the same amount. A request that
+// was admitted just before the snapshot arrived still runs: new requests can reach a
+// stopped target until the configuration has been propagated to all nodes.
 package drain
--- a/steering/drain/life_test.go
+++ b/steering/drain/lifecycle_test.go
@@ -12,11 +12,11 @@
 	"heatherlock/steering/routing"
 )
 
-// Symptom: callers that still hold an old answer find nobody, or an upload is
-// cut. Sequence: an entry VM is told to stop and is idle for a moment, or
-// carries a long upload. Cause: a daemon that ends when it is idle, or after a
-// fixed time. It must outlast the answers and what it carries, and end then.
-func TestEntryVMOutlastsAnswersAndWork(t *testing.T) {
+// Guards against callers whose cached look-up answer names a VM that no longer runs, and
+// against cut uploads. Both happen if a stopped daemon exits as soon as it is idle, or
+// after a fixed time. It has to run until the answers have expired and no request is in
+// flight, and then exit.
+func TestEntryVMLeavesAfterAnswersExpireAndRequestsEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const ttl = 5 * time.Second
 		e, now := NewEntryVM(), noon
@@ -43,7 +43,9 @@
 	})
 }
 
-func TestPlannedStopReportsItsDeadline(t *testing.T) {
+// Guards against a stop that is reported as drained before all VMs have reported that
+// nothing is in flight, and against an overdue stop that is not reported as such.
+func TestPlannedStopStates(t *testing.T) {
 	stop := &routing.Stop{Name: "s", At: noon, Deadline: noon.Add(time.Minute)}
 	p := NewPlannedStop()
 	look := func(after time.Duration, r Remaining) chart.State {
@@ -53,7 +55,7 @@
 	all := func(n int) Remaining { return Remaining{InFlight: n, Complete: true} }
 	assert.Equal(t, look(-time.Second, all(0)), Announced)
 	assert.Equal(t, look(0, all(3)), Draining)
-	assert.Equal(t, look(time.Second, Remaining{}), Draining, "silence is not emptiness")
+	assert.Equal(t, look(time.Second, Remaining{}), Draining, "missing reports do not mean that nothing is in flight")
 	assert.Equal(t, look(2*time.Second, all(0)), Drained)
 	assert.Equal(t, look(3*time.Second, all(1)), Draining, "a late report")
 	assert.Equal(t, look(time.Minute, all(1)), Overdue)
--- a/steering/drain/stopped.go
+++ b/steering/drain/stopped.go
@@ -7,8 +7,8 @@
 	"heatherlock/steering/routing"
 )
 
-// Set is what planned stops take out of service at one moment. It is immutable
-// and safe for concurrent use; the zero value stops nothing.
+// Set holds what planned stops take out of service at one point in time. It is
+// immutable and safe for concurrent use; the zero value stops nothing.
 type Set struct {
 	targets map[steering.Target]string
 	vms     map[steering.VM]string
@@ -17,9 +17,9 @@
 	next    time.Time
 }
 
-// Stopped returns what the snapshot's stops take out of service at now. It
-// depends on nothing else; its cost grows with the number of stops and the
-// targets they cover.
+// Stopped returns what the stops of a snapshot take out of service at now. The result
+// depends on the arguments alone. The cost is proportional to the number of stops and of
+// the targets that they cover. A nil snapshot stops nothing.
 func Stopped(s *routing.Snapshot, now time.Time) Set {
 	var set Set
 	if s == nil {
@@ -27,7 +27,7 @@
 	}
 	for _, stop := range s.Stops {
 		if stop.At.After(now) {
-			set.wake(stop.At)
+			set.addStart(stop.At)
 			continue
 		}
 		set.add(s, stop)
@@ -62,18 +62,19 @@
 	return s.Zone(zone)
 }
 
-// Next returns when the set changes although the snapshot does not: the start
-// of the next stop. It is zero when no stop lies ahead.
+// Next returns the start of the next stop, at which the set changes without a new
+// snapshot. It is the zero time if no stop is to start.
 func (s Set) Next() time.Time { return s.next }
 
-func (s *Set) wake(at time.Time) {
+func (s *Set) addStart(at time.Time) {
 	if s.next.IsZero() || at.Before(s.next) {
 		s.next = at
 	}
 }
 
-// add takes a stop into the set. When two stops cover one thing, the stop with
-// the lesser name is reported, so that every node names the same one.
+// add adds a started stop to the set. If several stops cover the same target, VM, zone
+// or place, the one whose name sorts first is reported, so that all nodes report the
+// same stop.
 func (s *Set) add(snap *routing.Snapshot, stop *routing.Stop) {
 	switch stop.Kind {
 	case routing.StopTarget:
--- a/steering/drain/stopped_test.go
+++ b/steering/drain/stopped_test.go
@@ -12,8 +12,9 @@
 
 var noon = time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
 
-// site returns a snapshot with two zones of one place with two targets each.
-func site(stops ...*routing.Stop) *routing.Snapshot {
+// newSnapshot returns a snapshot with the given stops and two zones, each of which has one
+// place with two targets.
+func newSnapshot(stops ...*routing.Stop) *routing.Snapshot {
 	s := &routing.Snapshot{Places: map[steering.Place]*routing.Place{}, Stops: map[string]*routing.Stop{}}
 	for _, zone := range []string{"sur-a", "sur-b"} {
 		p := &routing.Place{Name: steering.Place("place-" + zone), Zone: steering.Zone(zone), Region: "sur"}
@@ -28,8 +29,10 @@
 	return s
 }
 
+// Guards against new requests to what a stop covers indirectly: the places, targets and
+// entry VMs of a zone, and the targets of a place. A stop takes effect at its start time.
 func TestStoppedCoversWhatLiesInside(t *testing.T) {
-	s := site(
+	s := newSnapshot(
 		&routing.Stop{Name: "zone", Kind: routing.StopZone, Subject: "sur-a"},
 		&routing.Stop{Name: "later", Kind: routing.StopPlace, Subject: "place-sur-b", At: noon.Add(time.Minute)},
 		&routing.Stop{Name: "vm", Kind: routing.StopEntryVM, Subject: "sur-b-1", At: noon},
