--- a/steering/chart/chart.go
+++ b/steering/chart/chart.go
@@ -6,32 +6,34 @@
 	"github.com/qmuntal/stateless"
 )
 
-// State names a state of a chart.
+// State is the name of a state of a chart.
 type State string
 
-// Event names an event of a chart.
+// Event is the name of an event of a chart.
 type Event string
 
-// maxNames bounds the states and the events of one chart.
+// maxNames is the maximum number of states, and of events, in one chart. Their IDs
+// have to fit into the type id.
 const maxNames = 256
 
-// Bindings is what the code that uses a chart brings to it. M is what guards
-// and actions look at, usually a pointer.
+// Bindings connects a chart to the code that uses it. M is the type of the argument
+// of guards and actions, usually a pointer.
 type Bindings[M any] struct {
-	// States and Events are the names the code knows.
+	// States and Events are the names that the code knows. They must be the same as
+	// those in the chart.
 	States []State
 	Events []Event
-	// Guards decide whether a transition applies; they must not change M.
+	// Guards decide whether a transition applies. They must not modify M.
 	Guards map[string]func(M) bool
-	// Actions run in order after the transition was taken.
+	// Actions run after the transition, in the order in which the chart names them.
 	Actions map[string]func(M)
 }
 
-// id numbers states and events inside the interpreter. One byte, because Go
-// boxes single bytes in an interface without allocating.
+// id identifies a state or an event inside the interpreter. It is a single byte,
+// because Go converts single bytes to interface values without an allocation.
 type id uint8
 
-// Chart is a loaded chart. It holds no instance and may be shared.
+// Chart is a loaded chart. It holds no state of an instance and may be shared.
 type Chart[M any] struct {
 	file     *file
 	stateIDs map[State]id
@@ -39,35 +41,34 @@
 	states   []State
 	events   []Event
 	final    []bool
-	actions  map[edge][]func(M)
+	actions  map[transitionKey][]func(M)
 	machine  *stateless.StateMachine
 }
 
-// edge identifies one transition.
-type edge struct {
+// transitionKey identifies a transition.
+type transitionKey struct {
 	from, event, to id
 }
 
-// Load parses a chart, checks it against what the code knows and prepares it.
-// The error is a *LoadError that lists every problem; name is the file's name
-// in it.
+// Load parses and validates a chart and checks it against the bindings. The error is a
+// *LoadError that lists all problems. The name is the file name in error messages.
 func Load[M any](name string, source []byte, b Bindings[M]) (*Chart[M], error) {
 	f, err := parse(name, source)
 	if err != nil {
 		return nil, err
 	}
-	code := names{states: b.States, events: b.Events, guards: sortedKeys(b.Guards), actions: sortedKeys(b.Actions)}
+	code := codeNames{states: b.States, events: b.Events, guards: sortedKeys(b.Guards), actions: sortedKeys(b.Actions)}
 	if problems := check(f, code); len(problems) > 0 {
 		return nil, &LoadError{File: name, Problems: problems}
 	}
 	c := &Chart[M]{file: f}
-	c.number()
+	c.assignIDs()
 	c.build(b)
 	return c, nil
 }
 
-// MustLoad is Load for embedded files: a fault in one is a fault of the
-// program, which must not start.
+// MustLoad is like Load but panics on an error. It is meant for embedded files, where an
+// invalid chart is an error in the program, which must not start.
 func MustLoad[M any](name string, source []byte, b Bindings[M]) *Chart[M] {
 	c, err := Load(name, source, b)
 	if err != nil {
@@ -76,7 +77,8 @@
 	return c
 }
 
-func (c *Chart[M]) number() {
+// assignIDs maps the names of states and events to their indexes in the file.
+func (c *Chart[M]) assignIDs() {
 	c.stateIDs = make(map[State]id, len(c.file.States))
 	for i, s := range c.file.States {
 		c.stateIDs[s.Name] = id(i)
@@ -90,22 +92,22 @@
 	}
 }
 
-// build configures the interpreter. The instance's state and model travel in
-// the context of each firing, so one machine serves every instance.
+// build configures the interpreter. The state and the model of an instance are passed in
+// the context of each Fire call, so one machine serves all instances.
 func (c *Chart[M]) build(b Bindings[M]) {
 	c.machine = stateless.NewStateMachineWithExternalStorage(loadState[M], storeState[M], stateless.FiringImmediate)
-	c.actions = make(map[edge][]func(M))
+	c.actions = make(map[transitionKey][]func(M))
 	for _, t := range c.file.Transitions {
 		for _, from := range t.From {
-			c.permit(b, t, from)
+			c.addTransition(b, t, from)
 		}
 	}
 	c.machine.OnTransitioned(c.runActions)
-	c.machine.OnUnhandledTrigger(c.refuse)
+	c.machine.OnUnhandledTrigger(c.notPermitted)
 }
 
-func (c *Chart[M]) permit(b Bindings[M], t fileTransition, from State) {
-	e := edge{c.stateIDs[from], c.eventIDs[t.Event], c.stateIDs[t.To]}
+func (c *Chart[M]) addTransition(b Bindings[M], t fileTransition, from State) {
+	e := transitionKey{c.stateIDs[from], c.eventIDs[t.Event], c.stateIDs[t.To]}
 	for _, name := range t.Actions {
 		c.actions[e] = append(c.actions[e], b.Actions[name])
 	}
@@ -133,15 +135,15 @@
 // Initial returns the state that instances start in.
 func (c *Chart[M]) Initial() State { return c.file.Initial }
 
-// Final reports whether a state has no way out by design.
+// Final reports whether the chart marks a state as final, that is, without transitions
+// out of it.
 func (c *Chart[M]) Final(s State) bool {
 	i, ok := c.stateIDs[s]
 	return ok && c.final[i]
 }
 
-// Fire takes the transition of event from state, runs its actions on model and
-// returns the new state. When no transition applies it returns the state as it
-// was and a *NotPermittedError.
+// Fire takes the transition for event from state, runs its actions on model and returns
+// the new state. If no transition applies, it returns state and a *NotPermittedError.
 func (c *Chart[M]) Fire(model M, state State, event Event) (State, error) {
 	s, knownState := c.stateIDs[state]
 	e, knownEvent := c.eventIDs[event]
@@ -155,17 +157,19 @@
 	return c.states[f.state], nil
 }
 
-// firing is one call of Fire; it is the context the interpreter passes on.
+// firing holds the model and the state of one call of Fire. It is the context that is
+// passed through the interpreter.
 type firing[M any] struct {
 	context.Context
 	model M
 	state id
 }
 
-// firingKey finds the firing in a context that the interpreter wrapped.
+// firingKey is the context key of the firing, for contexts that the interpreter has
+// wrapped.
 type firingKey struct{}
 
-// Value implements context.Context.
+// Value implements context.Context. It returns f itself for firingKey.
 func (f *firing[M]) Value(key any) any {
 	if key == (firingKey{}) {
 		return f
@@ -187,13 +191,13 @@
 }
 
 func (c *Chart[M]) runActions(ctx context.Context, t stateless.Transition) {
-	e := edge{t.Source.(id), t.Trigger.(id), t.Destination.(id)}
+	e := transitionKey{t.Source.(id), t.Trigger.(id), t.Destination.(id)}
 	for _, action := range c.actions[e] {
 		action(firingOf[M](ctx).model)
 	}
 }
 
-func (c *Chart[M]) refuse(_ context.Context, s stateless.State, t stateless.Trigger, unmet []string) error {
+func (c *Chart[M]) notPermitted(_ context.Context, s stateless.State, t stateless.Trigger, unmet []string) error {
 	return &NotPermittedError{
 		Chart:   c.file.Name,
 		State:   c.states[s.(id)],
--- a/steering/chart/chart_test.go
+++ b/steering/chart/chart_test.go
@@ -70,9 +70,9 @@
 	assert.Equal(t, d.opened, 2)
 }
 
-// A chart that drifts from its code would take a transition nobody wrote or
-// skip an action in silence. Load must name file, path and remedy instead.
-func TestLoadNamesWhereAChartIsWrong(t *testing.T) {
+// Guards against a chart and code that differ, which would take an unintended transition
+// or silently skip an action. Load has to report the file, the path and the remedy.
+func TestLoadReportsProblems(t *testing.T) {
 	cases := []struct {
 		name, old, new, path, message string
 	}{
--- a/steering/chart/check.go
+++ b/steering/chart/check.go
@@ -6,18 +6,18 @@
 	"slices"
 )
 
-// names are what the code that loads a chart knows.
-type names struct {
+// codeNames holds the names that the code binds to a chart.
+type codeNames struct {
 	states  []State
 	events  []Event
 	guards  []string
 	actions []string
 }
 
-// checker collects the problems of one file.
+// checker validates a chart file and collects its problems.
 type checker struct {
 	file     *file
-	code     names
+	code     codeNames
 	problems []Problem
 }
 
@@ -25,15 +25,15 @@
 	c.problems = append(c.problems, Problem{Path: path, Message: fmt.Sprintf(format, args...), Remedy: remedy})
 }
 
-// check returns every problem of f against the names the code knows.
-func check(f *file, code names) []Problem {
+// check returns all problems of f, including differences from the names in code.
+func check(f *file, code codeNames) []Problem {
 	c := &checker{file: f, code: code}
 	c.states()
 	c.events()
 	c.transitions()
 	c.unused()
-	c.choices()
-	c.reachable()
+	c.ambiguous()
+	c.unreachable()
 	return c.problems
 }
 
@@ -120,8 +120,9 @@
 	}
 }
 
-// unused reports what the code binds but the chart never names: a dropped
-// guard or action would otherwise go unnoticed.
+// unused reports guards and actions that the code binds but no transition names, and
+// events that no transition uses. Otherwise a guard or action that was dropped from the
+// chart by mistake would go unnoticed.
 func (c *checker) unused() {
 	guards, actions, events := map[string]bool{}, map[string]bool{}, map[Event]bool{}
 	for _, t := range c.file.Transitions {
@@ -149,31 +150,35 @@
 	}
 }
 
-// choice is what a state does on an event.
-type choice struct {
+// stateEvent is an event in a state.
+type stateEvent struct {
 	from  State
 	event Event
 }
 
-// choices makes sure that exactly one transition applies to each event.
-func (c *checker) choices() {
-	first := map[choice]int{}
-	count := map[choice]int{}
+// ambiguous reports events with several transitions in a state, unless exactly one of the
+// transitions applies whatever the guard returns.
+func (c *checker) ambiguous() {
+	first := map[stateEvent]int{}
+	count := map[stateEvent]int{}
 	for i, t := range c.file.Transitions {
 		path := fmt.Sprintf("transitions[%d]", i)
 		for _, from := range t.From {
-			key := choice{from, t.Event}
+			key := stateEvent{from, t.Event}
 			count[key]++
 			if count[key] == 1 {
 				first[key] = i
 				continue
 			}
-			c.pair(path, key, c.file.Transitions[first[key]], t, count[key])
+			c.checkPair(path, key, c.file.Transitions[first[key]], t, count[key])
 		}
 	}
 }
 
-func (c *checker) pair(path string, key choice, a, b fileTransition, count int) {
+// checkPair reports transition b, the count-th one for key, unless it is the second one
+// and complements the first one, a: both need the same guard, one of them negated, and
+// different destinations.
+func (c *checker) checkPair(path string, key stateEvent, a, b fileTransition, count int) {
 	const remedy = "give the two transitions a guard and its negation, and different ends"
 	aName, aNot := a.guardName()
 	bName, bNot := b.guardName()
@@ -183,9 +188,9 @@
 	}
 }
 
-// reachable reports states that no run can reach and states where a run gets
-// stuck without being final.
-func (c *checker) reachable() {
+// unreachable reports states that no sequence of transitions reaches, states without
+// transitions that are not marked final, and final states with transitions.
+func (c *checker) unreachable() {
 	next := map[State][]State{}
 	for _, t := range c.file.Transitions {
 		for _, from := range t.From {
@@ -217,7 +222,7 @@
 	}
 }
 
-// sortedKeys returns the names bound in a map.
+// sortedKeys returns the keys of m in order.
 func sortedKeys[V any](m map[string]V) []string {
 	return slices.Sorted(maps.Keys(m))
 }
--- a/steering/chart/errors.go
+++ b/steering/chart/errors.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// Problem is one fault of a chart file.
+// Problem is an error in a chart file.
 type Problem struct {
-	Path    string // where in the file, for example transitions[3].to
+	Path    string // position in the file, for example transitions[3].to
 	Message string
 	Remedy  string
 }
 
-// LoadError lists every fault found in a chart file.
+// LoadError lists all problems found in a chart file.
 type LoadError struct {
 	File     string
 	Problems []Problem
@@ -27,19 +27,19 @@
 	return strings.Join(lines, "\n")
 }
 
-// NotPermittedError says that a state has no transition for an event now.
+// NotPermittedError reports that no transition applies to an event in a state.
 type NotPermittedError struct {
 	Chart string
 	State State
 	Event Event
-	// Guarded is set when a transition exists but its guard refused.
+	// Guarded is set if a transition exists but its guard returned false.
 	Guarded bool
 }
 
-// Error implements error; the message ends with the remedy.
+// Error implements error. The message ends with the remedy.
 func (e *NotPermittedError) Error() string {
 	if e.Guarded {
-		return fmt.Sprintf("chart: %s: the guard of event %s refuses in state %s; fire it when the guard's condition holds", e.Chart, e.Event, e.State)
+		return fmt.Sprintf("chart: %s: the guard of event %s does not hold in state %s; fire the event when the guard's condition holds", e.Chart, e.Event, e.State)
 	}
 	return fmt.Sprintf("chart: %s: state %s has no transition for event %s; add one to the chart or do not fire the event there", e.Chart, e.State, e.Event)
 }
--- a/steering/chart/file.go
+++ b/steering/chart/file.go
@@ -42,7 +42,7 @@
 	return strings.CutPrefix(t.Guard, "!")
 }
 
-// parse decodes a chart file and rejects fields it does not know.
+// parse decodes a chart file and rejects unknown fields.
 func parse(name string, source []byte) (*file, error) {
 	dec := json.NewDecoder(bytes.NewReader(source))
 	dec.DisallowUnknownFields()
--- a/steering/chart/markdown.go
+++ b/steering/chart/markdown.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// Markdown renders the chart as a page with a picture (Mermaid) and a table of
-// states and events. The output depends on the chart file alone, so a test can
-// compare it with the page in docs/charts.
+// Markdown returns the chart as a page with a Mermaid diagram and tables of states and
+// events. The output depends on the chart file alone, so a test can compare it with the
+// page in docs/charts.
 func (c *Chart[M]) Markdown() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# State chart: %s\n\n%s\n\n", c.file.Name, c.file.Doc)
