--- a/steering/reasons.go
+++ b/steering/reasons.go
@@ -4,16 +4,16 @@
 
 // ReasonInfo documents a refusal reason for callers and operators.
 type ReasonInfo struct {
-	// Status is the HTTP status that the refusal travels under.
+	// Status is the HTTP status code of the refusal.
 	Status int
-	// Meaning says what happened.
+	// Meaning describes what happened.
 	Meaning string
-	// Remedy says what to do.
+	// Remedy describes what the caller or the operator can do.
 	Remedy string
 }
 
-// Reasons documents every refusal reason. `heatherlock why` prints it and the
-// metrics page is generated from it.
+// Reasons documents every refusal reason. `heatherlock why` prints these entries, and the
+// metrics page is generated from them.
 var Reasons = map[Reason]ReasonInfo{
 	ReasonNoService:     {http.StatusNotFound, "no Service object matches the request's host or Heatherlock-Service header", "name a declared service, or apply a Service object"},
 	ReasonNoTarget:      {http.StatusServiceUnavailable, "no reachable place has a target for the service", "apply a Place with targets for the service, or end the planned stops that hold them"},
--- a/steering/refusal.go
+++ b/steering/refusal.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Ran says what is known about the execution of a request.
+// Ran is what is known about whether a request was executed.
 type Ran uint8
 
 const (
-	// RanNo means proved not run: refused before a byte left for a target, or
-	// refused by the target's own typed refusal.
+	// RanNo means that the request was certainly not executed: it was refused before any
+	// byte was sent to a target, or a target refused it with a typed refusal.
 	RanNo Ran = iota
-	// RanUnknown means the request may have run; it is not run again.
+	// RanUnknown means that the request may have been executed. It is not executed again.
 	RanUnknown
-	// RanYes means the request ran.
+	// RanYes means that the request was executed.
 	RanYes
 )
 
-// String returns the wire form used in the Heatherlock-Ran header.
+// String returns the value of the Heatherlock-Ran header.
 func (r Ran) String() string {
 	switch r {
 	case RanNo:
@@ -31,11 +31,10 @@
 	return fmt.Sprintf("Ran(%d)", uint8(r))
 }
 
-// Reason is a refusal or retry reason. Each has a counter and an entry in
-// Reasons that gives its meaning and remedy.
+// Reason is the reason of a refusal or a retry. Each reason has a counter, and an entry
+// in [Reasons] with its meaning and remedy.
 type Reason string
 
-// Refusal reasons.
 const (
 	ReasonNoService     Reason = "no_service"
 	ReasonNoTarget      Reason = "no_target"
@@ -79,34 +78,34 @@
 	ReasonOverAllowance   Reason = "over_allowance"
 )
 
-// Refusal is the typed answer the system itself gives in place of a target's.
-// It is final: it is sent at once and says when to come back.
+// Refusal is the typed response that an entry VM sends in place of a target's response.
+// It is final and sent at once, and it tells the caller when to retry.
 type Refusal struct {
 	Reason Reason
 	Ran    Ran
-	// RetryAfter says when to come back; zero means that the reason does not
-	// pass with time.
+	// RetryAfter is the time after which the caller may retry; zero means that waiting
+	// does not resolve the reason.
 	RetryAfter time.Duration
-	// Detail holds the facts of this case, without secrets or bodies.
+	// Detail describes this case. It must not contain secrets or parts of bodies.
 	Detail string
 }
 
-// Refuse returns a refusal that proves the request was not run.
+// Refuse returns a refusal of a request that was certainly not executed.
 func Refuse(reason Reason, retryAfter time.Duration, detail string) *Refusal {
 	return &Refusal{Reason: reason, Ran: RanNo, RetryAfter: retryAfter, Detail: detail}
 }
 
-// Unknown returns a refusal for a request that may have run.
+// Unknown returns a refusal of a request that may have been executed.
 func Unknown(reason Reason, detail string) *Refusal {
 	return &Refusal{Reason: reason, Ran: RanUnknown, Detail: detail}
 }
 
-// Error implements error. The message ends with the remedy.
+// Error implements error. The message ends with the remedy for the caller or operator.
 func (r *Refusal) Error() string {
 	return fmt.Sprintf("%s (ran: %s): %s; %s", r.Reason, r.Ran, r.Detail, r.Remedy())
 }
 
-// Remedy returns what the caller or operator can do about the refusal.
+// Remedy returns what the caller or the operator can do about the refusal.
 func (r *Refusal) Remedy() string {
 	if info, ok := Reasons[r.Reason]; ok {
 		return info.Remedy
