--- a/steering/config/lease_test.go
+++ b/steering/config/lease_test.go
@@ -19,7 +19,7 @@
 	records       []Record // by version; records[0] means that none is stored
 	leases        []*Lease
 	delayedWrites []delayedWrite
-	epochs        map[int64]int // epoch -> holder
+	epochs        map[int64]int // candidate that held the lease, by epoch
 	incarnations  int
 }
 
--- a/steering/losses/tally.go
+++ b/steering/losses/tally.go
@@ -8,8 +8,8 @@
 
 // Kind is the key by which requests are counted. It holds the properties by which
 // operators distinguish requests: service, which requests may be repeated, and latency
-// objective. The zero Kind stands for requests without a route and for the kinds beyond
-// [maxKinds].
+// objective. The zero Kind stands for requests without a route, and for all kinds beyond
+// the number that a Tally counts separately.
 type Kind struct {
 	Service steering.Service `json:"service"`
 	// Repeats is the kind of the route, which determines which requests may be repeated.
--- a/steering/reasons.go
+++ b/steering/reasons.go
@@ -19,7 +19,7 @@
 	ReasonNoTarget:      {http.StatusServiceUnavailable, "no reachable place has a target for the service", "apply a Place with targets for the service, or end the planned stops that hold them"},
 	ReasonNotReady:      {http.StatusServiceUnavailable, "this entry VM has no configuration yet", "ask another entry VM; check that this one reaches a peer or the platform"},
 	ReasonConfigBehind:  {http.StatusServiceUnavailable, "this entry VM waits for a newer configuration, and has no route for the request or has waited too long to go by the older one", "ask again, or ask another entry VM; see gateway_config_behind_ms if it lasts"},
-	ReasonLeaving:       {http.StatusServiceUnavailable, "this entry VM is leaving", "look up entry VMs again"},
+	ReasonShuttingDown:  {http.StatusServiceUnavailable, "this entry VM is leaving", "look up entry VMs again"},
 	ReasonStopped:       {http.StatusServiceUnavailable, "a planned stop covers every place that could serve the request", "come back after the stop, or delete the PlannedStop"},
 	ReasonQueueFull:     {http.StatusServiceUnavailable, "the queue for this service is full", "come back after the time given"},
 	ReasonNoSlot:        {http.StatusServiceUnavailable, "no target slot can come free before the deadline", "come back after the time given, or allow a longer deadline"},
--- a/steering/refusal.go
+++ b/steering/refusal.go
@@ -40,7 +40,7 @@
 	ReasonNoTarget      Reason = "no_target"
 	ReasonNotReady      Reason = "not_ready"
 	ReasonConfigBehind  Reason = "config_behind"
-	ReasonLeaving       Reason = "leaving"
+	ReasonShuttingDown  Reason = "leaving"
 	ReasonStopped       Reason = "stopped"
 	ReasonQueueFull     Reason = "queue_full"
 	ReasonNoSlot        Reason = "no_slot"
