--- a/steering/reasons.go
+++ b/steering/reasons.go
@@ -4,22 +4,22 @@
 
 // ReasonInfo documents a refusal reason for callers and operators.
 type ReasonInfo struct {
-	// Status is the HTTP status that the refusal travels under.
+	// Status is the HTTP status code of the refusal.
 	Status int
-	// Meaning says what happened.
+	// Meaning describes what happened.
 	Meaning string
-	// Remedy says what to do.
+	// Remedy describes what the caller or the operator can do.
 	Remedy string
 }
 
-// Reasons documents every refusal reason. `heatherlock why` prints it and the
-// metrics page is generated from it.
+// Reasons documents every refusal reason. `heatherlock why` prints these entries, and the
+// metrics page is generated from them.
 var Reasons = map[Reason]ReasonInfo{
 	ReasonNoService:     {http.StatusNotFound, "no Service object matches the request's host or Heatherlock-Service header", "name a declared service, or apply a Service object"},
 	ReasonNoTarget:      {http.StatusServiceUnavailable, "no reachable place has a target for the service", "apply a Place with targets for the service, or end the planned stops that hold them"},
 	ReasonNotReady:      {http.StatusServiceUnavailable, "this entry VM has no configuration yet", "ask another entry VM; check that this one reaches a peer or the platform"},
 	ReasonConfigBehind:  {http.StatusServiceUnavailable, "this entry VM waits for a newer configuration, and has no route for the request or has waited too long to go by the older one", "ask again, or ask another entry VM; see gateway_config_behind_ms if it lasts"},
-	ReasonLeaving:       {http.StatusServiceUnavailable, "this entry VM is leaving", "look up entry VMs again"},
+	ReasonShuttingDown:  {http.StatusServiceUnavailable, "this entry VM is leaving", "look up entry VMs again"},
 	ReasonStopped:       {http.StatusServiceUnavailable, "a planned stop covers every place that could serve the request", "come back after the stop, or delete the PlannedStop"},
 	ReasonQueueFull:     {http.StatusServiceUnavailable, "the queue for this service is full", "come back after the time given"},
 	ReasonNoSlot:        {http.StatusServiceUnavailable, "no target slot can come free before the deadline", "come back after the time given, or allow a longer deadline"},
