--- a/node/gateway/catchup/call.go
+++ b/node/gateway/catchup/call.go
@@ -15,53 +15,54 @@
 	"heatherlock/steering/spread"
 )
 
-// mostAnswer bounds an answer: what may be asked for, a bucket more, and services.
-const mostAnswer = 8 << 20
+// maxResponseBytes bounds a response. It leaves room for the largest piece that may be requested,
+// which may exceed its limit by one bucket, and for the services.
+const maxResponseBytes = 8 << 20
 
-// errNoRoom is the answer of a peer whose link is full.
-var errNoRoom = errors.New("catchup: the peer has no room now")
+// errPeerBusy is returned when a peer asks to be called again later because its link is full.
+var errPeerBusy = errors.New("catchup: peer has no link capacity left, retry later")
 
-// answer is what came of a call.
-type answer struct {
+// callResult is the outcome of a call.
+type callResult struct {
 	piece spread.Piece
 	bytes int64
-	// wait is set by a peer without room: when to come back.
-	wait time.Duration
+	// retryAfter is set when the peer has no link capacity left: the time after which to retry.
+	retryAfter time.Duration
 }
 
-// call asks the peer at an address.
-func (t *transfer) call(ctx context.Context, address string, need spread.Need) (got answer, err error) {
-	question, err := cbor.Marshal(need)
+// call requests a piece from the peer at an address.
+func (t *transfer) call(ctx context.Context, address string, need spread.Need) (result callResult, err error) {
+	body, err := cbor.Marshal(need)
 	if err != nil {
-		return got, errors.Wrap(err, "catchup: encode a question")
+		return result, errors.Wrap(err, "catchup: encode request")
 	}
-	ctx, stall := platform.WithStallTimeout(ctx, askTimeout)
+	ctx, stall := platform.WithStallTimeout(ctx, fetchTimeout)
 	defer stall.Release()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+Path, bytes.NewReader(question))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+Path, bytes.NewReader(body))
 	if err != nil {
-		return got, errors.Wrap(err, "catchup: ask a peer")
+		return result, errors.Wrap(err, "catchup: create request")
 	}
 	response, err := t.cfg.HTTP.Do(request)
 	if err != nil {
-		return got, errors.Wrap(stall.Cause(err), "catchup: ask a peer")
+		return result, errors.Wrap(stall.Cause(err), "catchup: send request to peer")
 	}
 	defer response.Body.Close()
-	raw, err := io.ReadAll(stall.Reader(io.LimitReader(response.Body, mostAnswer)))
-	got.bytes = int64(len(raw))
+	raw, err := io.ReadAll(stall.Reader(io.LimitReader(response.Body, maxResponseBytes)))
+	result.bytes = int64(len(raw))
 	if err != nil {
-		return got, errors.Wrap(stall.Cause(err), "catchup: read a peer's answer")
+		return result, errors.Wrap(stall.Cause(err), "catchup: read response from peer")
 	}
-	if wait := response.Header.Get(headerWait); wait != "" {
-		ms, err := strconv.Atoi(wait)
+	if retryAfter := response.Header.Get(headerRetryAfter); retryAfter != "" {
+		ms, err := strconv.Atoi(retryAfter)
 		if err != nil || ms <= 0 {
-			return got, errors.Errorf("catchup: peer said to wait %q ms", wait)
+			return result, errors.Errorf("catchup: peer sent an invalid retry delay: %q ms", retryAfter)
 		}
-		got.wait = time.Duration(ms) * time.Millisecond
-		return got, errNoRoom
+		result.retryAfter = time.Duration(ms) * time.Millisecond
+		return result, errPeerBusy
 	}
 	if response.StatusCode != http.StatusOK {
-		return got, errors.Errorf("catchup: peer answered %d", response.StatusCode)
+		return result, errors.Errorf("catchup: peer returned status %d", response.StatusCode)
 	}
-	got.piece, err = decode(raw)
-	return got, err
+	result.piece, err = decode(raw)
+	return result, err
 }
--- a/node/gateway/catchup/catchup_test.go
+++ b/node/gateway/catchup/catchup_test.go
@@ -31,7 +31,7 @@
 	return spread.NewIndex(routes.NewTable(version, all, []*routes.Service{{Name: "svc"}}, routes.Limits{HeaderBytes: 8192}))
 }
 
-// reader is what a VM knows: the newest version, and what is in force.
+// reader is a catchup.Reader whose newest version and active configuration a test sets.
 type reader struct {
 	mu      sync.Mutex
 	newest  uint64
@@ -64,7 +64,7 @@
 	defer r.mu.Unlock()
 	r.reads++
 	if r.inStore == nil {
-		return errors.New("the store is away")
+		return errors.New("store is unavailable")
 	}
 	r.inForce = r.inStore
 	return nil
@@ -72,18 +72,18 @@
 
 func (r *reader) Rank() int { return 0 }
 
-// peer tells a configuration, through a handler that may misbehave.
+// peer serves a configuration and counts requests. A test may intercept its responses.
 type peer struct {
 	*httptest.Server
-	asked atomic.Int64
+	requests atomic.Int64
 }
 
-func newPeer(t *testing.T, x *spread.Index, misbehave func(n int64, w http.ResponseWriter) bool) *peer {
+func newPeer(t *testing.T, x *spread.Index, intercept func(n int64, w http.ResponseWriter) bool) *peer {
 	t.Helper()
 	p := &peer{}
 	handler := &catchup.Handler{Index: func() *spread.Index { return x }, Room: spread.NewRoom(1000), Scope: tally.NoopScope, Log: log.NewNopLogger()}
 	p.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if n := p.asked.Add(1); misbehave != nil && misbehave(n, w) {
+		if n := p.requests.Add(1); intercept != nil && intercept(n, w) {
 			return
 		}
 		handler.ServeHTTP(w, r)
@@ -92,8 +92,9 @@
 	return p
 }
 
-// follow runs a fetcher until the newest version is in force.
-func follow(t *testing.T, r *reader, peers func() []*peer, scope tally.Scope) time.Duration {
+// runUntilCurrent runs a Fetcher until the newest version is active, and returns how long that
+// took.
+func runUntilCurrent(t *testing.T, r *reader, peers func() []*peer, scope tally.Scope) time.Duration {
 	t.Helper()
 	f := catchup.NewFetcher(catchup.Config{Reader: r, HTTP: &http.Client{}, Self: "self", PieceBytes: 32 << 10, Scope: scope, Log: log.NewNopLogger(),
 		Asker: func() spread.Asker { return spread.Asker{} },
@@ -114,34 +115,34 @@
 		if _, _, behind := r.Behind(); !behind {
 			return time.Since(began)
 		}
-		assert.Assert(t, time.Since(began) < 8*time.Second, "not in force after 8 s")
+		assert.Assert(t, time.Since(began) < 8*time.Second, "newest version is not active after 8 s")
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// Symptom: a VM gets a configuration from its first byte again and again. Sequence: the
-// peer that tells it is killed or falls silent half way; another one has it. Cause: what
-// came was thrown away.
-func TestWhatCameFromAPeerThatEndsCounts(t *testing.T) {
+// Guards against a VM that fetches a configuration from the first byte again and again, because
+// it drops the received pieces when the peer that sends them crashes or stops responding halfway
+// and another peer has to take over.
+func TestReceivedPiecesSurviveAPeerFailure(t *testing.T) {
 	x := index(9, 4200)
-	const pieces = 3 // the outline and two parts
-	silent := newPeer(t, x, func(n int64, w http.ResponseWriter) bool {
+	const pieces = 3 // the outline and two more
+	stalled := newPeer(t, x, func(n int64, w http.ResponseWriter) bool {
 		if n <= pieces {
 			return false
 		}
 		w.WriteHeader(http.StatusOK)
 		w.(http.Flusher).Flush()
-		time.Sleep(3 * time.Second) // longer than is waited for
+		time.Sleep(3 * time.Second) // longer than the fetch timeout
 		return true
 	})
 	other := newPeer(t, x, nil)
 	r := &reader{newest: 9}
 	scope := tally.NewTestScope("", nil)
-	took := follow(t, r, func() []*peer {
-		if silent.asked.Load() <= pieces {
-			return []*peer{silent}
+	took := runUntilCurrent(t, r, func() []*peer {
+		if stalled.requests.Load() <= pieces {
+			return []*peer{stalled}
 		}
-		return []*peer{silent, other}
+		return []*peer{stalled, other}
 	}, scope)
 	assert.Equal(t, r.Index().Outline().Version, uint64(9))
 	assert.Equal(t, len(r.Index().Table().Routes), 4200)
@@ -154,19 +155,19 @@
 	}
 	whole := newPeer(t, x, nil)
 	scope = tally.NewTestScope("", nil)
-	follow(t, &reader{newest: 9}, func() []*peer { return []*peer{whole} }, scope)
-	var once int64
+	runUntilCurrent(t, &reader{newest: 9}, func() []*peer { return []*peer{whole} }, scope)
+	var oneCopy int64
 	for _, c := range scope.Snapshot().Counters() {
 		if c.Name() == "gateway_config_part_bytes" {
-			once += c.Value()
+			oneCopy += c.Value()
 		}
 	}
-	assert.Assert(t, bytes <= once+(1<<10), "%d bytes came, the configuration has %d", bytes, once)
+	assert.Assert(t, bytes <= oneCopy+(1<<10), "%d bytes received, one copy of the configuration has %d", bytes, oneCopy)
 }
 
-// Symptom: all VMs are behind while the only one that has the configuration is busy telling
-// it. One without room says so at once, and is asked again when it has.
-func TestPeerWithoutRoomIsAskedAgainLater(t *testing.T) {
+// Guards against VMs that stay behind while the only peer that has the configuration is busy
+// sending it to others. A busy peer refuses at once, and is retried after the delay that it gave.
+func TestBusyPeerIsRetriedLater(t *testing.T) {
 	x := index(9, 200)
 	busy := newPeer(t, x, func(n int64, w http.ResponseWriter) bool {
 		if n > 3 {
@@ -177,36 +178,37 @@
 		return true
 	})
 	r := &reader{newest: 9}
-	took := follow(t, r, func() []*peer { return []*peer{busy} }, tally.NoopScope)
+	took := runUntilCurrent(t, r, func() []*peer { return []*peer{busy} }, tally.NoopScope)
 	assert.Assert(t, took >= 120*time.Millisecond && took < time.Second, "%v", took)
 	assert.Equal(t, r.reads, 0)
 }
 
-// Symptom: a configuration that was acknowledged is in force nowhere. Sequence: the VM that
-// read it told that it exists, and lost power. Cause: asking peers alone.
+// Guards against an acknowledged configuration that no VM activates: the VM that read it announced
+// that it exists and lost power before any peer fetched it, and the others ask only peers.
 func TestStoreIsReadWhenNoPeerHasIt(t *testing.T) {
 	r := &reader{newest: 9, inForce: index(6, 10), inStore: index(9, 20)}
-	took := follow(t, r, func() []*peer { return nil }, tally.NoopScope)
+	took := runUntilCurrent(t, r, func() []*peer { return nil }, tally.NoopScope)
 	assert.Assert(t, took >= time.Second && took < 2*time.Second, "%v", took)
 	assert.Equal(t, r.reads, 1)
 }
 
-// Symptom: a VM takes parts that are no answer for a configuration. What cannot be decoded
-// or does not fit is refused, and another peer is asked.
-func TestSpoiledAnswersAreNotTaken(t *testing.T) {
+// Guards against a VM that accepts a response which is no part of a configuration. A response that
+// cannot be decoded or does not fit is rejected, and another peer is asked.
+func TestInvalidResponsesAreRejected(t *testing.T) {
 	x := index(9, 300)
-	spoiled := newPeer(t, x, func(n int64, w http.ResponseWriter) bool {
+	invalid := newPeer(t, x, func(n int64, w http.ResponseWriter) bool {
 		_, _ = w.Write([]byte("not cbor"))
 		return true
 	})
 	good := newPeer(t, x, nil)
 	r := &reader{newest: 9}
-	follow(t, r, func() []*peer { return []*peer{spoiled, good} }, tally.NoopScope)
+	runUntilCurrent(t, r, func() []*peer { return []*peer{invalid, good} }, tally.NoopScope)
 	assert.Equal(t, len(r.Index().Table().Routes), 300)
 }
 
-// Bad questions get an error that says what is wrong.
-func TestBadQuestionsAreRefused(t *testing.T) {
+// Guards against invalid requests that get no error status: 400 if the body cannot be decoded, 404
+// from a VM that has no configuration yet.
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	p := newPeer(t, index(9, 3), nil)
 	response, err := http.Post(p.URL+catchup.Path, "application/cbor", strings.NewReader("nonsense"))
 	assert.NilError(t, err)
@@ -219,47 +221,45 @@
 	assert.Equal(t, response.StatusCode, http.StatusNotFound)
 }
 
-// Symptom: configurations are in force everywhere later than the links allow: the first VM
-// has one after 0.8 s, half of 16 VMs after 1.3 s, though its link passes it in 0.05 s.
-//
-// Sequence: a large configuration grows. All VMs ask the one that has it for parts, each
-// with the hashes of the routes that it has, 25 kB. Two are served, the others are told to
-// come back. Cause: their questions fill the link on which those that are served ask.
-//
-// Evidence: the first part was under way for 0.12 s, refusals for up to 0.2 s, and each
-// further one took 8 ms longer, which is what a question takes on the link.
-func TestQuestionsInVainAreShort(t *testing.T) {
+// Guards against configurations that become active later than the links allow: on the first VM
+// after 0.8 s and on half of 16 VMs after 1.3 s, over a link that passes one in 0.05 s. When a
+// large configuration grows, all VMs request pieces from the one that has it, each with 25 kB of
+// hashes of the routes it has. Two are served and the others told to retry, but the refused
+// requests fill the link on which those that are served send theirs: the first piece took 0.12 s,
+// refusals up to 0.2 s, each 8 ms longer than the one before, which is what a request takes on
+// the link.
+func TestRefusedRequestsAreSmall(t *testing.T) {
 	x := index(9, 4200)
 	room := spread.NewRoom(10)
 	for _, other := range []string{"first", "second"} {
 		_, ok := room.Turn(time.Now(), spread.Ask{From: other, Piece: 60_000})
 		assert.Assert(t, ok)
 	}
-	var vain, refused atomic.Int64
+	var refusedBytes, refused atomic.Int64
 	handler := &catchup.Handler{Index: func() *spread.Index { return x }, Room: room, Scope: tally.NoopScope, Log: log.NewNopLogger()}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		answer := httptest.NewRecorder()
-		handler.ServeHTTP(answer, r)
-		if answer.Code == http.StatusServiceUnavailable {
+		recorder := httptest.NewRecorder()
+		handler.ServeHTTP(recorder, r)
+		if recorder.Code == http.StatusServiceUnavailable {
 			refused.Add(1)
-			vain.Add(r.ContentLength)
+			refusedBytes.Add(r.ContentLength)
 		}
-		w.Header().Set("Heatherlock-Wait-Ms", answer.Header().Get("Heatherlock-Wait-Ms"))
-		w.WriteHeader(answer.Code)
-		_, _ = w.Write(answer.Body.Bytes()) // an asker that is gone needs none
+		w.Header().Set("Heatherlock-Wait-Ms", recorder.Header().Get("Heatherlock-Wait-Ms"))
+		w.WriteHeader(recorder.Code)
+		_, _ = w.Write(recorder.Body.Bytes()) // a client that is gone needs no response
 	}))
 	t.Cleanup(server.CloseClientConnections)
 	r := &reader{newest: 9, inForce: index(6, 2800)}
-	follow(t, r, func() []*peer { return []*peer{{Server: server}} }, tally.NoopScope)
+	runUntilCurrent(t, r, func() []*peer { return []*peer{{Server: server}} }, tally.NoopScope)
 	assert.Equal(t, len(r.Index().Table().Routes), 4200)
-	assert.Assert(t, refused.Load() > 0, "no question was in vain")
-	assert.Assert(t, vain.Load() < 200*refused.Load(), "%d questions in vain took %d bytes", refused.Load(), vain.Load())
+	assert.Assert(t, refused.Load() > 0, "no request was refused")
+	assert.Assert(t, refusedBytes.Load() < 200*refused.Load(), "%d refused requests had %d bytes", refused.Load(), refusedBytes.Load())
 }
 
-// Symptom: a VM on a narrow link has no newer configuration in force while versions come one
-// after the other. Sequence: the peer has a newer one in force each time that it is asked for
-// the next part. Cause: telling nothing but the newest.
-func TestWhatAVMHasBegunToAskForIsToldAfterItWasReplaced(t *testing.T) {
+// Guards against a VM on a narrow link that activates no newer configuration while versions follow
+// each other quickly: each time it requests the next piece, its peer has already activated a newer
+// version and serves only that one.
+func TestReplacedConfigurationIsServedToVMsThatFetchIt(t *testing.T) {
 	var version atomic.Uint64
 	version.Store(9)
 	r := &reader{newest: 9, inForce: index(6, 10)}
@@ -268,7 +268,7 @@
 		handler.ServeHTTP(w, req)
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.newest = version.Add(3) // a newer one with each answer
+		r.newest = version.Add(3) // each response makes a newer version active
 	}))
 	t.Cleanup(server.CloseClientConnections)
 	f := catchup.NewFetcher(catchup.Config{Reader: r, HTTP: &http.Client{}, Self: "self", PieceBytes: 32 << 10, Scope: tally.NoopScope, Log: log.NewNopLogger(),
@@ -281,6 +281,6 @@
 	go f.Run(ctx)
 	f.Wake()
 	for began := time.Now(); r.Index().Outline().Version == 6; time.Sleep(5 * time.Millisecond) {
-		assert.Assert(t, time.Since(began) < 3*time.Second, "no newer one in force after 3 s, version %d is in force at the peer", version.Load())
+		assert.Assert(t, time.Since(began) < 3*time.Second, "no newer version is active after 3 s, the peer has version %d", version.Load())
 	}
 }
--- a/node/gateway/catchup/fetcher.go
+++ b/node/gateway/catchup/fetcher.go
@@ -15,74 +15,76 @@
 )
 
 const (
-	// askTimeout is how long a peer's answer may take to begin, and to go on: a few ways
-	// over the longest link, and what its link was promised to send before.
-	askTimeout = 1200 * time.Millisecond
-	// idle is the pause while no peer is to be asked: about a way over the longest link.
-	idle = 30 * time.Millisecond
-	// avoidFailed is how long a peer that did not answer is passed over.
-	avoidFailed = time.Second
-	// longestWait bounds how long a peer without room is passed over.
-	longestWait = time.Second
-	// storePatience is how long nothing may come from peers until this VM reads the
-	// store itself, and storeStep how much longer for each VM that reads before it, up to
-	// storeRanks: more reads at once would share the store's links.
-	storePatience = time.Second
-	storeStep     = 50 * time.Millisecond
-	storeRanks    = 20
+	// fetchTimeout is how long a peer's response may take to start, and how long it may stall
+	// afterwards. It covers several one-way trips over the longest link, and the data that the
+	// peer has already committed its link to.
+	fetchTimeout = 1200 * time.Millisecond
+	// pollInterval is the pause while no peer is eligible: about a one-way trip over the longest
+	// link.
+	pollInterval = 30 * time.Millisecond
+	// failureBackoff is how long a peer that failed to respond is skipped.
+	failureBackoff = time.Second
+	// maxRetryAfter bounds how long a busy peer is skipped, whatever delay it asked for.
+	maxRetryAfter = time.Second
+	// storeFallbackDelay is how long peers may deliver nothing before this VM reads the store
+	// itself. Each VM ahead of this one in the read order adds storeFallbackStep, up to
+	// maxStoreFallbackRank VMs, because simultaneous reads would share the store's links.
+	storeFallbackDelay   = time.Second
+	storeFallbackStep    = 50 * time.Millisecond
+	maxStoreFallbackRank = 20
 )
 
-// Reader is what this VM knows of the store.
+// Reader gives access to this VM's copy of the stored state.
 type Reader interface {
-	// Behind returns the newest version known to exist, and for how long one newer than
-	// that in force has been known; behind is false if none is.
-	Behind() (newest uint64, late time.Duration, behind bool)
-	// Index returns the configuration in force, or nil.
+	// Behind returns the newest version known to exist, and for how long this VM has known of a
+	// version newer than the active one; behind is false if there is none.
+	Behind() (newest uint64, behindFor time.Duration, behind bool)
+	// Index returns the active configuration, or nil.
 	Index() *spread.Index
-	// Take puts a configuration in force.
+	// Take activates a configuration.
 	Take(*spread.Index)
 	// ReadConfig reads the configuration from the store.
 	ReadConfig(ctx context.Context) error
-	// Rank says how many VMs are to read before this one.
+	// Rank returns how many VMs come before this one in the order in which VMs read the store.
 	Rank() int
 }
 
 // Peer is an entry VM that has a newer configuration.
 type Peer struct {
 	spread.Source
-	// Address is host:port of its control listener.
+	// Address is the host:port of its control listener.
 	Address string
 }
 
-// Config holds what a Fetcher needs.
+// Config is the configuration of a Fetcher.
 type Config struct {
 	Reader Reader
-	// Peers returns the VMs that have a newer configuration than a version.
+	// Peers returns the VMs whose configuration is newer than the version above.
 	Peers func(above uint64) []Peer
-	// Asker returns this VM's place among those that ask.
+	// Asker returns this VM's zone and region, and its rank among the VMs that fetch from peers.
 	Asker func() spread.Asker
 	HTTP  *http.Client
-	// Self names this VM.
+	// Self is the name of this VM.
 	Self steering.VM
-	// PieceBytes is how much is asked for at once.
+	// PieceBytes is the size of the piece to request at once, before compression.
 	PieceBytes int
 	Scope      tally.Scope
 	Log        log.Logger
-	// Got, when set, is told how many bytes a peer's answer had.
-	Got func(from Peer, bytes int64)
+	// OnResponse, if set, is called with the size of each response from a peer.
+	OnResponse func(from Peer, bytes int64)
 }
 
-// Fetcher brings newer configurations from peers.
+// Fetcher fetches newer configurations from peers.
 type Fetcher struct {
 	cfg      Config
 	wake     chan struct{}
 	progress atomic.Pointer[Progress]
 }
 
-// NewFetcher returns a fetcher.
+// NewFetcher returns a Fetcher that does nothing until Run is called.
 func NewFetcher(cfg Config) *Fetcher { return &Fetcher{cfg: cfg, wake: make(chan struct{}, 1)} }
 
-// Wake tells that a newer version, or a peer that has one, may be known.
+// Wake makes the Fetcher check for a newer version and for peers that have it. It does not block.
 func (f *Fetcher) Wake() {
 	select {
 	case f.wake <- struct{}{}:
@@ -90,7 +92,7 @@
 	}
 }
 
-// Run works until ctx ends.
+// Run fetches newer configurations after each Wake, until ctx ends.
 func (f *Fetcher) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
@@ -101,153 +103,155 @@
 	}
 }
 
-// transfer is the work until the newest configuration is in force.
+// transfer is the state of one catch-up, which ends when the newest configuration is active.
 type transfer struct {
 	*Fetcher
-	draft *spread.Draft
-	// avoid holds until when peers are passed over, and busy those of them that had no
-	// room.
-	avoid map[steering.VM]time.Time
-	busy  map[steering.VM]bool
-	// place is the peer that keeps a place for this VM, if any does.
-	place steering.VM
-	// progress is when something last came.
+	assembler *spread.Draft
+	// avoidUntil holds the time until which a peer is skipped, by peer; busy marks the peers
+	// that are skipped because they had no link capacity left.
+	avoidUntil map[steering.VM]time.Time
+	busy       map[steering.VM]bool
+	// slotHolder is the peer that reserves a transfer slot for this VM, or empty.
+	slotHolder steering.VM
+	// progress is when the last response was accepted, or when the store was last read.
 	progress time.Time
 }
 
 func (f *Fetcher) catchUp(ctx context.Context) {
-	t := &transfer{Fetcher: f, draft: spread.NewDraft(), avoid: make(map[steering.VM]time.Time),
+	t := &transfer{Fetcher: f, assembler: spread.NewDraft(), avoidUntil: make(map[steering.VM]time.Time),
 		busy: make(map[steering.VM]bool), progress: time.Now()}
 	defer f.progress.Store(nil)
 	for ctx.Err() == nil {
-		_, late, behind := f.cfg.Reader.Behind()
+		_, behindFor, behind := f.cfg.Reader.Behind()
 		if !behind {
 			return
 		}
-		t.draft.Base(f.cfg.Reader.Index())
-		peer, found := t.choose(late)
+		t.assembler.Base(f.cfg.Reader.Index())
+		peer, found := t.choosePeer(behindFor)
 		if !found {
-			t.show(t.idleWait(time.Now()))
-			t.readStore(ctx)
-			f.sleep(ctx, idle)
+			t.publishProgress(t.waitReason(time.Now()))
+			t.readStoreIfStalled(ctx)
+			f.sleep(ctx, pollInterval)
 			continue
 		}
-		t.ask(ctx, peer)
-		if t.draft.Done() {
-			f.cfg.Reader.Take(t.draft.Index())
-			t.place = ""
+		t.fetchFrom(ctx, peer)
+		if t.assembler.Done() {
+			f.cfg.Reader.Take(t.assembler.Index())
+			t.slotHolder = ""
 		}
 	}
 }
 
-// choose returns the peer to ask, or false if none is to be asked now.
-func (t *transfer) choose(late time.Duration) (Peer, bool) {
+// choosePeer returns the peer to fetch from, or false if no peer is eligible now.
+func (t *transfer) choosePeer(behindFor time.Duration) (Peer, bool) {
 	now := time.Now()
 	byVM := make(map[steering.VM]Peer)
 	var sources []spread.Source
-	for _, p := range t.cfg.Peers(t.outgrown()) {
-		if now.Before(t.avoid[p.VM]) {
+	for _, p := range t.cfg.Peers(t.obsoleteVersion()) {
+		if now.Before(t.avoidUntil[p.VM]) {
 			continue
 		}
 		byVM[p.VM] = p
 		sources = append(sources, p.Source)
 	}
-	asker := t.cfg.Asker()
-	asker.Waited, asker.Place = late, t.place
-	source, found := spread.Choose(asker, sources, rand.IntN)
+	requester := t.cfg.Asker()
+	requester.Waited, requester.Place = behindFor, t.slotHolder
+	source, found := spread.Choose(requester, sources, rand.IntN)
 	return byVM[source.VM], found
 }
 
-// outgrown returns the newest version that is of no use: that in force, or one before the
-// draft's.
-func (t *transfer) outgrown() uint64 {
+// obsoleteVersion returns the highest version that is not worth fetching: the active one, or the
+// one before the version that is being assembled, whichever is higher.
+func (t *transfer) obsoleteVersion() uint64 {
 	var version uint64
 	if index := t.cfg.Reader.Index(); index != nil {
 		version = index.Outline().Version
 	}
-	if drafted := t.draft.Version(); drafted > 0 {
-		version = max(version, drafted-1)
+	if assembling := t.assembler.Version(); assembling > 0 {
+		version = max(version, assembling-1)
 	}
 	return version
 }
 
-// ask asks a peer for the next piece, or for a place to ask for it.
-func (t *transfer) ask(ctx context.Context, peer Peer) {
-	need := t.draft.Need(t.cfg.PieceBytes)
+// fetchFrom requests the next piece from a peer. A request that is long because of its hashes is
+// sent only to a peer that reserves a slot for this VM; other peers are asked for a slot first.
+func (t *transfer) fetchFrom(ctx context.Context, peer Peer) {
+	need := t.assembler.Need(t.cfg.PieceBytes)
 	need.From = t.cfg.Self
-	if peer.VM != t.place && !need.Short() {
+	if peer.VM != t.slotHolder && !need.Short() {
 		need = need.Place()
 	}
 	began := time.Now()
 	delete(t.busy, peer.VM)
-	got, err := t.call(ctx, peer.Address, need)
-	t.count(got, err)
-	if t.cfg.Got != nil {
-		t.cfg.Got(peer, got.bytes)
+	result, err := t.call(ctx, peer.Address, need)
+	t.countResponse(result, err)
+	if t.cfg.OnResponse != nil {
+		t.cfg.OnResponse(peer, result.bytes)
 	}
 	if err == nil {
-		err = t.draft.Take(got.piece)
+		err = t.assembler.Take(result.piece)
 	}
 	switch {
 	case err == nil:
 		t.progress = time.Now()
-		t.keepPlace(peer, got.piece)
-		t.show(Parts)
+		t.recordSlot(peer, result.piece)
+		t.publishProgress(Parts)
 		return
-	case got.wait > 0:
-		t.avoid[peer.VM] = time.Now().Add(min(got.wait, longestWait))
+	case result.retryAfter > 0:
+		t.avoidUntil[peer.VM] = time.Now().Add(min(result.retryAfter, maxRetryAfter))
 		t.busy[peer.VM] = true
-		t.losePlace(peer)
+		t.clearSlot(peer)
 		return
 	}
-	t.avoid[peer.VM] = time.Now().Add(avoidFailed)
-	t.losePlace(peer)
+	t.avoidUntil[peer.VM] = time.Now().Add(failureBackoff)
+	t.clearSlot(peer)
 	if ctx.Err() != nil {
 		return
 	}
-	missing, of := t.draft.Left()
-	_ = t.cfg.Log.Log("msg", "peer did not tell the configuration", "peer", peer.VM, "config", need.Version, "got_bytes", got.bytes,
-		"took_ms", time.Since(began).Milliseconds(), "parts_missing", missing, "parts", of, "err", err) // the writer counts what it drops
+	missing, total := t.assembler.Left()
+	_ = t.cfg.Log.Log("msg", "peer did not tell the configuration", "peer", peer.VM, "config", need.Version, "got_bytes", result.bytes,
+		"took_ms", time.Since(began).Milliseconds(), "parts_missing", missing, "parts", total, "err", err) // the log writer counts dropped lines
 }
 
-// keepPlace notes that a peer answered with more than an outline: it keeps a place.
-func (t *transfer) keepPlace(peer Peer, p spread.Piece) {
+// recordSlot records the peer as slot holder if it sent anything but an outline: a peer reserves
+// a slot before it sends any other piece.
+func (t *transfer) recordSlot(peer Peer, p spread.Piece) {
 	if p.Outline == nil {
-		t.place = peer.VM
+		t.slotHolder = peer.VM
 	}
 }
 
-// losePlace notes that a peer keeps no place.
-func (t *transfer) losePlace(peer Peer) {
-	if t.place == peer.VM {
-		t.place = ""
+// clearSlot records that the peer reserves no slot for this VM.
+func (t *transfer) clearSlot(peer Peer) {
+	if t.slotHolder == peer.VM {
+		t.slotHolder = ""
 	}
 }
 
-// count counts answers by how they ended.
-func (t *transfer) count(got answer, err error) {
-	end := "whole"
+// countResponse counts responses and their bytes by outcome.
+func (t *transfer) countResponse(result callResult, err error) {
+	outcome := "whole"
 	switch {
-	case got.wait > 0:
-		end = "no_room"
+	case result.retryAfter > 0:
+		outcome = "no_room"
 	case err != nil:
-		end = "broken_off"
+		outcome = "broken_off"
 	}
-	scope := t.cfg.Scope.Tagged(map[string]string{"end": end})
+	scope := t.cfg.Scope.Tagged(map[string]string{"end": outcome})
 	scope.Counter("gateway_config_parts").Inc(1)
-	scope.Counter("gateway_config_part_bytes").Inc(got.bytes)
+	scope.Counter("gateway_config_part_bytes").Inc(result.bytes)
 }
 
-// readStore reads the store when peers have brought nothing for too long.
-func (t *transfer) readStore(ctx context.Context) {
-	rank := min(t.cfg.Reader.Rank(), storeRanks)
-	if time.Since(t.progress) < storePatience+time.Duration(rank)*storeStep {
+// readStoreIfStalled starts a read of the store if peers have delivered nothing for too long.
+func (t *transfer) readStoreIfStalled(ctx context.Context) {
+	rank := min(t.cfg.Reader.Rank(), maxStoreFallbackRank)
+	if time.Since(t.progress) < storeFallbackDelay+time.Duration(rank)*storeFallbackStep {
 		return
 	}
 	t.progress = time.Now()
 	go func() {
 		if err := t.cfg.Reader.ReadConfig(ctx); err != nil && ctx.Err() == nil {
-			_ = t.cfg.Log.Log("msg", "configuration not read from the store", "err", err) // the writer counts what it drops
+			_ = t.cfg.Log.Log("msg", "configuration not read from the store", "err", err) // the log writer counts dropped lines
 		}
 	}()
 }
--- a/node/gateway/catchup/golden_internal_test.go
+++ b/node/gateway/catchup/golden_internal_test.go
@@ -24,7 +24,7 @@
 	"heatherlock/steering/spread"
 )
 
-// hexText is binary data as text that can be read in a diff.
+// hexText encodes binary data as lines of hexadecimal digits, so that diffs are readable.
 func hexText(raw []byte) string {
 	var text strings.Builder
 	for line := range slices.Chunk(raw, 50) {
@@ -41,12 +41,13 @@
 	return raw
 }
 
-// ask sends a question to a peer that answers as it is told, and returns what the peer got.
-func ask(t *testing.T, need spread.Need, reply func(http.ResponseWriter)) (question []byte, got answer, err error) {
+// ask sends a request to a test peer that responds with reply, and returns the request body and
+// the decoded response.
+func ask(t *testing.T, need spread.Need, reply func(http.ResponseWriter)) (question []byte, got callResult, err error) {
 	t.Helper()
 	peer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		assert.Check(t, r.Method == "POST" && r.RequestURI == "/v1/config", "%s %s", r.Method, r.RequestURI)
-		question, _ = io.ReadAll(r.Body) // what is missing of it is missing in the comparison
+		question, _ = io.ReadAll(r.Body) // a short read fails the comparison
 		reply(w)
 	}))
 	defer peer.Close()
@@ -55,8 +56,8 @@
 	return question, got, err
 }
 
-// Guards against questions that old and new entry VMs read differently: none would bring the
-// parts that are missing, and a VM would stay behind.
+// Guards against requests that old and new entry VMs decode differently: peers would not send the
+// missing pieces, and a VM would stay behind.
 func TestGoldenQuestions(t *testing.T) {
 	for name, need := range map[string]spread.Need{
 		"full": {Version: 1<<63 + 1, Rest: true, Buckets: []spread.BucketNeed{{Number: 2, Have: []uint64{1<<62 + 3, 4}}, {Number: 5}},
@@ -66,7 +67,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			file := "golden/need-" + name + ".hex"
-			question, _, _ := ask(t, need, func(w http.ResponseWriter) { w.WriteHeader(http.StatusNotFound) }) // the question alone matters here
+			question, _, _ := ask(t, need, func(w http.ResponseWriter) { w.WriteHeader(http.StatusNotFound) }) // only the request matters here
 			golden.Assert(t, hexText(question), file)
 			r := httptest.NewRequest(http.MethodPost, Path, bytes.NewReader(fromHex(t, file)))
 			got, err := readNeed(httptest.NewRecorder(), r)
@@ -94,9 +95,9 @@
 	}
 }
 
-// Guards against answers that old and new entry VMs read differently: routes and workspaces
-// would be lost, or a configuration never come whole. The packed bytes are read and not
-// compared: S2 in assembly and S2 in Go pack the same differently.
+// Guards against responses that old and new entry VMs decode differently: routes and workspaces
+// would be lost, or a configuration would never be complete. The compressed bytes are decoded but
+// not compared, because the assembly and the Go implementation of S2 compress differently.
 func TestGoldenAnswers(t *testing.T) {
 	for name, piece := range map[string]spread.Piece{"full": fullPiece(), "empty": {}} {
 		t.Run(name, func(t *testing.T) {
@@ -109,7 +110,7 @@
 				golden.Assert(t, hexText(packed), "golden/piece-"+name+"-packed.hex")
 			}
 			stored := fromHex(t, "golden/piece-"+name+"-packed.hex")
-			_, got, err := ask(t, spread.Need{}, func(w http.ResponseWriter) { _, _ = w.Write(stored) }) // the test sees what the client got
+			_, got, err := ask(t, spread.Need{}, func(w http.ResponseWriter) { _, _ = w.Write(stored) }) // a failed write shows in the decoded piece
 			assert.NilError(t, err)
 			assert.Assert(t, reflect.DeepEqual(got.piece, piece), "%+v", got.piece)
 		})
@@ -117,8 +118,7 @@
 	assert.Equal(t, contentType, "application/cbor+s2")
 }
 
-// Guards against VMs that do not understand when to come back: they would ask again at once,
-// or not at all.
+// Guards against VMs that cannot decode the retry delay: they would retry at once, or not at all.
 func TestGoldenRefusal(t *testing.T) {
 	w := httptest.NewRecorder()
 	(&Handler{Scope: tally.NoopScope}).refuse(w, 249*time.Millisecond)
@@ -127,12 +127,12 @@
 		w.Header().Set("Heatherlock-Wait-Ms", "250")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	assert.Equal(t, err, errNoRoom)
-	assert.Equal(t, got.wait, 250*time.Millisecond)
+	assert.Equal(t, err, errPeerBusy)
+	assert.Equal(t, got.retryAfter, 250*time.Millisecond)
 }
 
-// Guards against waits that another VM or an operator is told wrongly; heartbeats hold them as
-// numbers, and status answers in words.
+// Guards against wait reasons that other VMs or operators misread: heartbeats carry them as numbers,
+// status responses as text.
 func TestGoldenWaits(t *testing.T) {
 	text := ""
 	for n, w := range []Wait{Nothing, Parts, Room, Answers, Holder} {
--- a/node/gateway/catchup/handler.go
+++ b/node/gateway/catchup/handler.go
@@ -14,21 +14,22 @@
 )
 
 const (
-	// Path is where an entry VM tells its configuration.
+	// Path is the path at which an entry VM serves its configuration to peers.
 	Path = "/v1/config"
-	// headerWait tells one that finds no room when to come back, in ms.
-	headerWait = "Heatherlock-Wait-Ms"
-	// mostQuestion bounds a question: the hashes of a large configuration's routes.
-	mostQuestion = 4 << 20
-	// mostAsked bounds the answer that a peer may ask for, in bytes.
-	mostAsked = 1 << 20
+	// headerRetryAfter tells a peer that cannot be served now when to retry, in milliseconds.
+	headerRetryAfter = "Heatherlock-Wait-Ms"
+	// maxRequestBytes bounds a request, which holds the hashes of a large configuration's routes.
+	maxRequestBytes = 4 << 20
+	// maxPieceBytes bounds the size of the piece that a peer may request.
+	maxPieceBytes = 1 << 20
 )
 
-// Handler tells the configuration in force, and those before it to VMs that have begun to ask
-// for them. It is safe for concurrent use.
+// Handler serves the active configuration to peers, and recently replaced ones to peers that have
+// already begun to fetch them. It is safe for concurrent use.
 type Handler struct {
-	// Index returns the configuration in force, or nil.
+	// Index returns the active configuration, or nil.
 	Index func() *spread.Index
+	// Room limits what this VM sends to peers, and to how many of them at a time.
 	Room  *spread.Room
 	Scope tally.Scope
 	Log   log.Logger
@@ -38,8 +39,8 @@
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	inForce := h.Index()
-	if inForce == nil {
+	active := h.Index()
+	if active == nil {
 		http.Error(w, "no configuration yet; ask another entry VM", http.StatusNotFound)
 		return
 	}
@@ -48,43 +49,43 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	index := h.recent.Find(time.Now(), inForce, need.Version)
-	if wait, ok := h.Room.Turn(time.Now(), index.Turn(need)); !ok {
-		h.refuse(w, wait)
+	index := h.recent.Find(time.Now(), active, need.Version)
+	if retryAfter, ok := h.Room.Turn(time.Now(), index.Turn(need)); !ok {
+		h.refuse(w, retryAfter)
 		return
 	}
-	piece, ask := index.Answer(need)
+	piece, load := index.Answer(need)
 	raw, err := encode(piece)
 	if err != nil {
-		_ = h.Log.Log("msg", "part of the configuration not encoded", "err", err) // the writer counts what it drops
+		_ = h.Log.Log("msg", "cannot encode configuration piece", "err", err) // the log writer counts dropped lines
 		http.Error(w, "not encoded", http.StatusInternalServerError)
 		return
 	}
-	ask.Bytes = len(raw)
-	if wait, ok := h.Room.Promise(time.Now(), ask); !ok {
-		h.refuse(w, wait)
+	load.Bytes = len(raw)
+	if retryAfter, ok := h.Room.Promise(time.Now(), load); !ok {
+		h.refuse(w, retryAfter)
 		return
 	}
 	w.Header().Set("Content-Type", contentType)
 	n, err := w.Write(raw)
 	h.Scope.Counter("gateway_config_told_bytes").Inc(int64(n))
 	if err != nil {
-		_ = h.Log.Log("msg", "part of the configuration not told", "to", r.RemoteAddr, "bytes", len(raw), "err", err) // as above
+		_ = h.Log.Log("msg", "cannot send configuration piece", "to", r.RemoteAddr, "bytes", len(raw), "err", err) // the log writer counts dropped lines
 	}
 }
 
-// refuse tells one that finds no room when to come back.
-func (h *Handler) refuse(w http.ResponseWriter, wait time.Duration) {
+// refuse tells a peer that cannot be served now when to retry.
+func (h *Handler) refuse(w http.ResponseWriter, retryAfter time.Duration) {
 	h.Scope.Counter("gateway_config_asked_in_vain").Inc(1)
-	w.Header().Set(headerWait, strconv.FormatInt(wait.Milliseconds()+1, 10))
+	w.Header().Set(headerRetryAfter, strconv.FormatInt(retryAfter.Milliseconds()+1, 10))
 	http.Error(w, "the link is full; come back, or ask another entry VM", http.StatusServiceUnavailable)
 }
 
 func readNeed(w http.ResponseWriter, r *http.Request) (spread.Need, error) {
 	var need spread.Need
-	if err := cbor.NewDecoder(http.MaxBytesReader(w, r.Body, mostQuestion)).Decode(&need); err != nil {
+	if err := cbor.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(&need); err != nil {
 		return need, errors.Wrap(err, "send what is needed as CBOR")
 	}
-	need.Bytes = min(need.Bytes, mostAsked)
+	need.Bytes = min(need.Bytes, maxPieceBytes)
 	return need, nil
 }
--- a/node/gateway/catchup/progress.go
+++ b/node/gateway/catchup/progress.go
@@ -5,23 +5,26 @@
 // Wait is what a VM that is behind waits for.
 type Wait uint8
 
-// Waits.
 const (
-	// Nothing: it is not behind, or has not begun.
+	// Nothing means that the VM is not behind, or has not begun to fetch.
 	Nothing Wait = iota
-	// Parts: parts of the configuration are coming in.
+	// Parts means that pieces of the configuration are arriving.
 	Parts
-	// Room: all VMs that have it are busy telling others.
+	// Room means that no VM that has the configuration can be asked now, and that at least one
+	// of them is busy sending it to others.
 	Room
-	// Answers: those that have it do not answer, or their answers break off: the link.
+	// Answers means that the VMs that have the configuration do not respond, or that their
+	// responses break off, which points to the link. It also covers a VM that has to let
+	// others of its zone or region fetch first.
 	Answers
-	// Holder: it hears no VM that has it, and reads the store.
+	// Holder means that the VM receives heartbeats from no VM that has the configuration, and
+	// reads the store instead.
 	Holder
 )
 
 var waitNames = [...]string{"", "parts under way", "no VM that has it has room", "VMs that have it do not answer", "hears no VM that has it, reads the store"}
 
-// String says in words what it waits for.
+// String returns the description that status output shows, or "unknown" for an invalid value.
 func (w Wait) String() string {
 	if int(w) >= len(waitNames) {
 		return "unknown"
@@ -29,16 +32,17 @@
 	return waitNames[w]
 }
 
-// Progress is how far a VM is with a newer configuration.
+// Progress is how much of a newer configuration a VM has fetched.
 type Progress struct {
-	// Version is that of the parts below; 0 before the first answer.
+	// Version is the version being fetched, or 0 before the first response.
 	Version uint64
+	// Missing is the number of buckets still to fetch, out of Total.
 	Missing int
-	Of      int
+	Total   int
 	Wait    Wait
 }
 
-// Progress returns how far this VM is; the zero value if it is not behind.
+// Progress returns the progress of this VM, or the zero value if it is not behind.
 func (f *Fetcher) Progress() Progress {
 	if p := f.progress.Load(); p != nil {
 		return *p
@@ -46,18 +50,18 @@
 	return Progress{}
 }
 
-// show makes known what the transfer waits for.
-func (t *transfer) show(w Wait) {
-	missing, of := t.draft.Left()
-	t.Fetcher.progress.Store(&Progress{Version: t.draft.Version(), Missing: missing, Of: of, Wait: w})
+// publishProgress makes the transfer's state available to Fetcher.Progress.
+func (t *transfer) publishProgress(w Wait) {
+	missing, total := t.assembler.Left()
+	t.Fetcher.progress.Store(&Progress{Version: t.assembler.Version(), Missing: missing, Total: total, Wait: w})
 }
 
-// idleWait says why no peer is to be asked now.
-func (t *transfer) idleWait(now time.Time) Wait {
+// waitReason returns why no peer is eligible now.
+func (t *transfer) waitReason(now time.Time) Wait {
 	holders, busy := 0, 0
-	for _, p := range t.cfg.Peers(t.outgrown()) {
+	for _, p := range t.cfg.Peers(t.obsoleteVersion()) {
 		holders++
-		if now.Before(t.avoid[p.VM]) && t.busy[p.VM] {
+		if now.Before(t.avoidUntil[p.VM]) && t.busy[p.VM] {
 			busy++
 		}
 	}
--- a/node/gateway/config.go
+++ b/node/gateway/config.go
@@ -66,7 +66,7 @@
 func (g *Gateway) newFetcher() *catchup.Fetcher {
 	return catchup.NewFetcher(catchup.Config{Reader: g.reader, Peers: g.holders, Asker: g.asker, HTTP: g.peers,
 		Self: g.settings.VM, PieceBytes: spread.PieceBytes(g.settings.LinkMbps), Scope: g.metrics.Scope, Log: g.log,
-		Got: func(from catchup.Peer, bytes int64) {
+		OnResponse: func(from catchup.Peer, bytes int64) {
 			g.meter.Count(volume.Configuration, volume.Place{Zone: from.Zone, Region: from.Region}, bytes)
 		}})
 }
--- a/node/gateway/showstatus.go
+++ b/node/gateway/showstatus.go
@@ -61,7 +61,7 @@
 func (g *Gateway) configStatus(now time.Time) status.Config {
 	newest, behind, _ := g.reader.Behind()
 	progress := g.fetcher.Progress()
-	c := status.Config{Newest: newest, BehindMs: behind.Milliseconds(), PartsMissing: progress.Missing, Parts: progress.Of, Wait: progress.Wait.String()}
+	c := status.Config{Newest: newest, BehindMs: behind.Milliseconds(), PartsMissing: progress.Missing, Parts: progress.Total, Wait: progress.Wait.String()}
 	if from := g.newest.Load(); from != nil && from.version == newest {
 		c.NewestFrom = from.vm
 	}
