--- a/node/gateway/announce_test.go
+++ b/node/gateway/announce_test.go
@@ -7,11 +7,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against heartbeats of all VMs to all for each change of the targets: what they take
-// then grows with the square of the fleet.
-func TestChangesOfTargetsAreNotAnnouncedByAll(t *testing.T) {
+// Guards against every VM sending heartbeats to all others for each change of the targets. Their
+// traffic would grow with the square of the fleet size.
+func TestTargetChangesAreNotAnnouncedByEveryVM(t *testing.T) {
 	t.Parallel()
-	s := newSite(t)
+	s := newTestCluster(t)
 	s.zones = 2
 	var all []*vm
 	for n := range 12 {
@@ -33,7 +33,7 @@
 	}
 	const span = 5 * time.Second
 	time.Sleep(2 * time.Second)
-	calm := sent(span)
+	idle := sent(span)
 	stop := make(chan struct{})
 	go func() {
 		for seq := 2; ; seq++ {
@@ -47,6 +47,6 @@
 	}()
 	busy := sent(span)
 	close(stop)
-	t.Logf("%d bytes in calm, %d with changes", calm, busy)
-	assert.Assert(t, busy < calm*115/100, "%d bytes in calm, %d with changes", calm, busy)
+	t.Logf("%d bytes when idle, %d with changes", idle, busy)
+	assert.Assert(t, busy < idle*115/100, "%d bytes when idle, %d with changes", idle, busy)
 }
--- a/node/gateway/config.go
+++ b/node/gateway/config.go
@@ -11,68 +11,70 @@
 )
 
 const (
-	// newsTime is how long a VM may take to hear of a newer configuration: the pause
-	// between reads of the store, and a heartbeat.
-	newsTime = 1400 * time.Millisecond
-	// unboundedAct holds where no bound on configurations is set: that of the size the
-	// product is designed for.
-	unboundedAct = 4 * time.Second
+	// discoveryTime is how long a VM may take to learn that a newer configuration exists: the
+	// interval between reads of the store, plus a heartbeat.
+	discoveryTime = 1400 * time.Millisecond
+	// defaultStaleLimit applies when the settings do not bound how soon a configuration must be
+	// active: the bound for the largest deployments that are supported.
+	defaultStaleLimit = 4 * time.Second
 )
 
-// outdated reports whether this VM is not to act on its configuration: for longer than a
-// newer one may take to be in force it has known that there is one, and it hears a VM that
-// has it.
+// outdated reports whether this VM must stop serving by its active configuration: it has known of
+// a newer one for longer than that may take to become active, and receives heartbeats from a VM
+// that has it.
 //
-// Without a VM to hear that has the newer one it goes on: what is cut off serves what it
-// can.
+// Without such a VM it goes on serving, so that a VM that is partitioned from the others still
+// serves the requests it can.
 func (g *Gateway) outdated() bool {
-	_, late, behind := g.reader.Behind()
+	_, behindFor, behind := g.reader.Behind()
 	table := g.relay.Table()
-	if !behind || table == nil || late < g.actBound() {
+	if !behind || table == nil || behindFor < g.staleLimit() {
 		return false
 	}
 	return len(g.fleet.Holders(table.Version)) > 0
 }
 
-// actBound is how long after it has heard of a newer configuration a VM acts on its own:
-// the bound on its being in force, less the time that the news may have taken.
-func (g *Gateway) actBound() time.Duration {
+// staleLimit returns for how long a VM that has learned of a newer configuration may still serve
+// by its own: the bound on activating the newer one, less the time that this VM may have taken to
+// learn of it.
+func (g *Gateway) staleLimit() time.Duration {
 	bound := g.bounds.Load().Apply
 	if bound <= 0 {
-		return unboundedAct
+		return defaultStaleLimit
 	}
-	return max(bound-newsTime, bound/2)
+	return max(bound-discoveryTime, bound/2)
 }
 
-// newestConfig is the newest version known to exist, and the VM that told of it first.
+// newestConfig is the newest version known to exist, and the VM that first announced it.
 type newestConfig struct {
 	version uint64
 	vm      steering.VM
 }
 
-// noteNewest remembers who told of a version that is newer than all known before.
-func (g *Gateway) noteNewest(before uint64, b fleet.Beat) {
-	if told := max(b.Known.Config, b.Known.Newest); told > before {
-		g.newest.Store(&newestConfig{told, b.From.Name})
+// recordNewest records the sender of a heartbeat that announces a newer version than any known
+// before.
+func (g *Gateway) recordNewest(before uint64, b fleet.Beat) {
+	if announced := max(b.Known.Config, b.Known.Newest); announced > before {
+		g.newest.Store(&newestConfig{announced, b.From.Name})
 	}
 }
 
-// newConfigHandler returns what tells the configuration to others.
+// newConfigHandler returns the handler that serves the configuration to peers.
 func (g *Gateway) newConfigHandler() *catchup.Handler {
-	return &catchup.Handler{Index: g.reader.Index, Room: g.room, Scope: g.metrics.Scope, Log: g.log}
+	return &catchup.Handler{Index: g.reader.Index, Room: g.sendLimiter, Scope: g.metrics.Scope, Log: g.log}
 }
 
-// newFetcher returns what brings newer configurations from peers.
+// newFetcher returns the fetcher of newer configurations, whose traffic is metered by distance.
 func (g *Gateway) newFetcher() *catchup.Fetcher {
-	return catchup.NewFetcher(catchup.Config{Reader: g.reader, Peers: g.holders, Asker: g.asker, HTTP: g.peers,
+	return catchup.NewFetcher(catchup.Config{Reader: g.reader, Peers: g.peersWithNewer, Asker: g.requester, HTTP: g.peerClient,
 		Self: g.settings.VM, PieceBytes: spread.PieceBytes(g.settings.LinkMbps), Scope: g.metrics.Scope, Log: g.log,
 		OnResponse: func(from catchup.Peer, bytes int64) {
 			g.meter.Count(volume.Configuration, volume.Place{Zone: from.Zone, Region: from.Region}, bytes)
 		}})
 }
 
-// holders returns the live VMs that have a newer configuration than a version.
-func (g *Gateway) holders(above uint64) []catchup.Peer {
+// peersWithNewer returns the live VMs whose configuration is newer than a version.
+func (g *Gateway) peersWithNewer(above uint64) []catchup.Peer {
 	var all []catchup.Peer
 	for _, h := range g.fleet.Holders(above) {
 		all = append(all, catchup.Peer{Address: h.Control,
@@ -81,8 +83,9 @@
 	return all
 }
 
-// asker returns this VM's place among those that are behind.
-func (g *Gateway) asker() spread.Asker {
+// requester returns the zone and region of this VM, and how many live VMs in each of them fetch
+// before it.
+func (g *Gateway) requester() spread.Asker {
 	zone, region := g.fleet.AskRank()
 	return spread.Asker{Zone: g.settings.Zone, Region: g.settings.Region, ZoneRank: zone, RegionRank: region}
 }
--- a/node/gateway/doc.go
+++ b/node/gateway/doc.go
@@ -1,4 +1,7 @@
-// Package gateway assembles an entry VM on the users' platform: callers'
-// listener, directory, readiness, control, and the loops that keep what it
-// knows. The decisions are in steering, the platform's names in platform.
+// Package gateway assembles an entry VM of the users' platform: the listeners for callers,
+// directory queries, readiness probes, control calls and metrics, and the loops that keep its
+// state current. Decisions are made in the steering packages; the names and formats of the
+// platform are in package platform.
+//
+// A daemon calls New, then Run, and Reload whenever its settings file changes.
 package gateway
--- a/node/gateway/entries_test.go
+++ b/node/gateway/entries_test.go
@@ -8,33 +8,32 @@
 	"gotest.tools/v3/assert"
 )
 
-// Symptom: an entry VM that starts serves nobody, or one that runs learns nothing new,
-// for as long as one entry in the store is spoiled. Sequence: another writer leaves an
-// entry that names no target, before the VM starts and while it runs. Cause: taking one
-// entry's error for a failed read of the store.
-func TestSpoiledEntriesStopNeitherAStartNorNews(t *testing.T) {
+// Guards against an entry VM that never serves after a start, or learns no changes while it runs,
+// as long as the store holds one invalid entry. Another writer leaves an entry that describes no
+// target, and the error of that entry is taken for a failed read of the store.
+func TestInvalidEntriesBlockNeitherStartNorUpdates(t *testing.T) {
 	t.Parallel()
-	s := newSite(t)
+	s := newTestCluster(t)
 	s.store.Put("servers", "spoiled", map[string]any{"service": "svc", "address": 7})
 	s.store.Put("servers", "odd", "no object")
 	s.store.Put("heatherlock-entry-vms", "odd", 7)
 	v := s.startAll(1)[0]
 	runs := func(name string) int { return len(s.targets[name].Runs()) }
-	askSome := func() {
+	requestSome := func() {
 		for n := range 12 {
-			assert.Equal(t, s.ask(v, fmt.Sprint("/read/", n)), 200)
+			assert.Equal(t, s.request(v, fmt.Sprint("/read/", n)), 200)
 		}
 	}
-	askSome()
+	requestSome()
 	assert.Assert(t, runs("t1") > 0)
 
 	s.store.Put("servers", "t1", map[string]any{"service": "svc", "address": "nowhere"})
 	s.addTarget("t3")
-	within(t, 3*time.Second, "the new target is used", func() bool { askSome(); return runs("t3") > 0 })
+	within(t, 3*time.Second, "the new target is used", func() bool { requestSome(); return runs("t3") > 0 })
 	before := runs("t1")
-	askSome()
-	assert.Equal(t, runs("t1"), before, "an entry that names no target draws no request")
+	requestSome()
+	assert.Equal(t, runs("t1"), before, "a target with an invalid entry gets no request")
 
 	s.register("t1", "ready", 2)
-	within(t, 3*time.Second, "the target that wrote again is used", func() bool { askSome(); return runs("t1") > before })
+	within(t, 3*time.Second, "the target with a valid entry again is used", func() bool { requestSome(); return runs("t1") > before })
 }
--- a/node/gateway/export_test.go
+++ b/node/gateway/export_test.go
@@ -8,10 +8,10 @@
 	"heatherlock/node/gateway/volume"
 )
 
-// DialPeersBy makes the gateway open its connections to peers by dial, before it runs.
+// DialPeersBy sets the function that opens connections to peers. It must be called before Run.
 func (g *Gateway) DialPeersBy(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
-	g.peers.Transport.(*http.Transport).DialContext = dial
+	g.peerClient.Transport.(*http.Transport).DialContext = dial
 }
 
-// HeartbeatBytes returns how many bytes of heartbeats were sent.
+// HeartbeatBytes returns the number of heartbeat bytes sent since the gateway was created.
 func (g *Gateway) HeartbeatBytes() int64 { return g.meter.Total(volume.Heartbeats) }
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -31,63 +31,65 @@
 )
 
 const (
-	// longestTTL is how long callers keep a directory answer, if the bound allows:
-	// long enough that look-ups stay rare, short enough that a VM that left is soon
-	// unused.
-	longestTTL = 2 * time.Second
-	// callerConnections bounds the connections of callers.
-	callerConnections = 3000
-	// headerTimeout bounds the header of a question to the directory.
+	// maxDirectoryTTL is how long callers may cache a directory response, if the configured bound
+	// allows: long enough that look-ups stay rare, short enough that callers soon stop using a VM
+	// that has left.
+	maxDirectoryTTL = 2 * time.Second
+	// maxCallerConnections bounds the open connections of callers.
+	maxCallerConnections = 3000
+	// headerTimeout bounds reading the headers of a request on any listener but that for callers.
 	headerTimeout = 3 * time.Second
-	// lendEvery is the pause between two steps of what regions keep of their keys.
-	lendEvery = time.Second
-	// volumeEvery is the pause between two lines of the bytes exchanged: links fill up over
-	// longer times, and a line a second would be most of an idle VM's log.
-	volumeEvery = 10 * time.Second
+	// maintenanceInterval is the pause between two runs of the periodic work, which moves the
+	// regional split of affinity keys by one step.
+	maintenanceInterval = time.Second
+	// trafficLogInterval is the pause between two log lines of the bytes exchanged. Links fill up
+	// over longer times, and a line per second would be most of the log of an idle VM.
+	trafficLogInterval = 10 * time.Second
 )
 
-// Gateway is an entry VM on the users' platform.
+// Gateway is an entry VM of the users' platform.
 type Gateway struct {
-	settings *platform.Settings
-	log      log.Logger
-	metrics  *telemetry.Metrics
-	store    *platform.Store
-	relay    *relay.Relay
-	pool     *upstream.Pool
-	fleet    *fleet.Fleet
-	reader   *feed.Reader
-	fetcher  *catchup.Fetcher
-	room     *spread.Room // of this VM's link, for what it tells others
-	peers    *http.Client
-	pulling  atomic.Bool
-	callers  *callers.Server
-	leaving  atomic.Bool
-	// announced is set once the others were told that this VM takes requests.
-	announced atomic.Bool
-	lending   placement.Lending
-	meter     *volume.Meter
-	credits   *allowances.Service // of workspaces
-	servers   []*http.Server
-	done      sync.WaitGroup
+	settings    *platform.Settings
+	log         log.Logger
+	metrics     *telemetry.Metrics
+	store       *platform.Store
+	relay       *relay.Relay
+	pool        *upstream.Pool
+	fleet       *fleet.Fleet
+	reader      *feed.Reader
+	fetcher     *catchup.Fetcher
+	sendLimiter *spread.Room // limits what this VM sends to peers
+	peerClient  *http.Client
+	pulling     atomic.Bool
+	callers     *callers.Server
+	leaving     atomic.Bool
+	// announced is set once a heartbeat was requested to announce that this VM takes requests.
+	announced        atomic.Bool
+	regionSplit      placement.Lending
+	meter            *volume.Meter
+	allowanceService *allowances.Service
+	servers          []*http.Server
+	workers          sync.WaitGroup
 
-	beliefs beliefs
-	bounds  atomic.Pointer[platform.Bounds]
+	targetLog targetLog
+	bounds    atomic.Pointer[platform.Bounds]
 
 	newest atomic.Pointer[newestConfig]
 	page   statusPage
 
 	peaksMu sync.Mutex
-	peaks   map[steering.Zone]peak // of demand
+	peaks   map[steering.Zone]peak // of caller demand, for the directory
 
-	reload      sync.Mutex
-	settingsNow *platform.Settings // as last read
-	badSettings string             // what was wrong with those read last
+	reloadMu          sync.Mutex
+	currentSettings   *platform.Settings // from the last valid read
+	lastSettingsError string             // of the last read, empty if it was valid
 }
 
-// New assembles a gateway.
+// New returns a gateway that has bound its datagram sockets for heartbeats and allowances, but
+// serves nothing until Run is called.
 func New(settings *platform.Settings, logger log.Logger) (*Gateway, error) {
-	g := &Gateway{settings: settings, settingsNow: settings, log: logger, metrics: telemetry.New(string(settings.VM), string(settings.Zone)),
-		store: platform.NewStore(settings.Store), lending: placement.Lending{}, peaks: make(map[steering.Zone]peak),
+	g := &Gateway{settings: settings, currentSettings: settings, log: logger, metrics: telemetry.New(string(settings.VM), string(settings.Zone)),
+		store: platform.NewStore(settings.Store), regionSplit: placement.Lending{}, peaks: make(map[steering.Zone]peak),
 		meter: volume.NewMeter(volume.Place{Zone: settings.Zone, Region: settings.Region})}
 	scope := g.metrics.Scope
 	if err := g.newAllowances(); err != nil {
@@ -106,14 +108,14 @@
 		Log:      logger, TargetBeat: time.Duration(settings.HeartbeatMs) * time.Millisecond,
 		Events: relay.NewEvents(scope), StoreAge: func() time.Duration { return time.Duration(g.reader.Digest().AgeMs) * time.Millisecond },
 		Members: func() int { return g.fleet.Size() }, Behind: func() bool { _, _, behind := g.reader.Behind(); return behind }, Outdated: g.outdated,
-		Meter: g.meter, Allowances: g.credits})
-	g.callers = callers.NewServer(g.relay, g.relay.Limits, callerConnections)
+		Meter: g.meter, Allowances: g.allowanceService})
+	g.callers = callers.NewServer(g.relay, g.relay.Limits, maxCallerConnections)
 	state := feed.NewState(time.Duration(settings.HeartbeatMs)*time.Millisecond, settings.Zones)
-	g.reader = feed.NewReader(g.store, g, state, fleetOf{g}, logger)
-	g.peers = newPeerClient()
-	g.room = spread.NewRoom(settings.LinkMbps)
+	g.reader = feed.NewReader(g.store, g, state, readerPeers{g}, logger)
+	g.peerClient = newPeerClient()
+	g.sendLimiter = spread.NewRoom(settings.LinkMbps)
 	g.fetcher = g.newFetcher()
-	g.useBounds(b)
+	g.applyBounds(b)
 	return g, g.newFleet()
 }
 
@@ -143,14 +145,16 @@
 		}
 		seeds = append(seeds, platform.PeerAddressOf(host, g.settings.PeerPorts))
 	}
-	g.fleet = fleet.New(fleet.Config{Self: g.self(), Seeds: seeds, Log: g.log, Own: g.ownBeat,
+	g.fleet = fleet.New(fleet.Config{Self: g.self(), Seeds: seeds, Log: g.log, Own: g.fillHeartbeat,
 		Suspects: func(all bool) []poison.Fact { return g.relay.TakeFacts(time.Now(), all) },
-		Heard:    g.heardBeat, Changed: g.peersChanged,
-		Sent: func(to fleet.Member, bytes int) { g.meter.Count(volume.Heartbeats, placeOf(to), int64(bytes)) }}, conn)
+		Heard:    g.handleHeartbeat, Changed: g.updateMembership,
+		Sent: func(to fleet.Member, bytes int) { g.meter.Count(volume.Heartbeats, locationOf(to), int64(bytes)) }}, conn)
 	return nil
 }
 
-func (g *Gateway) ownBeat(b *fleet.Beat) {
+// fillHeartbeat sets what the next heartbeat reports about this VM. It is called for each
+// heartbeat.
+func (g *Gateway) fillHeartbeat(b *fleet.Beat) {
 	b.Leaving = g.leaving.Load()
 	b.Serving = g.relay.Ready() && !b.Leaving
 	b.Known = g.reader.Digest()
@@ -162,18 +166,18 @@
 		b.Demand = balancer.Demand(now)
 		b.Replaced = balancer.ReplacedToTell(now)
 	})
-	b.Tight = g.credits.TightToTell()
+	b.Tight = g.allowanceService.TightToTell()
 }
 
-// peersChanged tells placement who lives.
-func (g *Gateway) peersChanged() {
+// updateMembership passes the current membership to placement, retry budgets and allowances.
+func (g *Gateway) updateMembership() {
 	peers := make(map[steering.Region][]steering.VM)
 	for _, m := range g.fleet.Live() {
 		peers[m.Region] = append(peers[m.Region], m.Name)
 	}
 	dark := g.fleet.DarkZones()
 	known := g.fleet.Known()
-	g.tellAllowances()
+	g.updateAllowancePeers()
 	g.relay.WithBalancer(func(balancer *placement.Balancer, budget *retry.SharedBudget) {
 		balancer.SetPeers(peers)
 		balancer.SetDark(dark)
@@ -184,10 +188,10 @@
 // Configured implements feed.Sink.
 func (g *Gateway) Configured(t *routes.Table, known time.Duration) {
 	if g.relay.SetTable(t) {
-		_ = g.log.Log("msg", "configuration in force", "config", t.Version, "routes", len(t.Routes), "known_ms", known.Milliseconds()) // the writer counts what it drops
-		g.credits.Configure(t.Workspaces)
+		_ = g.log.Log("msg", "configuration in force", "config", t.Version, "routes", len(t.Routes), "known_ms", known.Milliseconds()) // the log writer counts dropped lines
+		g.allowanceService.Configure(t.Workspaces)
 		g.metrics.Scope.Gauge("gateway_config_version").Update(float64(t.Version))
-		g.fleet.Announce() // VMs that are behind ask those that have it
+		g.fleet.Announce() // VMs that are behind fetch it from VMs that announced it
 		g.becameReady()
 	}
 }
@@ -202,16 +206,17 @@
 	g.becameReady()
 }
 
-// becameReady tells all others once that this VM takes requests. Changes of the targets
-// are announced by the VM that reads them from the store, and within a zone by those that
-// were told.
+// becameReady announces to all peers, once, that this VM takes requests. Changes of targets are
+// announced by the VM that reads them from the store, and within a zone by the VMs that fetched
+// them from a peer.
 func (g *Gateway) becameReady() {
 	if g.relay.Ready() && g.announced.CompareAndSwap(false, true) {
 		g.fleet.Announce()
 	}
 }
 
-// Run serves until ctx ends, and then leaves in order.
+// Run serves until ctx ends, and then shuts down gracefully. It returns an error if a listener
+// cannot be opened.
 func (g *Gateway) Run(ctx context.Context) error {
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -223,27 +228,27 @@
 	if err := g.serveHTTP(); err != nil {
 		return err
 	}
-	g.done.Go(func() { g.fleet.Run(work) })
-	g.done.Go(func() { g.reader.Run(work) })
-	g.done.Go(func() { g.fetcher.Run(work) })
-	g.done.Go(func() { g.credits.Run(work) })
-	g.done.Go(func() { g.register(work) })
-	g.done.Go(func() { g.tend(work) })
-	g.done.Go(func() { _ = g.callers.Serve(work, listener) }) // ends with the listener
+	g.workers.Go(func() { g.fleet.Run(work) })
+	g.workers.Go(func() { g.reader.Run(work) })
+	g.workers.Go(func() { g.fetcher.Run(work) })
+	g.workers.Go(func() { g.allowanceService.Run(work) })
+	g.workers.Go(func() { g.register(work) })
+	g.workers.Go(func() { g.maintain(work) })
+	g.workers.Go(func() { _ = g.callers.Serve(work, listener) }) // returns when the listener is closed
 	_ = g.log.Log("msg", "started", "vm", g.settings.VM, "zone", g.settings.Zone)
 	<-ctx.Done()
-	g.leave(listener)
+	g.shutdown(listener)
 	stop()
 	g.closeServers()
-	g.done.Wait()
+	g.workers.Wait()
 	g.relay.LogSums()
-	g.logVolume()
+	g.logTraffic()
 	g.logWorkspaces()
 	_ = g.log.Log("msg", "stopped", "vm", g.settings.VM)
 	return nil
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -252,41 +257,43 @@
 	}
 }
 
-// tend does until ctx ends what is due each second, whatever requests come.
-func (g *Gateway) tend(ctx context.Context) {
-	told := time.Now()
+// maintain does the periodic work until ctx ends, independently of requests.
+func (g *Gateway) maintain(ctx context.Context) {
+	lastTraffic := time.Now()
 	for ctx.Err() == nil {
-		pause(ctx, lendEvery)
-		g.lend()
-		g.peersChanged()
-		g.showBeliefs()
+		sleep(ctx, maintenanceInterval)
+		g.updateRegionSplit()
+		g.updateMembership()
+		g.updateGauges()
 		g.relay.LogSums()
-		if time.Since(told) >= volumeEvery {
-			told = time.Now()
-			g.logVolume()
+		if time.Since(lastTraffic) >= trafficLogInterval {
+			lastTraffic = time.Now()
+			g.logTraffic()
 			g.logWorkspaces()
 		}
 	}
 }
 
-// lend keeps the shares of keys that regions keep in step with demand.
-func (g *Gateway) lend() {
+// updateRegionSplit adapts the shares of affinity keys that each region keeps and sends to other
+// regions to the current demand.
+func (g *Gateway) updateRegionSplit() {
 	demand := g.fleet.Demand()
 	g.relay.WithBalancer(func(balancer *placement.Balancer, _ *retry.SharedBudget) {
 		demand[g.settings.Region].AddAll(balancer.Demand(time.Now()))
 		balancer.Learn(placement.Runs(demand))
-		g.lending = placement.NextLending(g.lending, placement.Situation{Demand: demand, Slots: balancer.Slots(), Regions: g.regions(), ShiftShare: g.bounds.Load().ShiftShare})
-		balancer.SetLending(g.lending)
+		g.regionSplit = placement.NextLending(g.regionSplit, placement.Situation{Demand: demand, Slots: balancer.Slots(), Regions: g.regionCount(), ShiftShare: g.bounds.Load().ShiftShare})
+		balancer.SetLending(g.regionSplit)
 	})
 }
 
-// logVolume writes one line of the bytes that were exchanged since the last, and counts them.
-func (g *Gateway) logVolume() {
-	sums := g.meter.Take()
+// logTraffic logs the bytes exchanged since the last call in one line, and adds them to the
+// metrics.
+func (g *Gateway) logTraffic() {
+	sums := g.meter.TakeSums()
 	if len(sums) == 0 {
 		return
 	}
-	_ = g.log.Log("msg", volume.LineMessage, "zone", g.settings.Zone, "bytes", sums) // the writer counts what it drops
+	_ = g.log.Log("msg", volume.LineMessage, "zone", g.settings.Zone, "bytes", sums) // the log writer counts dropped lines
 	for purpose, sum := range sums {
 		for distance, bytes := range sum.ByDistance() {
 			g.metrics.Scope.Tagged(map[string]string{"purpose": string(purpose), "distance": distance}).Counter("gateway_exchanged_bytes").Inc(bytes)
@@ -294,8 +301,8 @@
 	}
 }
 
-// regions returns how many regions there are.
-func (g *Gateway) regions() int {
+// regionCount returns the number of regions in the settings.
+func (g *Gateway) regionCount() int {
 	found := make(map[steering.Region]bool)
 	for _, region := range g.settings.Zones {
 		found[region] = true
@@ -303,8 +310,9 @@
 	return len(found)
 }
 
-// showBeliefs puts what this VM goes by into gauges.
-func (g *Gateway) showBeliefs() {
+// updateGauges exports the current state of this VM as gauges, and logs changes of ejected and
+// replaced targets.
+func (g *Gateway) updateGauges() {
 	scope := g.metrics.Scope
 	var ejected, replaced []steering.Target
 	var tries map[steering.Service]float64
@@ -312,8 +320,8 @@
 	g.relay.WithBalancer(func(balancer *placement.Balancer, budget *retry.SharedBudget) {
 		ejected, replaced = balancer.Ejected(), balancer.Replaced()
 		tries = budget.Left(time.Now())
-		for service := range g.lending {
-			kept[service] = g.lending.Kept(service, g.settings.Region)
+		for service := range g.regionSplit {
+			kept[service] = g.regionSplit.Kept(service, g.settings.Region)
 		}
 	})
 	g.logEjected(ejected)
@@ -321,9 +329,9 @@
 	scope.Gauge("gateway_targets_ejected").Update(float64(len(ejected)))
 	scope.Gauge("gateway_targets_replaced").Update(float64(len(replaced)))
 	scope.Gauge("gateway_peers").Update(float64(g.fleet.Size()))
-	newest, late, _ := g.reader.Behind()
+	newest, behindFor, _ := g.reader.Behind()
 	scope.Gauge("gateway_config_newest").Update(float64(newest))
-	scope.Gauge("gateway_config_behind_ms").Update(float64(late.Milliseconds()))
+	scope.Gauge("gateway_config_behind_ms").Update(float64(behindFor.Milliseconds()))
 	scope.Gauge("gateway_store_age_ms").Update(float64(g.reader.Digest().AgeMs))
 	scope.Gauge("gateway_read_rank").Update(float64(g.reader.Rank()))
 	scope.Gauge("gateway_requests_running").Update(float64(g.callers.Running()))
--- a/node/gateway/gateway_test.go
+++ b/node/gateway/gateway_test.go
@@ -24,9 +24,9 @@
 	"heatherlock/steering"
 )
 
-// site is a small deployment: entry VMs as the daemon assembles them, targets
-// and a store, on loopback addresses.
-type site struct {
+// testCluster is a small deployment on loopback addresses: entry VMs as the daemon assembles
+// them, targets and a store.
+type testCluster struct {
 	t       *testing.T
 	store   *metastore.Store
 	address string
@@ -35,16 +35,16 @@
 	version int
 	routes  []map[string]any
 	number  atomic.Int64
-	// workspaces are declared beside the routes; without any, requests need no API key.
+	// workspaces are part of the configuration; without any, requests need no API key.
 	workspaces []map[string]any
-	// logs, when set, takes what the VMs log.
+	// logs, if set, receives the log lines of the VMs.
 	logs *safeBuffer
-	// zones is over how many availability zones VMs are spread; 0 and 1 mean one.
+	// zones is the number of availability zones that VMs are spread over; 0 and 1 mean one.
 	zones int
-	// able is how many VMs, the first ones, have more processor and a wider link; 0 means
-	// that nothing is known of any.
-	able int
-	// links, when set, carry what VMs exchange with each other and with the store.
+	// largeVMs is how many VMs, counted from the first, have a larger CPU share and a wider link.
+	// With 0, no VM states its CPU share or link rate.
+	largeVMs int
+	// links, if set, are the simulated links for traffic between VMs and with the store.
 	links *links
 }
 
@@ -58,9 +58,9 @@
 
 var nextNet atomic.Int64
 
-func newSite(t *testing.T) *site {
+func newTestCluster(t *testing.T) *testCluster {
 	t.Helper()
-	s := &site{t: t, store: metastore.New(), targets: make(map[string]*endpoint.Endpoint)}
+	s := &testCluster{t: t, store: metastore.New(), targets: make(map[string]*endpoint.Endpoint)}
 	server := httptest.NewServer(s.store)
 	t.Cleanup(server.CloseClientConnections)
 	s.address = strings.TrimPrefix(server.URL, "http://")
@@ -76,7 +76,7 @@
 	return s
 }
 
-func (s *site) addTarget(name string) {
+func (s *testCluster) addTarget(name string) {
 	e, err := endpoint.Start(endpoint.Config{ID: name, Slots: 3, Queue: 9, Work: 20 * time.Millisecond, WarmShare: 1, Keeps: 20})
 	assert.NilError(s.t, err)
 	s.t.Cleanup(e.Stop)
@@ -84,17 +84,17 @@
 	s.register(name, "ready", 1)
 }
 
-func (s *site) register(name, state string, seq int) {
+func (s *testCluster) register(name, state string, seq int) {
 	s.store.Put("servers", name, map[string]any{"service": "svc", "address": s.targets[name].Address(), "zone": "a", "slots": 3, "state": state, "coldRemainingMs": 0, "version": "v1", "seq": seq})
 }
 
-func (s *site) route(name, kind string) {
+func (s *testCluster) route(name, kind string) {
 	s.routes = append(s.routes, map[string]any{"name": name, "host": "shop.example", "pathPrefix": "/" + name + "/", "kind": kind,
 		"timeoutMs": 2000, "targetLatencyMs": 1000, "service": "svc", "maxAttempts": 2, "sticky": true})
 }
 
-// configure writes a new configuration.
-func (s *site) configure() {
+// configure writes a new version of the configuration to the store.
+func (s *testCluster) configure() {
 	s.version += 3
 	config := map[string]any{"version": fmt.Sprint("r", s.version), "routes": s.routes,
 		"services": []any{map[string]any{"name": "svc", "healthPath": "/health", "maxConns": 100}},
@@ -105,15 +105,15 @@
 	s.store.Put("config", "main", config)
 }
 
-func (s *site) zoneOf(n int) steering.Zone {
+func (s *testCluster) zoneOf(n int) steering.Zone {
 	if s.zones == 2 && n%2 == 0 {
 		return "b"
 	}
 	return "a"
 }
 
-// start starts the entry VM number n, which is told of VM 1 as a seed.
-func (s *site) start(n int) *vm {
+// start starts the entry VM number n, with VM 1 as its seed.
+func (s *testCluster) start(n int) *vm {
 	s.t.Helper()
 	ip := fmt.Sprintf("127.0.0.%d", n+1)
 	at := func(port int) string { return fmt.Sprintf("%s:%d", ip, s.ports[port]) }
@@ -122,14 +122,14 @@
 		PeerPorts: []int{s.ports[4], s.ports[5]}, MetricsPort: s.ports[6], Seeds: []string{fmt.Sprintf("127.0.0.2:%d", s.ports[3])},
 		Store: s.address, MemoryMB: 200, HeartbeatMs: 1500,
 		Bounds: platform.Bounds{Grace: 6 * time.Second, RetryRatio: 0.2, RetrySlack: 60, RetryWindow: 10 * time.Second, ShiftShare: 0.15}}
-	if s.able > 0 {
+	if s.largeVMs > 0 {
 		settings.CPUShare, settings.LinkMbps = 0.16, 10
 	}
-	if n <= s.able {
+	if n <= s.largeVMs {
 		settings.CPUShare, settings.LinkMbps = 0.8, 200
 	}
 	if s.links != nil {
-		settings.Store = s.links.storeFor(s.t, ip, s.store)
+		settings.Store = s.links.proxyStore(s.t, ip, s.store)
 	}
 	logger := log.NewNopLogger()
 	if s.logs != nil {
@@ -147,7 +147,7 @@
 	return v
 }
 
-func (s *site) get(url string) (int, string) {
+func (s *testCluster) get(url string) (int, string) {
 	response, err := (&http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}).Get(url)
 	if err != nil {
 		return 0, err.Error()
@@ -160,19 +160,19 @@
 	return response.StatusCode, string(body)
 }
 
-func (s *site) ready(v *vm) bool {
+func (s *testCluster) ready(v *vm) bool {
 	status, _ := s.get("http://" + v.settings.Listen.Ready + platform.PathReady)
 	return status == http.StatusOK
 }
 
-func (s *site) named(v *vm) []string {
+func (s *testCluster) listed(v *vm) []string {
 	_, body := s.get("http://" + v.settings.Listen.Directory + platform.PathDirectory + "?name=shop.example&region=r&zone=a")
 	var answer struct{ Addresses []string }
-	_ = json.Unmarshal([]byte(body), &answer) // without an answer none are named
+	_ = json.Unmarshal([]byte(body), &answer) // an invalid response lists none
 	return answer.Addresses
 }
 
-func (s *site) ask(v *vm, path string) int {
+func (s *testCluster) request(v *vm, path string) int {
 	r, err := http.NewRequest(http.MethodGet, "http://"+v.settings.Listen.Callers+path, nil)
 	assert.NilError(s.t, err)
 	r.Host = "shop.example"
@@ -199,7 +199,7 @@
 	t.Fatalf("not within %v: %s", limit, what)
 }
 
-func (s *site) startAll(n int) []*vm {
+func (s *testCluster) startAll(n int) []*vm {
 	s.t.Helper()
 	var all []*vm
 	for i := range n {
@@ -207,66 +207,67 @@
 	}
 	for _, v := range all {
 		within(s.t, 5*time.Second, "ready", func() bool { return s.ready(v) })
-		within(s.t, 5*time.Second, "all named", func() bool { return len(s.named(v)) == n })
+		within(s.t, 5*time.Second, "all listed", func() bool { return len(s.listed(v)) == n })
 	}
 	return all
 }
 
-// A configuration is in force on every entry VM within its bound, and only one
-// of them asks the store each time.
+// Guards against a configuration that becomes active on an entry VM later than its bound, and
+// against more than one VM that reads the store each time.
 func TestConfigurationIsInForceEverywhereWithFewCalls(t *testing.T) {
 	t.Parallel()
-	s := newSite(t)
+	s := newTestCluster(t)
 	all := s.startAll(4)
 	for _, v := range all {
-		assert.Equal(t, s.ask(v, "/read/1"), 200)
-		assert.Equal(t, s.ask(v, "/new/1"), 404)
+		assert.Equal(t, s.request(v, "/read/1"), 200)
+		assert.Equal(t, s.request(v, "/new/1"), 404)
 	}
 	s.route("new", "safe")
 	s.configure()
 	for _, v := range all {
-		within(t, 2500*time.Millisecond, "new route", func() bool { return s.ask(v, "/new/1") == 200 })
+		within(t, 2500*time.Millisecond, "new route", func() bool { return s.request(v, "/new/1") == 200 })
 	}
 	before := s.store.Calls()
 	time.Sleep(4 * time.Second)
-	// Three calls a read, a read each 1.1 s, with room for one doubled read.
+	// A read takes three calls and happens every 1.1 s; the limit allows for one duplicate read.
 	assert.Assert(t, s.store.Calls()-before <= 15, "%d calls in 4 s", s.store.Calls()-before)
 }
 
-// Symptom: requests reach a target that is leaving. It gets none later than the
-// bound after its report, on any entry VM, and is not given up for removed ones.
-func TestLeavingTargetGetsNothingNew(t *testing.T) {
+// Guards against requests to a leaving target: no entry VM may send it one later than the bound
+// after it has reported that it leaves. The target must not be treated as removed, and other
+// targets must serve the requests.
+func TestLeavingTargetGetsNoNewRequests(t *testing.T) {
 	t.Parallel()
-	s := newSite(t)
+	s := newTestCluster(t)
 	all := s.startAll(3)
 	s.register("t1", "draining", 2)
 	time.Sleep(2500 * time.Millisecond)
 	before := s.targets["t1"].Arrivals()
 	for n := range 60 {
-		assert.Equal(t, s.ask(all[n%3], fmt.Sprint("/read/", n)), 200)
+		assert.Equal(t, s.request(all[n%3], fmt.Sprint("/read/", n)), 200)
 	}
 	assert.Equal(t, s.targets["t1"].Arrivals(), before)
 }
 
-// Symptom: callers are cut while an entry VM is replaced. Sequence: it gets
-// SIGTERM; callers keep their answers of the directory for a while. Cause:
-// ending at once. It has to be unnamed at once and to serve on.
-func TestLeavingEntryVMCutsNothing(t *testing.T) {
+// Guards against requests that break off when an entry VM is replaced. Callers use cached
+// directory responses for a while after its SIGTERM, so it has to be removed from the directory
+// at once and go on serving instead of exiting.
+func TestLeavingEntryVMFinishesRunningRequests(t *testing.T) {
 	t.Parallel()
-	s := newSite(t)
+	s := newTestCluster(t)
 	all := s.startAll(3)
 	s.targets["t1"].SetFault(func(*http.Request) endpoint.Fault { time.Sleep(800 * time.Millisecond); return endpoint.None })
 	s.targets["t2"].SetFault(func(*http.Request) endpoint.Fault { time.Sleep(800 * time.Millisecond); return endpoint.None })
 	const running = 5
 	statuses := make(chan int, running)
 	for n := range running {
-		go func() { statuses <- s.ask(all[0], fmt.Sprint("/buy/", n)) }()
+		go func() { statuses <- s.request(all[0], fmt.Sprint("/buy/", n)) }()
 	}
 	time.Sleep(100 * time.Millisecond)
 	all[0].stop()
-	within(t, 500*time.Millisecond, "unnamed", func() bool { return len(s.named(all[1])) == 2 && len(s.named(all[0])) == 2 })
+	within(t, 500*time.Millisecond, "removed from the directory", func() bool { return len(s.listed(all[1])) == 2 && len(s.listed(all[0])) == 2 })
 	assert.Assert(t, !s.ready(all[0]))
-	assert.Equal(t, s.ask(all[0], "/read/late"), 200, "callers with an older answer are served")
+	assert.Equal(t, s.request(all[0], "/read/late"), 200, "callers with a cached directory response are served")
 	for range running {
 		assert.Equal(t, <-statuses, 200)
 	}
@@ -274,18 +275,18 @@
 	case err := <-all[0].done:
 		assert.NilError(t, err)
 	case <-time.After(6 * time.Second):
-		t.Fatal("did not end")
+		t.Fatal("the VM did not stop")
 	}
 	assert.Assert(t, len(s.store.Names("heatherlock-entry-vms")) == 2)
 }
 
-// Symptom: a purchase is cut though the entry VM had seconds. Sequence: SIGTERM;
-// a caller with an answer of the directory from long ago comes shortly before the
-// process ends. Cause: taking requests until the end. From some time on the port
-// has to be closed, so that the caller goes elsewhere at once.
-func TestLeavingEntryVMTakesNothingThatItCannotFinish(t *testing.T) {
+// Guards against a non-idempotent request that is cut off although the stopping entry VM had
+// seconds left. A caller with a directory response cached long ago connects shortly before the
+// process is killed. The port has to be closed before that, so that the caller tries another VM
+// at once.
+func TestLeavingEntryVMAcceptsNothingThatItCannotFinish(t *testing.T) {
 	t.Parallel()
-	s := newSite(t)
+	s := newTestCluster(t)
 	all := s.startAll(2)
 	for _, e := range s.targets {
 		e.SetFault(func(*http.Request) endpoint.Fault { time.Sleep(1500 * time.Millisecond); return endpoint.None })
@@ -297,12 +298,12 @@
 		running.Go(func() {
 			ran := func() int { return s.targets["t1"].Arrivals() + s.targets["t2"].Arrivals() }
 			before := ran()
-			status := s.ask(all[0], fmt.Sprint("/buy/", n))
+			status := s.request(all[0], fmt.Sprint("/buy/", n))
 			if status == 0 && time.Since(began) < 3*time.Second && ran() > before {
-				t.Errorf("request %d was cut", n)
+				t.Errorf("request %d was cut off", n)
 			}
 			if late := time.Since(began); status == 0 && late > 3500*time.Millisecond && ran() > before {
-				t.Errorf("request %d was taken and cut %v after the stop", n, late)
+				t.Errorf("request %d was accepted and cut off %v after the stop", n, late)
 			}
 		})
 		time.Sleep(100 * time.Millisecond)
@@ -315,24 +316,24 @@
 	assert.Assert(t, err != nil, "the port is still open")
 }
 
-// Symptom: an entry VM that restarts while the store is away never serves.
-// Cause: learning only from the store. Its peers tell it all they know.
-func TestEntryVMStartsFromPeersWhileTheStoreIsAway(t *testing.T) {
+// Guards against an entry VM that never serves when it restarts while the store is down, because
+// it learns only from the store. Its peers have to send it all they know.
+func TestEntryVMStartsFromPeersWhileTheStoreIsDown(t *testing.T) {
 	t.Parallel()
-	s := newSite(t)
+	s := newTestCluster(t)
 	all := s.startAll(2)
 	s.store.SetFaults(metastore.Faults{Busy: metastore.All})
 	late := s.start(3)
 	within(t, 3*time.Second, "ready", func() bool { return s.ready(late) })
-	assert.Equal(t, s.ask(late, "/read/1"), 200)
-	within(t, 3*time.Second, "named", func() bool { return len(s.named(all[0])) == 3 })
+	assert.Equal(t, s.request(late, "/read/1"), 200)
+	within(t, 3*time.Second, "listed", func() bool { return len(s.listed(all[0])) == 3 })
 }
 
-// Symptom: a configuration that was accepted is lost. Sequence: the store takes
-// it, and all entry VMs end at that moment. Cause: keeping it in their memory.
-func TestConfigurationOutlivesAllEntryVMs(t *testing.T) {
+// Guards against the loss of an accepted configuration that is kept only in the memory of entry
+// VMs: the store accepts it, and all of them stop at that moment.
+func TestConfigurationSurvivesRestartOfAllEntryVMs(t *testing.T) {
 	t.Parallel()
-	s := newSite(t)
+	s := newTestCluster(t)
 	all := s.startAll(2)
 	s.route("new", "safe")
 	s.configure()
@@ -343,23 +344,23 @@
 		<-v.done
 	}
 	for _, v := range s.startAll(2) {
-		assert.Equal(t, s.ask(v, "/new/1"), 200)
+		assert.Equal(t, s.request(v, "/new/1"), 200)
 	}
 }
 
-// Symptom: an entry VM uses a configuration that is seconds old. Sequence: the
-// store is silent to it alone, or forgets its history, when a new one comes.
-// Cause: waiting for its own read.
-func TestNewsComeByPeersAndPastAForgottenHistory(t *testing.T) {
+// Guards against an entry VM that uses a configuration that is seconds old because it waits for
+// its own read of the store. The store does not respond to that VM, or loses its change history,
+// when a new configuration is written.
+func TestConfigurationArrivesThroughPeersAndAfterHistoryLoss(t *testing.T) {
 	t.Parallel()
-	s := newSite(t)
+	s := newTestCluster(t)
 	s.links = newLinks(wideMegabits)
 	all := s.startAll(3)
-	s.links.cutFromStore(all[0])
+	s.links.blockStore(all[0])
 	s.store.Forget()
 	s.route("new", "safe")
 	s.configure()
 	for _, v := range all {
-		within(t, 2500*time.Millisecond, "new route", func() bool { return s.ask(v, "/new/1") == 200 })
+		within(t, 2500*time.Millisecond, "new route", func() bool { return s.request(v, "/new/1") == 200 })
 	}
 }
--- a/node/gateway/golden_internal_test.go
+++ b/node/gateway/golden_internal_test.go
@@ -17,7 +17,8 @@
 
 var stamp = regexp.MustCompile(`"ts":"[^"]*"`)
 
-// Guards against a line of bytes that the tools of operators no longer find, or of which they lose the zone.
+// Guards against a log line of exchanged bytes that the tools of operators no longer find, or
+// that no longer names the zone.
 func TestGoldenBytesLine(t *testing.T) {
 	var lines bytes.Buffer
 	metrics := telemetry.New("vm-1", "norte-a")
@@ -25,18 +26,19 @@
 	g := &Gateway{settings: &platform.Settings{Zone: "norte-a"}, log: telemetry.NewLogger(&lines, "info"), metrics: metrics,
 		meter: volume.NewMeter(volume.Place{Zone: "norte-a", Region: "norte"})}
 	g.meter.Count(volume.Heartbeats, volume.Place{Zone: "sur-a", Region: "sur"}, 1234)
-	g.logVolume()
+	g.logTraffic()
 	golden.Assert(t, stamp.ReplaceAllString(lines.String(), `"ts":"2026-01-02T03:04:05Z"`), "golden/bytes-line.json")
 }
 
-// Guards against entry VMs that ask each other at a path which others do not serve.
+// Guards against entry VMs that call each other at a path that others do not serve.
 func TestGoldenPaths(t *testing.T) {
 	assert.Equal(t, pathKnown+"?"+paramSince+"=", "/v1/known?since=")
 	assert.Equal(t, headerConfig, "Heatherlock-Config")
 	assert.Equal(t, contentText(0xbadcafe), "0badcafe")
 }
 
-// Guards against a page that breaks off: its template names fields, which no compiler checks.
+// Guards against a status page that breaks off while it is rendered: its template names fields,
+// which the compiler does not check.
 func TestGoldenPage(t *testing.T) {
 	behind := status.Row{Peer: status.Peer{VM: "vm-2", Zone: "sur-a", ConfigVersion: 16}}
 	o := status.Overview{Newest: 17, Live: 2, Gone: 1, Zones: []status.ZoneVersion{{Zone: "norte-a", Version: 17, Content: "0badcafe", VMs: 3, InForceMs: 9001}},
--- a/node/gateway/links_test.go
+++ b/node/gateway/links_test.go
@@ -12,48 +12,47 @@
 	"time"
 )
 
-// pieceBytes is how much passes a link at once, about what a few packets hold.
-const pieceBytes = 8 << 10
+// chunkBytes is how much is sent over a link at once, about the size of a few packets.
+const chunkBytes = 8 << 10
 
-// link passes bytes at a rate, whoever sends them.
+// link is a simulated link with a rate that all its users share.
 type link struct {
-	mu   sync.Mutex
-	rate float64 // bytes a second
-	free time.Time
+	mu     sync.Mutex
+	rate   float64 // in bytes per second
+	freeAt time.Time
 }
 
-// pass waits until n bytes have passed.
-func (l *link) pass(n int) {
+// transmit blocks until the link has transferred n more bytes.
+func (l *link) transmit(n int) {
 	l.mu.Lock()
 	now := time.Now()
-	if l.free.Before(now) {
-		l.free = now
+	if l.freeAt.Before(now) {
+		l.freeAt = now
 	}
-	l.free = l.free.Add(time.Duration(float64(n) / l.rate * float64(time.Second)))
-	until := l.free
+	l.freeAt = l.freeAt.Add(time.Duration(float64(n) / l.rate * float64(time.Second)))
+	until := l.freeAt
 	l.mu.Unlock()
 	time.Sleep(time.Until(until))
 }
 
-// slowTo sets the rate, in bytes a second.
-func (l *link) slowTo(rate float64) {
+// setRate sets the rate, in bytes per second.
+func (l *link) setRate(rate float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rate = rate
 }
 
-// slowConn is a connection whose bytes pass links on the way in.
+// slowConn is a connection whose reads pass the links in and whose writes pass the links out.
 type slowConn struct {
 	net.Conn
-	in []*link
-	// out holds the links on the way out.
+	in  []*link
 	out []*link
 }
 
 func (c *slowConn) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b[:min(len(b), pieceBytes)])
+	n, err := c.Conn.Read(b[:min(len(b), chunkBytes)])
 	for _, l := range c.in {
-		l.pass(n)
+		l.transmit(n)
 	}
 	return n, err
 }
@@ -61,19 +60,19 @@
 func (c *slowConn) Write(b []byte) (int, error) {
 	written := 0
 	for written < len(b) {
-		n, err := c.Conn.Write(b[written:min(len(b), written+pieceBytes)])
+		n, err := c.Conn.Write(b[written:min(len(b), written+chunkBytes)])
 		written += n
 		if err != nil {
 			return written, err
 		}
 		for _, l := range c.out {
-			l.pass(n)
+			l.transmit(n)
 		}
 	}
 	return written, nil
 }
 
-// slowListener passes what its callers are sent over a link.
+// slowListener accepts connections whose writes pass a link.
 type slowListener struct {
 	net.Listener
 	link *link
@@ -87,29 +86,29 @@
 	return &slowConn{Conn: conn, out: []*link{l.link}}, nil
 }
 
-// links are the links of VMs, each way by itself, by address.
+// links holds the links of VMs by IP address, one for each direction.
 type links struct {
 	rate    float64
 	mu      sync.Mutex
 	in, out map[string]*link
-	// cut VMs get no answer from the store.
-	cut map[string]bool
+	// storeBlocked holds the VMs that get no response from the store.
+	storeBlocked map[string]bool
 }
 
 func newLinks(megabits float64) *links {
-	return &links{rate: megabits / 8 * 1e6, in: make(map[string]*link), out: make(map[string]*link), cut: make(map[string]bool)}
+	return &links{rate: megabits / 8 * 1e6, in: make(map[string]*link), out: make(map[string]*link), storeBlocked: make(map[string]bool)}
 }
 
-func (l *links) of(ways map[string]*link, ip string) *link {
+func (l *links) linkOf(direction map[string]*link, ip string) *link {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if ways[ip] == nil {
-		ways[ip] = &link{rate: l.rate}
+	if direction[ip] == nil {
+		direction[ip] = &link{rate: l.rate}
 	}
-	return ways[ip]
+	return direction[ip]
 }
 
-// dial opens connections of a VM to its peers.
+// dial returns a function that opens connections from a VM to its peers over the links of both.
 func (l *links) dial(ip string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
@@ -120,37 +119,37 @@
 		if err != nil {
 			return nil, err
 		}
-		return &slowConn{Conn: conn, in: []*link{l.of(l.out, host), l.of(l.in, ip)}, out: []*link{l.of(l.out, ip), l.of(l.in, host)}}, nil
+		return &slowConn{Conn: conn, in: []*link{l.linkOf(l.out, host), l.linkOf(l.in, ip)}, out: []*link{l.linkOf(l.out, ip), l.linkOf(l.in, host)}}, nil
 	}
 }
 
-// cutFromStore makes the store silent to VMs.
-func (l *links) cutFromStore(all ...*vm) {
+// blockStore makes the store stop responding to VMs.
+func (l *links) blockStore(all ...*vm) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, v := range all {
-		l.cut[v.settings.IP] = true
+		l.storeBlocked[v.settings.IP] = true
 	}
 }
 
-func (l *links) isCut(ip string) bool {
+func (l *links) isStoreBlocked(ip string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.cut[ip]
+	return l.storeBlocked[ip]
 }
 
-// storeFor serves the store to one VM over its link, and returns the address.
-func (l *links) storeFor(t *testing.T, ip string, store http.Handler) string {
+// proxyStore serves the store to one VM over the link of that VM, and returns the address.
+func (l *links) proxyStore(t *testing.T, ip string, store http.Handler) string {
 	t.Helper()
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if l.isCut(ip) {
-			_, _ = io.Copy(io.Discard, r.Body) // with the body read, the server sees its caller leave
+		if l.isStoreBlocked(ip) {
+			_, _ = io.Copy(io.Discard, r.Body) // the server notices a closed connection only after it has read the body
 			<-r.Context().Done()
 			panic(http.ErrAbortHandler)
 		}
 		store.ServeHTTP(w, r)
 	}))
-	server.Listener = slowListener{Listener: server.Listener, link: l.of(l.in, ip)}
+	server.Listener = slowListener{Listener: server.Listener, link: l.linkOf(l.in, ip)}
 	server.Start()
 	t.Cleanup(server.CloseClientConnections)
 	return strings.TrimPrefix(server.URL, "http://")
--- a/node/gateway/listeners.go
+++ b/node/gateway/listeners.go
@@ -19,14 +19,15 @@
 	"heatherlock/steering/retry"
 )
 
-// serveHTTP serves readiness, the directory, control and metrics.
+// serveHTTP starts the listeners for readiness probes, directory queries, control calls and
+// metrics.
 func (g *Gateway) serveHTTP() error {
 	ready := http.NewServeMux()
 	ready.HandleFunc("GET "+platform.PathReady, func(w http.ResponseWriter, _ *http.Request) {
 		platform.WriteReady(w, g.relay.Ready() && !g.leaving.Load())
 	})
 	directory := http.NewServeMux()
-	directory.HandleFunc("GET "+platform.PathDirectory, g.answerDirectory)
+	directory.HandleFunc("GET "+platform.PathDirectory, g.serveDirectory)
 	metrics := http.NewServeMux()
 	metrics.Handle("GET /metrics", g.metrics.Handler())
 	listen := g.settings.Listen
@@ -46,9 +47,9 @@
 	}
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
 	g.servers = append(g.servers, server)
-	g.done.Go(func() {
+	g.workers.Go(func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			_ = g.log.Log("msg", "listener failed", "address", address, "err", err) // the writer counts what it drops
+			_ = g.log.Log("msg", "listener failed", "address", address, "err", err) // the log writer counts dropped lines
 		}
 	})
 	return nil
@@ -60,55 +61,56 @@
 	}
 }
 
-func (g *Gateway) answerDirectory(w http.ResponseWriter, r *http.Request) {
-	question := platform.ReadQuestion(r)
-	addresses := g.addressesFor(question.Region, question.Zone)
+func (g *Gateway) serveDirectory(w http.ResponseWriter, r *http.Request) {
+	query := platform.ReadQuestion(r)
+	addresses := g.addressesFor(query.Region, query.Zone)
 	if err := platform.WriteDirectory(w, addresses, g.directoryTTL()); err != nil {
-		_ = g.log.Log("msg", "directory answer not written", "err", err) // as above
+		_ = g.log.Log("msg", "cannot write directory response", "err", err) // the log writer counts dropped lines
 	}
 }
 
-// directoryTTL is how long callers may keep an answer.
+// directoryTTL returns how long callers may cache a directory response.
 func (g *Gateway) directoryTTL() time.Duration {
 	if bound := g.bounds.Load().DirectoryTTL; bound > 0 {
-		return min(longestTTL, bound)
+		return min(maxDirectoryTTL, bound)
 	}
-	return longestTTL
+	return maxDirectoryTTL
 }
 
-// fewest is how many entry VMs an answer names if there are as many: with one
-// alone, its callers would have nowhere to go while it restarts.
-const fewest = 2
+// minDirectoryEntries is the least number of entry VMs in a directory response, if that many are
+// ready. With a single VM, its callers would have no other one to use while it restarts.
+const minDirectoryEntries = 2
 
-// addressesFor returns the entry VMs for callers of a zone: those of the zone,
-// with few there those of the region, and without any there all.
+// addressesFor returns the addresses of the entry VMs for the callers of a zone: those of the
+// zone, or those of the region if the zone has fewer than minDirectoryEntries, or all if the
+// region has too few as well.
 func (g *Gateway) addressesFor(region steering.Region, zone steering.Zone) []string {
 	serving := g.fleet.Serving(g.relay.Ready() && !g.leaving.Load())
-	var near []fleet.Member
-	var around, all []string
+	var inZone []fleet.Member
+	var inRegion, all []string
 	for _, m := range serving {
 		all = append(all, m.Callers)
 		if m.Region == region {
-			around = append(around, m.Callers)
+			inRegion = append(inRegion, m.Callers)
 		}
 		if m.Zone == zone {
-			near = append(near, m)
+			inZone = append(inZone, m)
 		}
 	}
-	if len(near) >= fewest {
-		return g.mostAble(near, zone)
+	if len(inZone) >= minDirectoryEntries {
+		return g.highestCapacity(inZone, zone)
 	}
-	for _, addresses := range [][]string{around, all} {
-		if len(addresses) >= fewest {
+	for _, addresses := range [][]string{inRegion, all} {
+		if len(addresses) >= minDirectoryEntries {
 			return addresses
 		}
 	}
 	return all
 }
 
-// mostAble returns the addresses of the most able VMs of a zone, as many as bear what its
-// callers ask.
-func (g *Gateway) mostAble(vms []fleet.Member, zone steering.Zone) []string {
+// highestCapacity returns the addresses of the VMs of a zone with the highest capacity: as many
+// as the demand of its callers needs, and at least minDirectoryEntries.
+func (g *Gateway) highestCapacity(vms []fleet.Member, zone steering.Zone) []string {
 	slices.SortFunc(vms, func(a, b fleet.Member) int {
 		return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(a.Name, b.Name))
 	})
@@ -117,18 +119,19 @@
 		capacities = append(capacities, float64(m.Capacity))
 	}
 	var addresses []string
-	for _, m := range vms[:capacity.Named(capacities, g.demandOf(zone), fewest)] {
+	for _, m := range vms[:capacity.Named(capacities, g.recentDemand(zone), minDirectoryEntries)] {
 		addresses = append(addresses, m.Callers)
 	}
 	return addresses
 }
 
-// peakFade is the time in which a peak of demand loses two thirds of its weight. VMs are
-// named soon when callers ask more, and left out late when they ask less.
-const peakFade = 10 * time.Second
+// peakDecay is the time in which a demand peak decays to about a third. VMs are added to
+// directory responses soon after demand rises, and removed slowly after it falls.
+const peakDecay = 10 * time.Second
 
-// demandOf returns what the callers of a zone ask, in requests per second, or asked of late.
-func (g *Gateway) demandOf(zone steering.Zone) float64 {
+// recentDemand returns the request rate of the callers of a zone, in requests per second: the
+// current rate, or a decayed recent peak if that is higher.
+func (g *Gateway) recentDemand(zone steering.Zone) float64 {
 	now := time.Now()
 	demand := g.fleet.ZoneDemand(zone)
 	if zone == g.settings.Zone {
@@ -141,13 +144,13 @@
 	g.peaksMu.Lock()
 	defer g.peaksMu.Unlock()
 	p := g.peaks[zone]
-	p.demand = math.Max(sum, p.demand*math.Exp(-now.Sub(p.at).Seconds()/peakFade.Seconds()))
+	p.demand = math.Max(sum, p.demand*math.Exp(-now.Sub(p.at).Seconds()/peakDecay.Seconds()))
 	p.at = now
 	g.peaks[zone] = p
 	return p.demand
 }
 
-// peak is the most that callers asked of late.
+// peak is a recent maximum of demand, decayed up to a point in time.
 type peak struct {
 	demand float64
 	at     time.Time
--- a/node/gateway/tell.go
+++ b/node/gateway/peersync.go
@@ -24,21 +24,24 @@
 )
 
 const (
-	// pathKnown is where an entry VM tells its peers what it knows of the targets.
+	// pathKnown is the path at which an entry VM serves the targets that it knows to its peers.
 	pathKnown  = "/v1/known"
 	paramSince = "since"
-	// pullTimeout is how long a peer's answer may take to begin, and to go on: a few
-	// ways over the longest link, and the answers to others on a link of 10 Mbit/s. The
-	// next heartbeat of any peer starts another.
+	// pullTimeout is how long a peer's response may take to start, and how long it may stall
+	// afterwards: several one-way trips over the longest link, and the responses to other VMs on
+	// a link of 10 Mbit/s. After a timeout, the next heartbeat of any peer starts another pull.
 	pullTimeout = 1200 * time.Millisecond
-	// entryBytes is more than a target takes in an answer: 105 were seen with names and
-	// addresses of usual length, and some are told that they are cold or missing.
+	// entryBytes is an upper estimate of the size of a target in a response: 105 bytes were
+	// measured with names and addresses of usual length, and some targets are also marked cold or
+	// missing.
 	entryBytes = 200
-	// zonePullers is how many VMs of a zone ask a VM of another zone. The others
-	// ask those: one VM that tells seventy at once is busy with that for a second.
-	zonePullers = 2
-	// patience is how long a VM waits for one of its zone before it asks farther.
-	patience = 250 * time.Millisecond
+	// pullersPerZone is how many VMs of a zone may pull from a VM of another zone. The others
+	// pull from those, because a VM that serves seventy others at once is busy with it for a
+	// second.
+	pullersPerZone = 2
+	// zonePeerWait is how long the other VMs of a zone wait for a peer of their zone to have the
+	// update, before they pull from another zone.
+	zonePeerWait = 250 * time.Millisecond
 )
 
 func newPeerClient() *http.Client {
@@ -47,15 +50,15 @@
 		MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second, DisableCompression: true}}
 }
 
-// fleetOf is the fleet of a gateway as its reader needs it; the reader is made
-// first.
-type fleetOf struct{ g *Gateway }
+// readerPeers implements feed.Peers. It looks up the fleet on each call, because the reader is
+// created before the fleet.
+type readerPeers struct{ g *Gateway }
 
 // ReadRank implements feed.Peers.
-func (f fleetOf) ReadRank(fails bool) int { return f.g.fleet.ReadRank(fails) }
+func (f readerPeers) ReadRank(fails bool) int { return f.g.fleet.ReadRank(fails) }
 
 // ReadBegun implements feed.Peers.
-func (f fleetOf) ReadBegun() time.Time { return f.g.fleet.ReadBegun() }
+func (f readerPeers) ReadBegun() time.Time { return f.g.fleet.ReadBegun() }
 
 // Reading implements feed.Sink.
 func (g *Gateway) Reading() { g.fleet.Announce() }
@@ -63,13 +66,14 @@
 // Refreshed implements feed.Sink.
 func (g *Gateway) Refreshed() { g.fleet.Announce() }
 
-// heardBeat takes in what a peer knows, and asks it for more if it knows more.
-func (g *Gateway) heardBeat(b fleet.Beat) {
+// handleHeartbeat merges what a peer reports, and pulls target updates from the peer if it has a
+// newer revision.
+func (g *Gateway) handleHeartbeat(b fleet.Beat) {
 	if len(b.Suspects) > 0 {
 		g.relay.LearnFacts(time.Now(), b.Suspects)
 	}
 	if len(b.Tight) > 0 {
-		g.credits.LearnTight(b.Tight)
+		g.allowanceService.LearnTight(b.Tight)
 	}
 	if len(b.Replaced) > 0 {
 		g.relay.WithBalancer(func(balancer *placement.Balancer, _ *retry.SharedBudget) {
@@ -78,7 +82,7 @@
 	}
 	newest, _, _ := g.reader.Behind()
 	pull := g.reader.Merge(b.Known)
-	g.noteNewest(newest, b)
+	g.recordNewest(newest, b)
 	if _, _, behind := g.reader.Behind(); behind {
 		g.fetcher.Wake()
 	}
@@ -87,10 +91,10 @@
 	}
 	go func() {
 		defer g.pulling.Store(false)
-		if zoneRank, _ := g.fleet.AskRank(); b.From.Zone != g.settings.Zone && zoneRank >= zonePullers {
-			// One of this zone tells it soon; its heartbeat must not meet a pull
-			// under way.
-			time.Sleep(patience)
+		if zoneRank, _ := g.fleet.AskRank(); b.From.Zone != g.settings.Zone && zoneRank >= pullersPerZone {
+			// A peer of this zone is about to announce the same update. The flag is cleared before
+			// the second check, so that the heartbeat of that peer can start the pull instead.
+			time.Sleep(zonePeerWait)
 			g.pulling.Store(false)
 			if !g.reader.Merge(b.Known) || !g.pulling.CompareAndSwap(false, true) {
 				return
@@ -98,80 +102,82 @@
 		}
 		began := time.Now()
 		bytes, err := g.pull(b.From.Control)
-		g.meter.Count(volume.Targets, placeOf(b.From), bytes)
+		g.meter.Count(volume.Targets, locationOf(b.From), bytes)
 		g.countPull(bytes, err)
 		if err != nil {
 			_ = g.log.Log("msg", "peer did not tell", "peer", b.From.Name, "got_bytes", bytes,
-				"took_ms", time.Since(began).Milliseconds(), "err", err) // the writer counts what it drops
+				"took_ms", time.Since(began).Milliseconds(), "err", err) // the log writer counts dropped lines
 			return
 		}
 		g.fleet.AnnounceInZone()
 	}()
 }
 
-// placeOf returns where an entry VM is.
-func placeOf(m fleet.Member) volume.Place { return volume.Place{Zone: m.Zone, Region: m.Region} }
+// locationOf returns the zone and region of an entry VM.
+func locationOf(m fleet.Member) volume.Place { return volume.Place{Zone: m.Zone, Region: m.Region} }
 
-// countPull counts what a peer told, and whether it was whole.
+// countPull counts a response of a peer and its bytes by whether it was complete.
 func (g *Gateway) countPull(bytes int64, err error) {
-	end := "whole"
+	outcome := "whole"
 	if err != nil {
-		end = "broken_off"
+		outcome = "broken_off"
 	}
-	g.metrics.Scope.Tagged(map[string]string{"end": end}).Counter("gateway_peer_answers").Inc(1)
-	g.metrics.Scope.Tagged(map[string]string{"end": end}).Counter("gateway_peer_answer_bytes").Inc(bytes)
+	g.metrics.Scope.Tagged(map[string]string{"end": outcome}).Counter("gateway_peer_answers").Inc(1)
+	g.metrics.Scope.Tagged(map[string]string{"end": outcome}).Counter("gateway_peer_answer_bytes").Inc(bytes)
 }
 
-// counted counts the bytes that pass.
-type counted struct {
+// byteCounter counts the bytes that are read or written through it.
+type byteCounter struct {
 	io.Reader
 	io.Writer
 	bytes int64
 }
 
-func (c *counted) Read(b []byte) (int, error) {
+func (c *byteCounter) Read(b []byte) (int, error) {
 	n, err := c.Reader.Read(b)
 	c.bytes += int64(n)
 	return n, err
 }
 
-func (c *counted) Write(b []byte) (int, error) {
+func (c *byteCounter) Write(b []byte) (int, error) {
 	n, err := c.Writer.Write(b)
 	c.bytes += int64(n)
 	return n, err
 }
 
-// pull asks a peer for all that it knows more, and returns how much of the answer came.
+// pull fetches and applies all target updates that a peer has and this VM lacks. It returns the
+// number of bytes received, also on error.
 func (g *Gateway) pull(address string) (bytes int64, err error) {
 	query := url.Values{paramSince: {strconv.FormatInt(g.reader.Position(), 10)}}
 	ctx, stall := platform.WithStallTimeout(context.Background(), pullTimeout)
 	defer stall.Release()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+pathKnown+"?"+query.Encode(), nil)
 	if err != nil {
-		return 0, errors.Wrap(err, "gateway: ask a peer")
+		return 0, errors.Wrap(err, "gateway: create request")
 	}
-	response, err := g.peers.Do(request)
+	response, err := g.peerClient.Do(request)
 	if err != nil {
-		return 0, errors.Wrap(stall.Cause(err), "gateway: ask a peer")
+		return 0, errors.Wrap(stall.Cause(err), "gateway: send request to peer")
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return 0, errors.Errorf("gateway: peer answered %d", response.StatusCode)
+		return 0, errors.Errorf("gateway: peer returned status %d", response.StatusCode)
 	}
 	var known feed.Update
-	body := &counted{Reader: stall.Reader(response.Body)}
+	body := &byteCounter{Reader: stall.Reader(response.Body)}
 	if err := cbor.NewDecoder(body).Decode(&known); err != nil {
-		return body.bytes, errors.Wrap(stall.Cause(err), "gateway: decode a peer's answer")
+		return body.bytes, errors.Wrap(stall.Cause(err), "gateway: decode response from peer")
 	}
 	g.reader.Apply(known)
 	return body.bytes, nil
 }
 
-// controlMux serves peers, and status to operators.
+// controlMux returns the handler of the control listener, which serves peers and shows status to
+// operators.
 func (g *Gateway) controlMux() *http.ServeMux {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+status.Path, g.answerStatus)
-	mux.HandleFunc("GET "+pagePath+"{$}", g.answerPage)
+	mux.HandleFunc("GET "+status.Path, g.serveStatus)
+	mux.HandleFunc("GET "+pagePath+"{$}", g.serveStatusPage)
 	mux.Handle("POST "+catchup.Path, g.newConfigHandler())
 	mux.HandleFunc("GET "+pathKnown, func(w http.ResponseWriter, r *http.Request) {
 		since, err := strconv.ParseInt(r.URL.Query().Get(paramSince), 10, 64)
@@ -180,17 +186,17 @@
 			return
 		}
 		update := g.reader.UpdateSince(since)
-		if _, ok := g.room.Promise(time.Now(), spread.Ask{Bytes: entryBytes * len(update.Entries), Outline: true}); !ok {
+		if _, ok := g.sendLimiter.Promise(time.Now(), spread.Ask{Bytes: entryBytes * len(update.Entries), Outline: true}); !ok {
 			g.metrics.Scope.Counter("gateway_targets_asked_in_vain").Inc(1)
 			http.Error(w, "the link is full; ask another entry VM", http.StatusServiceUnavailable)
 			return
 		}
 		w.Header().Set("Content-Type", "application/cbor")
-		told := &counted{Writer: w}
-		if err := cbor.NewEncoder(told).Encode(update); err != nil {
-			_ = g.log.Log("msg", "answer to a peer not written", "err", err) // as above
+		counter := &byteCounter{Writer: w}
+		if err := cbor.NewEncoder(counter).Encode(update); err != nil {
+			_ = g.log.Log("msg", "cannot write response to peer", "err", err) // the log writer counts dropped lines
 		}
-		g.metrics.Scope.Counter("gateway_told_bytes").Inc(told.bytes)
+		g.metrics.Scope.Counter("gateway_told_bytes").Inc(counter.bytes)
 	})
 	return mux
 }
--- a/node/gateway/planted/planted.go
+++ b/node/gateway/planted/planted.go
@@ -19,8 +19,8 @@
 	LeavingIgnored Name = "leaving_ignored"
 	// StaleConfig keeps the first configuration.
 	StaleConfig Name = "stale_config"
-	// CutOnStop ends at once on SIGTERM.
-	CutOnStop Name = "cut_on_stop"
+	// ImmediateExit ends at once on SIGTERM.
+	ImmediateExit Name = "cut_on_stop"
 	// ReusedAddress sends to whoever holds an address.
 	ReusedAddress Name = "reused_address"
 )
--- a/node/gateway/register.go
+++ b/node/gateway/register.go
@@ -8,10 +8,12 @@
 	"heatherlock/platform"
 )
 
-// registerPause is waited between two tries to reach the store at start.
-const registerPause = 500 * time.Millisecond
+// registerRetryInterval is the pause between two attempts to write to or read from the store at
+// startup.
+const registerRetryInterval = 500 * time.Millisecond
 
-// register records this VM in the store and reads the others' records.
+// register writes this VM's record to the store and reads those of other VMs. It retries until
+// both succeed or ctx ends.
 func (g *Gateway) register(ctx context.Context) {
 	m := g.self()
 	record := platform.EntryVM{Name: m.Name, Zone: m.Zone, Region: m.Region, Peer: m.Peer, Control: m.Control, Callers: m.Callers, Capacity: float64(m.Capacity)}
@@ -20,39 +22,39 @@
 		if err == nil {
 			break
 		}
-		_ = g.log.Log("msg", "not recorded in the store", "err", err) // the writer counts what it drops
-		pause(ctx, registerPause)
+		_ = g.log.Log("msg", "cannot write own record to the store", "err", err) // the log writer counts dropped lines
+		sleep(ctx, registerRetryInterval)
 	}
 	for n := 0; ctx.Err() == nil; n++ {
 		if g.readMembers(ctx, n) {
 			return
 		}
-		pause(ctx, registerPause)
+		sleep(ctx, registerRetryInterval)
 	}
 }
 
-// staleReads is how many reads of the entry VMs' records may be of a copy of the store
-// that lags, before one is asked for that does not.
-const staleReads = 3
+// maxStaleReads is how many reads of the entry VM records may use a store replica that lags,
+// before a read requires current data.
+const maxStaleReads = 3
 
-// readMembers reads the records of entry VMs, for the nth time, and reports whether all
-// are known that were written before this VM's own.
+// readMembers reads the records of the entry VMs for the nth time. It reports whether all records
+// are known that were written before that of this VM.
 //
-// With the pages of the list these calls grow with the square of the fleet when all start
-// at once. A copy that lags costs the store a tenth, and proves by this VM's own record that
-// it holds all that matters.
+// When all VMs start at once, the cost of these reads, each of which takes several pages, grows
+// with the square of the fleet size. A read from a lagging replica costs the store a tenth of a
+// current one. If it contains this VM's own record, it contains all earlier records as well.
 func (g *Gateway) readMembers(ctx context.Context, n int) (known bool) {
 	freshness := platform.MaybeStale
-	if n >= staleReads {
+	if n >= maxStaleReads {
 		freshness = platform.Fresh
 	}
 	list, err := g.store.EntryVMs(ctx, freshness)
 	if err != nil {
-		_ = g.log.Log("msg", "records of entry VMs not read", "err", err) // the writer counts what it drops
+		_ = g.log.Log("msg", "cannot read entry VM records", "err", err) // the log writer counts dropped lines
 		return false
 	}
 	if list.Bad > 0 {
-		_ = g.log.Log("msg", "records of entry VMs that cannot be read are left out", "count", list.Bad) // as above
+		_ = g.log.Log("msg", "ignoring invalid entry VM records", "count", list.Bad) // the log writer counts dropped lines
 	}
 	members := make([]fleet.Member, 0, len(list.VMs))
 	for _, vm := range list.VMs {
--- a/node/gateway/reload.go
+++ b/node/gateway/reload.go
@@ -8,30 +8,30 @@
 	"heatherlock/steering/retry"
 )
 
-// Reload takes in settings that were read again: bounds are in force at once,
-// what the listeners and the store's address depend on needs a restart. With err
-// the old settings stay.
+// Reload applies settings that were read again. Bounds take effect at once; changes of listener
+// addresses or of the store address need a restart. If err is not nil, the current settings stay
+// in effect. It is safe for concurrent use.
 func (g *Gateway) Reload(next *platform.Settings, err error) {
-	g.reload.Lock()
-	defer g.reload.Unlock()
+	g.reloadMu.Lock()
+	defer g.reloadMu.Unlock()
 	if err != nil {
-		if g.badSettings != err.Error() {
-			_ = g.log.Log("msg", "new settings refused, the old stay", "err", err) // the writer counts what it drops
+		if g.lastSettingsError != err.Error() {
+			_ = g.log.Log("msg", "new settings refused, the old stay", "err", err) // the log writer counts dropped lines
 		}
-		g.badSettings = err.Error()
+		g.lastSettingsError = err.Error()
 		return
 	}
-	g.badSettings = ""
-	if reflect.DeepEqual(next, g.settingsNow) {
+	g.lastSettingsError = ""
+	if reflect.DeepEqual(next, g.currentSettings) {
 		return
 	}
-	g.settingsNow = next
-	g.useBounds(next.Bounds)
-	_ = g.log.Log("msg", "settings read again", "restart_needed", next.Listen != g.settings.Listen || next.Store != g.settings.Store) // as above
+	g.currentSettings = next
+	g.applyBounds(next.Bounds)
+	_ = g.log.Log("msg", "settings read again", "restart_needed", next.Listen != g.settings.Listen || next.Store != g.settings.Store) // the log writer counts dropped lines
 }
 
-// useBounds puts bounds in force.
-func (g *Gateway) useBounds(b platform.Bounds) {
+// applyBounds makes bounds take effect.
+func (g *Gateway) applyBounds(b platform.Bounds) {
 	g.bounds.Store(&b)
 	g.reader.SetBound(min(b.Drain, b.Apply))
 	g.relay.WithBalancer(func(balancer *placement.Balancer, budget *retry.SharedBudget) {
--- a/node/gateway/reload_test.go
+++ b/node/gateway/reload_test.go
@@ -14,10 +14,10 @@
 	"heatherlock/steering"
 )
 
-// Symptom: an entry VM ends, or goes by half of its settings, when its file is
-// replaced by a bad one. The old settings stay, and the log says what is wrong,
-// once; good ones are in force without a restart.
-func TestBadSettingsChangeNothingAndGoodOnesAreInForce(t *testing.T) {
+// Guards against an entry VM that exits or applies half of its settings when an invalid settings
+// file replaces the current one. The current settings must stay in effect and the fault be logged
+// once; valid settings must take effect without a restart.
+func TestInvalidSettingsAreIgnoredAndValidOnesApplied(t *testing.T) {
 	settings := &platform.Settings{VM: "v", Zone: "a", Region: "r", Zones: map[steering.Zone]steering.Region{"a": "r"}, IP: "127.0.0.99",
 		PeerPorts: []int{20990, 20999}, HeartbeatMs: 1500, Store: "127.0.0.1:1", Bounds: platform.Bounds{Grace: 6 * time.Second, RetrySlack: 10}}
 	var out bytes.Buffer
--- a/node/gateway/showstatus.go
+++ b/node/gateway/showstatus.go
@@ -16,48 +16,50 @@
 	"heatherlock/steering/retry"
 )
 
-// headerConfig names the configuration in force on what operators are told.
+// headerConfig is the header that names the version of the active configuration in status
+// responses.
 const headerConfig = "Heatherlock-Config"
 
-// nameConfig sets the header that names the configuration in force, if there is one.
-func (g *Gateway) nameConfig(w http.ResponseWriter) {
+// setConfigHeader sets headerConfig, unless no configuration is active yet.
+func (g *Gateway) setConfigHeader(w http.ResponseWriter) {
 	if t := g.relay.Table(); t != nil {
 		w.Header().Set(headerConfig, strconv.FormatUint(t.Version, 10))
 	}
 }
 
-// answerStatus tells operators what this VM goes by.
-func (g *Gateway) answerStatus(w http.ResponseWriter, _ *http.Request) {
-	g.nameConfig(w)
+// serveStatus serves the status of this VM to operators.
+func (g *Gateway) serveStatus(w http.ResponseWriter, _ *http.Request) {
+	g.setConfigHeader(w)
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(g.status(time.Now())); err != nil {
-		_ = g.log.Log("msg", "status not written", "err", err) // the writer counts what it drops
+		_ = g.log.Log("msg", "cannot write status", "err", err) // the log writer counts dropped lines
 	}
 }
 
 func (g *Gateway) status(now time.Time) status.Status {
 	s := g.settings
 	known := g.reader.Digest()
-	shown := status.Status{VM: s.VM, Zone: s.Zone, Region: s.Region, Ready: g.relay.Ready() && !g.leaving.Load(), Leaving: g.leaving.Load(),
+	result := status.Status{VM: s.VM, Zone: s.Zone, Region: s.Region, Ready: g.relay.Ready() && !g.leaving.Load(), Leaving: g.leaving.Load(),
 		StoreAgeMs: known.AgeMs, StoreFails: g.reader.Failing(), ReadRank: g.reader.Rank(),
 		PeersLive: len(g.fleet.Live()), PeersKnown: g.fleet.Known(), EvacuatedZones: known.Evacuated,
 		DarkZones:       slices.Sorted(maps.Keys(g.fleet.DarkZones())),
 		RequestsRunning: g.callers.Running(), CallerConnections: g.callers.Connections()}
 	if known.Revision == 0 {
-		shown.StoreAgeMs = -1
+		result.StoreAgeMs = -1
 	}
 	if t := g.relay.Table(); t != nil {
-		shown.ConfigVersion = t.Version
+		result.ConfigVersion = t.Version
 	}
-	shown.Workspaces = g.credits.Rows()
-	shown.Config, shown.Fleet = g.configStatus(now), peersOf(now, g.fleet.Following())
+	result.Workspaces = g.allowanceService.Rows()
+	result.Config, result.Fleet = g.configStatus(now), peerRows(now, g.fleet.Following())
 	g.relay.WithBalancer(func(b *placement.Balancer, budget *retry.SharedBudget) {
-		shown.Services = servicesOf(now, b, budget, g.lending, s.Region)
+		result.Services = serviceRows(now, b, budget, g.regionSplit, s.Region)
 	})
-	return shown
+	return result
 }
 
-// configStatus tells which configuration this VM follows.
+// configStatus returns which configuration this VM follows, and its progress in fetching a newer
+// one.
 func (g *Gateway) configStatus(now time.Time) status.Config {
 	newest, behind, _ := g.reader.Behind()
 	progress := g.fetcher.Progress()
@@ -74,7 +76,8 @@
 	return c
 }
 
-// contentText shows the hash of a configuration's content; empty if it is not known.
+// contentText formats the hash of a configuration's content; it is empty if the hash is 0, which
+// means unknown.
 func contentText(hash uint32) string {
 	if hash == 0 {
 		return ""
@@ -82,7 +85,7 @@
 	return fmt.Sprintf("%08x", hash)
 }
 
-func peersOf(now time.Time, all []fleet.Following) []status.Peer {
+func peerRows(now time.Time, all []fleet.Following) []status.Peer {
 	peers := make([]status.Peer, 0, len(all))
 	for _, f := range all {
 		p := status.Peer{VM: f.Name, Zone: f.Zone, Region: f.Region, Control: f.Control, Live: f.Live, Ready: f.Serving && f.Live && !f.Leaving,
@@ -95,7 +98,7 @@
 	return peers
 }
 
-func servicesOf(now time.Time, b *placement.Balancer, budget *retry.SharedBudget, lending placement.Lending, region steering.Region) []status.Service {
+func serviceRows(now time.Time, b *placement.Balancer, budget *retry.SharedBudget, lending placement.Lending, region steering.Region) []status.Service {
 	demand, left := b.Demand(now), budget.Left(now)
 	services := []status.Service{}
 	for _, c := range b.Counts(now) {
--- a/node/gateway/showstatus_test.go
+++ b/node/gateway/showstatus_test.go
@@ -14,47 +14,47 @@
 	"heatherlock/standin/metastore"
 )
 
-func (s *site) status(v *vm) status.Status {
+func (s *testCluster) status(v *vm) status.Status {
 	_, body := s.get("http://" + v.settings.Listen.Control + status.Path)
-	var shown status.Status
-	assert.NilError(s.t, json.Unmarshal([]byte(body), &shown), body)
-	return shown
+	var result status.Status
+	assert.NilError(s.t, json.Unmarshal([]byte(body), &result), body)
+	return result
 }
 
-// Symptom: an operator sees a leaving target as open on the VM that still sends to
-// it, or cannot see it at all. Every VM tells what it goes by itself.
-func TestEveryEntryVMTellsWhatItGoesBy(t *testing.T) {
+// Guards against a status that hides from operators that a VM still sends to a leaving target, or
+// shows the target as open. Every VM reports the state that it uses itself.
+func TestEveryEntryVMReportsItsState(t *testing.T) {
 	t.Parallel()
-	s := newSite(t)
+	s := newTestCluster(t)
 	all := s.startAll(3)
 	for _, v := range all {
-		shown := s.status(v)
-		assert.Equal(t, shown.VM, v.settings.VM)
-		assert.Assert(t, shown.Ready && !shown.Leaving && !shown.StoreFails)
-		assert.Equal(t, shown.ConfigVersion, uint64(s.version))
-		assert.Assert(t, shown.StoreAgeMs >= 0 && shown.StoreAgeMs < 3000, "%d ms", shown.StoreAgeMs)
-		assert.Equal(t, shown.PeersLive, 3)
-		assert.Equal(t, len(shown.Services), 1)
-		assert.Equal(t, shown.Services[0].Targets, 2)
-		assert.Equal(t, shown.Services[0].Closed, 0)
+		result := s.status(v)
+		assert.Equal(t, result.VM, v.settings.VM)
+		assert.Assert(t, result.Ready && !result.Leaving && !result.StoreFails)
+		assert.Equal(t, result.ConfigVersion, uint64(s.version))
+		assert.Assert(t, result.StoreAgeMs >= 0 && result.StoreAgeMs < 3000, "%d ms", result.StoreAgeMs)
+		assert.Equal(t, result.PeersLive, 3)
+		assert.Equal(t, len(result.Services), 1)
+		assert.Equal(t, result.Services[0].Targets, 2)
+		assert.Equal(t, result.Services[0].Closed, 0)
 	}
 	s.register("t1", "draining", 2)
 	for _, v := range all {
 		within(t, 2500*time.Millisecond, "leaving target shown as closed", func() bool { return s.status(v).Services[0].Closed == 1 })
 	}
 	s.store.SetFaults(metastore.Faults{Busy: metastore.All})
-	within(t, 8*time.Second, "failing reads shown", func() bool {
+	within(t, 8*time.Second, "failing reads reported", func() bool {
 		return s.status(all[0]).StoreFails || s.status(all[1]).StoreFails || s.status(all[2]).StoreFails
 	})
 	all[0].stop()
 	within(t, time.Second, "leaving", func() bool { return s.status(all[0]).Leaving })
 }
 
-// Each answer that operators get names the configuration in force; browsers see which
-// configuration all VMs follow.
-func TestOperatorsSeeWhichConfigurationIsFollowed(t *testing.T) {
+// Guards against status responses that do not name the active configuration in their header, and
+// a status page that does not show which configuration all VMs follow.
+func TestOperatorsSeeTheActiveConfiguration(t *testing.T) {
 	t.Parallel()
-	s := newSite(t)
+	s := newTestCluster(t)
 	all := s.startAll(3)
 	for _, path := range []string{"/", status.Path} {
 		response, err := http.Get("http://" + all[0].settings.Listen.Control + path)
--- a/node/gateway/statuspage.go
+++ b/node/gateway/statuspage.go
@@ -10,14 +10,14 @@
 	"heatherlock/node/gateway/status"
 )
 
-// pagePath is where an entry VM shows operators which configuration its fleet follows.
+// pagePath is the path of the page that shows operators which configuration the fleet follows.
 const pagePath = "/"
 
-// viewKept is how long what other zones said is shown again, so that many viewers cost
-// the fleet no more than one.
-const viewKept = 2 * time.Second
+// viewTTL is how long a view gathered from all zones is reused, so that many viewers cost the
+// fleet no more than one.
+const viewTTL = 2 * time.Second
 
-// statusPage shows which configuration each VM follows.
+// statusPage caches the view of which configuration each VM follows.
 type statusPage struct {
 	mu   sync.Mutex
 	view status.View
@@ -40,21 +40,21 @@
 </body></html>
 `))
 
-func (g *Gateway) answerPage(w http.ResponseWriter, r *http.Request) {
+func (g *Gateway) serveStatusPage(w http.ResponseWriter, r *http.Request) {
 	view := g.page.get(r.Context(), g)
-	g.nameConfig(w)
+	g.setConfigHeader(w)
 	w.Header().Set("Content-Type", "text/html; charset=utf-8")
 	if err := pageTemplate.Execute(w, view); err != nil {
-		_ = g.log.Log("msg", "status page not written", "err", err) // the writer counts what it drops
+		_ = g.log.Log("msg", "cannot write status page", "err", err) // the log writer counts dropped lines
 	}
 }
 
 func (p *statusPage) get(ctx context.Context, g *Gateway) status.View {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now := time.Now(); now.Sub(p.at) > viewKept {
+	if now := time.Now(); now.Sub(p.at) > viewTTL {
 		own := g.status(now)
-		p.view = status.Gather(ctx, g.peers, &own)
+		p.view = status.Gather(ctx, g.peerClient, &own)
 		p.at = time.Now()
 	}
 	return p.view
--- /dev/null
+++ b/node/gateway/targetlog.go
@@ -0,0 +1,156 @@
+package gateway
+
+import (
+	"sort"
+	"sync"
+
+	"heatherlock/platform"
+	"heatherlock/steering"
+	"heatherlock/steering/placement"
+)
+
+// maxLoggedNames bounds the target names in one log line.
+const maxLoggedNames = 12
+
+// targetLog holds the target states that were last logged, so that only changes are logged.
+type targetLog struct {
+	mu       sync.Mutex
+	known    map[steering.Target]loggedTarget
+	ejected  map[steering.Target]bool
+	replaced map[steering.Target]bool
+	// unusable holds the reason last logged for an invalid entry, by target; it has at most
+	// maxUnusable elements.
+	unusable map[steering.Target]string
+}
+
+// loggedTarget is the state of a target that was last logged.
+type loggedTarget struct {
+	closed     bool
+	generation steering.Generation
+}
+
+// logTargets logs which targets were added, removed or restarted, and which stopped or resumed
+// taking new requests.
+func (g *Gateway) logTargets(targets []placement.Target) {
+	b := &g.targetLog
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	now := make(map[steering.Target]loggedTarget, len(targets))
+	var added, closed, reopened, restarted, removed []steering.Target
+	for _, t := range targets {
+		now[t.Name] = loggedTarget{closed: t.Closed, generation: t.Generation}
+		was, known := b.known[t.Name]
+		if known && was.generation != t.Generation {
+			restarted = append(restarted, t.Name)
+		}
+		switch {
+		case !known:
+			added = append(added, t.Name)
+		case t.Closed && !was.closed:
+			closed = append(closed, t.Name)
+		case was.closed && !t.Closed:
+			reopened = append(reopened, t.Name)
+		}
+	}
+	for name := range b.known {
+		if _, found := now[name]; !found {
+			removed = append(removed, name)
+		}
+	}
+	b.known = now
+	b.clearUsable(now)
+	for _, change := range []struct {
+		msg   string
+		names []steering.Target
+	}{{"targets came", added}, {"targets get nothing new", closed}, {"targets take new requests again", reopened}, {"targets restarted", restarted}, {"targets gone", removed}} {
+		g.logNames(change.msg, change.names)
+	}
+}
+
+// logEjected logs which targets outlier ejection has ejected or readmitted since the last call.
+func (g *Gateway) logEjected(ejected []steering.Target) {
+	b := &g.targetLog
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	var began, ended []steering.Target
+	b.ejected, began, ended = compare(b.ejected, ejected)
+	g.logNames("targets passed over, they fail or do not answer", began)
+	g.logNames("targets used again", ended)
+}
+
+// logReplaced logs which targets get no more requests because another target now answers at their
+// address, as found by this VM or another.
+func (g *Gateway) logReplaced(replaced []steering.Target) {
+	b := &g.targetLog
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	var began []steering.Target
+	b.replaced, began, _ = compare(b.replaced, replaced)
+	g.logNames("targets replaced, others have their addresses", began)
+}
+
+// compare returns a set of targets, and the targets that it adds to and removes from an old set.
+func compare(old map[steering.Target]bool, all []steering.Target) (now map[steering.Target]bool, added, removed []steering.Target) {
+	now = make(map[steering.Target]bool, len(all))
+	for _, name := range all {
+		now[name] = true
+		if !old[name] {
+			added = append(added, name)
+		}
+	}
+	for name := range old {
+		if !now[name] {
+			removed = append(removed, name)
+		}
+	}
+	return now, added, removed
+}
+
+// maxUnusable bounds the remembered invalid entries, so that a flood of them fills neither the
+// log nor the memory.
+const maxUnusable = 64
+
+// Unusable implements feed.Sink: it counts entries that describe no valid target, and logs each
+// with its reason unless that was the last reason logged for it.
+func (g *Gateway) Unusable(entries []platform.BadEntry) {
+	g.metrics.Scope.Counter("gateway_entries_unusable").Inc(int64(len(entries)))
+	b := &g.targetLog
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.unusable == nil {
+		b.unusable = make(map[steering.Target]string)
+	}
+	suppressed := 0
+	for _, e := range entries {
+		if b.unusable[e.Name] == e.Reason {
+			continue
+		}
+		if _, logged := b.unusable[e.Name]; !logged && len(b.unusable) >= maxUnusable {
+			suppressed++
+			continue
+		}
+		b.unusable[e.Name] = e.Reason
+		_ = g.log.Log("msg", "ignoring invalid target entry", "entry", e.Name, "why", e.Reason) // the log writer counts dropped lines
+	}
+	if suppressed > 0 {
+		_ = g.log.Log("msg", "ignoring more invalid target entries", "count", suppressed) // the log writer counts dropped lines
+	}
+}
+
+// clearUsable forgets the entries that are valid again, so that their next fault is logged.
+func (b *targetLog) clearUsable(known map[steering.Target]loggedTarget) {
+	for name := range b.unusable {
+		if _, usable := known[name]; usable {
+			delete(b.unusable, name)
+		}
+	}
+}
+
+func (g *Gateway) logNames(msg string, names []steering.Target) {
+	if len(names) == 0 {
+		return
+	}
+	sort.Slice(names, func(i, j int) bool { return names[i] < names[j] })
+	line := []any{"msg", msg, "count", len(names), "targets", names[:min(len(names), maxLoggedNames)]}
+	_ = g.log.Log(line...) // the log writer counts dropped lines
+}
--- a/node/gateway/volume/volume.go
+++ b/node/gateway/volume/volume.go
@@ -83,7 +83,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	sum := m.sums[p]
-	sum.Add(m.sumOf(at, bytes))
+	sum.Add(m.classify(at, bytes))
 	m.sums[p] = sum
 	m.totals[p] += bytes
 }
@@ -95,7 +95,7 @@
 	return m.totals[p]
 }
 
-func (m *Meter) sumOf(at Place, bytes int64) Sum {
+func (m *Meter) classify(at Place, bytes int64) Sum {
 	switch {
 	case at.Region == "":
 		return Sum{Unknown: bytes}
@@ -107,8 +107,8 @@
 	return Sum{Zone: bytes}
 }
 
-// Take returns what was counted since the last call.
-func (m *Meter) Take() Sums {
+// TakeSums returns what was counted since the last call.
+func (m *Meter) TakeSums() Sums {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	taken := m.sums
--- a/node/gateway/volume/volume_test.go
+++ b/node/gateway/volume/volume_test.go
@@ -17,8 +17,8 @@
 	m.Count(volume.Heartbeats, volume.Place{Zone: "c", Region: "south"}, 4)
 	m.Count(volume.Heartbeats, volume.Place{Zone: "c", Region: "south"}, 8)
 	m.Count(volume.Store, volume.Place{}, 16)
-	assert.DeepEqual(t, m.Take(), volume.Sums{volume.Heartbeats: {Zone: 1, Region: 2, Across: 12}, volume.Store: {Unknown: 16}})
-	assert.Equal(t, len(m.Take()), 0, "taken before")
+	assert.DeepEqual(t, m.TakeSums(), volume.Sums{volume.Heartbeats: {Zone: 1, Region: 2, Across: 12}, volume.Store: {Unknown: 16}})
+	assert.Equal(t, len(m.TakeSums()), 0, "taken before")
 }
 
 func TestBothWaysOfAConnectionCount(t *testing.T) {
@@ -34,5 +34,5 @@
 	assert.NilError(t, err)
 	_, err = io.ReadFull(counted, make([]byte, 6))
 	assert.NilError(t, err)
-	assert.DeepEqual(t, m.Take(), volume.Sums{volume.Requests: {Zone: 11}})
+	assert.DeepEqual(t, m.TakeSums(), volume.Sums{volume.Requests: {Zone: 11}})
 }
--- a/node/gateway/volume_test.go
+++ b/node/gateway/volume_test.go
@@ -8,13 +8,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// An operator sees what fills the links: what each purpose took, after a while of requests.
-func TestBytesExchangedAreToldByPurpose(t *testing.T) {
+// Guards against metrics from which operators cannot tell what fills their links: bytes must be
+// counted by purpose within seconds of the requests.
+func TestTrafficIsReportedByPurpose(t *testing.T) {
 	t.Parallel()
-	s := newSite(t)
+	s := newTestCluster(t)
 	all := s.startAll(2)
 	for n := range 20 {
-		assert.Equal(t, s.ask(all[0], fmt.Sprint("/read/", n)), 200)
+		assert.Equal(t, s.request(all[0], fmt.Sprint("/read/", n)), 200)
 	}
 	counted := func(purpose string) bool {
 		return s.metric(all[0], "heatherlock_gateway_exchanged_bytes", `purpose="`+purpose+`"`) > 0
--- a/node/gateway/workspaces.go
+++ b/node/gateway/workspaces.go
@@ -12,7 +12,7 @@
 	"heatherlock/steering/allowance"
 )
 
-// newAllowances makes what holds workspaces to their allowances.
+// newAllowances creates the service that enforces the request allowances of workspaces.
 func (g *Gateway) newAllowances() error {
 	address, err := platform.AllowanceAddressOf(g.settings.PeerAddress())
 	if err != nil {
@@ -23,39 +23,39 @@
 		return errors.Wrap(err, "gateway: listen for allowances")
 	}
 	b := g.settings.Bounds
-	g.credits = allowances.New(allowances.Config{Self: g.settings.VM, Log: g.log, Scope: g.metrics.Scope,
+	g.allowanceService = allowances.New(allowances.Config{Self: g.settings.VM, Log: g.log, Scope: g.metrics.Scope,
 		Slack: allowance.Slack{Window: b.AllowanceWindow, Share: b.AllowanceShare, Requests: b.AllowanceRequests},
-		Low:   func() { g.fleet.Announce() }, Sent: g.countAllowances}, conn)
+		Low:   func() { g.fleet.Announce() }, Sent: g.countAllowanceTraffic}, conn)
 	return nil
 }
 
-func (g *Gateway) countAllowances(to steering.VM, bytes int) {
+func (g *Gateway) countAllowanceTraffic(to steering.VM, bytes int) {
 	g.meter.Count(volume.Allowances, g.fleet.PlaceOf(to), int64(bytes))
 }
 
-// tellAllowances tells who lives, and how many entry VMs there are.
-func (g *Gateway) tellAllowances() {
+// updateAllowancePeers passes the live VMs and the number of entry VMs to the allowance service.
+func (g *Gateway) updateAllowancePeers() {
 	live := g.fleet.Live()
 	peers := make([]allowances.Peer, 0, len(live))
 	for _, m := range live {
 		address, err := platform.AllowanceAddressOf(m.Peer)
 		if err != nil {
-			_ = g.log.Log("msg", "entry VM without an address for allowances", "peer", m.Name, "err", err) // the writer counts what it drops
+			_ = g.log.Log("msg", "entry VM has no valid address for allowances", "peer", m.Name, "err", err) // the log writer counts dropped lines
 			continue
 		}
 		peers = append(peers, allowances.Peer{Name: m.Name, Address: address, Weight: float64(m.Capacity)})
 	}
-	g.credits.SetFleet(peers, g.fleet.Standing())
+	g.allowanceService.SetFleet(peers, g.fleet.Standing())
 }
 
-// logWorkspaces writes one line of what became of the requests of workspaces with an
-// allowance since the last, and counts them.
+// logWorkspaces logs in one line how many requests of workspaces with an allowance were admitted,
+// refused and not run since the last call, and adds them to the metrics.
 func (g *Gateway) logWorkspaces() {
-	counts := g.credits.Take()
+	counts := g.allowanceService.Take()
 	if len(counts) == 0 {
 		return
 	}
-	_ = g.log.Log("msg", "workspaces", "zone", g.settings.Zone, "counts", counts) // the writer counts what it drops
+	_ = g.log.Log("msg", "workspaces", "zone", g.settings.Zone, "counts", counts) // the log writer counts dropped lines
 	for name, n := range counts {
 		scope := g.metrics.Scope.Tagged(map[string]string{"workspace": string(name)})
 		scope.Counter("gateway_workspace_admitted").Inc(n.Admitted)
--- a/node/gateway/workspaces_test.go
+++ b/node/gateway/workspaces_test.go
@@ -17,11 +17,11 @@
 	"heatherlock/steering"
 )
 
-// secret begins every API key of these tests.
+// secret is the prefix of every API key in these tests.
 const secret = "test-secret-"
 
-// workspace declares a workspace, or replaces it.
-func (s *site) workspace(name string, rate float64, keys ...string) {
+// workspace adds a workspace to the configuration, or replaces it.
+func (s *testCluster) workspace(name string, rate float64, keys ...string) {
 	for n, w := range s.workspaces {
 		if w["name"] == name {
 			s.workspaces = append(s.workspaces[:n], s.workspaces[n+1:]...)
@@ -31,8 +31,8 @@
 	s.workspaces = append(s.workspaces, map[string]any{"name": name, "apiKeys": keys, "ratePerS": rate, "burst": rate, "homeRegions": []string{}})
 }
 
-// askAs sends a read with an API key.
-func (s *site) askAs(v *vm, key string) (status int, reason steering.Reason) {
+// requestAs sends a read with an API key.
+func (s *testCluster) requestAs(v *vm, key string) (status int, reason steering.Reason) {
 	r, err := http.NewRequest(http.MethodGet, "http://"+v.settings.Listen.Callers+"/read/1", nil)
 	assert.NilError(s.t, err)
 	r.Host = "shop.example"
@@ -44,38 +44,38 @@
 		return 0, ""
 	}
 	defer response.Body.Close()
-	_, _ = io.Copy(io.Discard, response.Body) // the status is what is looked at
+	_, _ = io.Copy(io.Discard, response.Body) // only the status and a header matter here
 	return response.StatusCode, steering.Reason(response.Header.Get("Heatherlock-Reason"))
 }
 
-func (s *site) statusOf(v *vm) *status.Status {
+func (s *testCluster) statusOf(v *vm) *status.Status {
 	got, err := status.Ask(s.t.Context(), http.DefaultClient, v.settings.Listen.Control)
 	assert.NilError(s.t, err)
 	return got
 }
 
-// Guards against a revoked key that a VM goes on taking since the store turns it away, and
-// follows docs/operations/workspaces.md, "Revoke a key".
+// Guards against a VM that goes on accepting a revoked key because the store does not respond to
+// it. Follows docs/operations/workspaces.md, "Revoke a key".
 func TestRevokedKeyIsRefusedEverywhereInTime(t *testing.T) {
 	t.Parallel()
-	s := newSite(t)
+	s := newTestCluster(t)
 	s.links = newLinks(wideMegabits)
 	s.workspace("museum", 0, secret+"1", secret+"2")
 	s.configure()
 	all := s.startAll(4)
 	for _, v := range all {
-		got, _ := s.askAs(v, secret+"2")
+		got, _ := s.requestAs(v, secret+"2")
 		assert.Equal(t, got, 200)
 	}
-	s.links.cutFromStore(all[0])
+	s.links.blockStore(all[0])
 	s.workspace("museum", 0, secret+"1")
 	s.configure()
 	for _, v := range all {
 		within(t, 3*time.Second, "revoked", func() bool {
-			_, reason := s.askAs(v, secret+"2")
+			_, reason := s.requestAs(v, secret+"2")
 			return reason == steering.ReasonAPIKeyUnknown
 		})
-		got, _ := s.askAs(v, secret+"1")
+		got, _ := s.requestAs(v, secret+"1")
 		assert.Equal(t, got, 200)
 	}
 	version := s.statusOf(all[0]).ConfigVersion
@@ -84,11 +84,11 @@
 	}
 }
 
-// Guards against an allowance that holds for each VM by itself, and follows
+// Guards against an allowance that each VM applies on its own instead of across all VMs. Follows
 // docs/operations/workspaces.md, "Find who floods" and "Raise a limit".
 func TestFloodIsFoundAndALimitIsRaised(t *testing.T) {
 	t.Parallel()
-	s := newSite(t)
+	s := newTestCluster(t)
 	s.workspace("museum", 20, secret+"1")
 	s.workspace("spa", 500, secret+"2")
 	s.configure()
@@ -98,7 +98,7 @@
 		var running sync.WaitGroup
 		for end, n := time.Now().Add(d), 0; time.Now().Before(end); n++ {
 			running.Go(func() {
-				got, reason := s.askAs(all[n%3], secret+"1")
+				got, reason := s.requestAs(all[n%3], secret+"1")
 				mu.Lock()
 				defer mu.Unlock()
 				if got == 200 {
@@ -116,7 +116,7 @@
 	ran, beyond := flood(2 * time.Second)
 	assert.Assert(t, ran <= 100 && ran >= 30, "%d ran", ran)
 	assert.Assert(t, beyond > 50, "%d refused", beyond)
-	got, _ := s.askAs(all[0], secret+"2")
+	got, _ := s.requestAs(all[0], secret+"2")
 	assert.Equal(t, got, 200)
 
 	asked, owners := int64(0), 0
@@ -139,30 +139,30 @@
 	s.workspace("museum", 2000, secret+"1")
 	s.configure()
 	for _, v := range all {
-		within(t, 3*time.Second, "in force", func() bool { return s.statusOf(v).ConfigVersion == uint64(s.version) })
+		within(t, 3*time.Second, "configuration active", func() bool { return s.statusOf(v).ConfigVersion == uint64(s.version) })
 	}
 	time.Sleep(300 * time.Millisecond)
 	_, beyond = flood(500 * time.Millisecond)
 	assert.Equal(t, beyond, 0)
 }
 
-// Guards against API keys in anything that a VM writes or tells: logs, metrics, status, what
-// peers ask of it, and answers to callers.
-func TestKeysShowNowhere(t *testing.T) {
+// Guards against API keys in anything that a VM writes or sends: logs, metrics, status, responses
+// to peers and to callers.
+func TestAPIKeysAreNeverExposed(t *testing.T) {
 	t.Parallel()
-	s := newSite(t)
+	s := newTestCluster(t)
 	s.logs = &safeBuffer{}
 	s.workspace("museum", 5, secret+"1", secret+"2")
 	s.configure()
 	all := s.startAll(2)
 	for n := range 60 {
-		s.askAs(all[n%2], secret+fmt.Sprint(1+n%3)) // the third is unknown
+		s.requestAs(all[n%2], secret+fmt.Sprint(1+n%3)) // the third is unknown
 	}
 	s.workspace("museum", 5, secret+"1")
 	s.configure()
 	time.Sleep(1500 * time.Millisecond)
 	shown := s.logs.String()
-	assert.Assert(t, strings.Contains(shown, "over_allowance") && strings.Contains(shown, "api_key_unknown"), "the log tells of refusals")
+	assert.Assert(t, strings.Contains(shown, "over_allowance") && strings.Contains(shown, "api_key_unknown"), "the log reports refusals")
 	for _, v := range all {
 		for _, url := range []string{v.settings.Listen.Control + status.Path, v.settings.Listen.Control + "/v1/known?since=0",
 			fmt.Sprintf("%s:%d/metrics", v.settings.IP, v.settings.MetricsPort), v.settings.Listen.Directory + platform.PathDirectory + "?name=shop.example&region=r&zone=a"} {
@@ -181,10 +181,10 @@
 			shown += fmt.Sprint(run.Header)
 		}
 	}
-	assert.Assert(t, !strings.Contains(shown, secret), "an API key shows")
+	assert.Assert(t, !strings.Contains(shown, secret), "an API key is exposed")
 }
 
-// safeBuffer is a buffer for logs of several VMs.
+// safeBuffer is a buffer that several VMs may log to concurrently.
 type safeBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
