--- a/node/gateway/volume/volume.go
+++ b/node/gateway/volume/volume.go
@@ -1,6 +1,9 @@
-// Package volume counts the bytes that an entry VM exchanges, by what they are for and how
-// far they go. Links between regions are the dearest and narrowest of a deployment: an
-// operator whose links fill up sees here what fills them.
+// Package volume counts the bytes that an entry VM exchanges, by purpose and by distance. The
+// links between regions are the most expensive and narrowest of a deployment; the counts show
+// operators what fills them.
+//
+// A Meter collects the counts. Callers add to it with Count, or wrap a connection with Conn, and
+// read it with TakeSums.
 package volume
 
 import (
@@ -10,28 +13,29 @@
 	"heatherlock/steering"
 )
 
-// Purpose is what bytes are exchanged for.
+// Purpose says what bytes are exchanged for. Its values are written to logs and metrics.
 type Purpose string
 
-// Purposes.
 const (
-	// Requests and their answers, between an entry VM and targets.
+	// Requests are requests of callers and the responses to them, between an entry VM and
+	// targets.
 	Requests Purpose = "requests"
-	// Heartbeats, as their sender counts them.
+	// Heartbeats are counted by their sender.
 	Heartbeats Purpose = "heartbeats"
-	// Allowances are reports on what workspaces use, and their answers, as their sender
-	// counts them.
+	// Allowances are reports on the usage of workspaces and the replies to them, each counted by
+	// its sender.
 	Allowances Purpose = "allowances"
-	// Targets is what other entry VMs tell of targets, as who asks counts it.
+	// Targets are target updates from other entry VMs, counted by the VM that pulls them.
 	Targets Purpose = "targets"
-	// Configuration is what other entry VMs tell of it, as who asks counts it.
+	// Configuration is configuration data from other entry VMs, counted by the VM that fetches
+	// it.
 	Configuration Purpose = "configuration"
-	// Store is what is read from the store and written to it.
+	// Store is data read from or written to the store.
 	Store Purpose = "store"
 )
 
-// Sum is a number of bytes by how far they go: within the zone, to other zones of the
-// region, to other regions, or to a place that is not known.
+// Sum is a number of bytes by distance: within the zone (Zone), between zones of the region
+// (Region), between regions (Across), or to or from an unknown location (Unknown).
 type Sum struct {
 	Zone    int64 `json:"zone,omitempty"`
 	Region  int64 `json:"region,omitempty"`
@@ -39,7 +43,7 @@
 	Unknown int64 `json:"unknown,omitempty"`
 }
 
-// Add adds another sum.
+// Add adds the bytes of o to s.
 func (s *Sum) Add(o Sum) {
 	s.Zone += o.Zone
 	s.Region += o.Region
@@ -47,18 +51,18 @@
 	s.Unknown += o.Unknown
 }
 
-// ByDistance returns the sum's parts by name, as they are told in metrics.
+// ByDistance returns the bytes by the distance labels that metrics use.
 func (s Sum) ByDistance() map[string]int64 {
 	return map[string]int64{"zone": s.Zone, "region": s.Region, "across": s.Across, "unknown": s.Unknown}
 }
 
-// Sums are sums by purpose.
+// Sums holds a Sum for each purpose with any bytes.
 type Sums map[Purpose]Sum
 
-// LineMessage marks the line of a log that holds sums.
+// LineMessage is the message of the log lines that hold Sums. Tools find the lines by it.
 const LineMessage = "bytes exchanged"
 
-// Place is where bytes go to or come from; empty where it is not known.
+// Place is the location of the other end of an exchange. The zero value means unknown.
 type Place struct {
 	Zone   steering.Zone
 	Region steering.Region
@@ -73,12 +77,12 @@
 	totals map[Purpose]int64
 }
 
-// NewMeter returns the meter of an entry VM at a place.
+// NewMeter returns a Meter for the entry VM at a location, from which distances are measured.
 func NewMeter(self Place) *Meter {
 	return &Meter{self: self, sums: make(Sums), totals: make(map[Purpose]int64)}
 }
 
-// Count counts bytes that went to a place or came from it.
+// Count adds bytes that were sent to or received from a location.
 func (m *Meter) Count(p Purpose, at Place, bytes int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -88,7 +92,8 @@
 	m.totals[p] += bytes
 }
 
-// Total returns what was counted for a purpose since the meter was made.
+// Total returns the bytes counted for a purpose since the Meter was created. TakeSums does not
+// reset it.
 func (m *Meter) Total(p Purpose) int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -107,7 +112,7 @@
 	return Sum{Zone: bytes}
 }
 
-// TakeSums returns what was counted since the last call.
+// TakeSums returns the bytes counted since its last call, and resets them.
 func (m *Meter) TakeSums() Sums {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -116,7 +121,7 @@
 	return taken
 }
 
-// Conn returns a connection whose bytes are counted, both ways.
+// Conn returns a connection that counts the bytes read from and written to raw.
 func (m *Meter) Conn(raw net.Conn, p Purpose, at Place) net.Conn { return &conn{raw, m, p, at} }
 
 type conn struct {
--- a/node/gateway/volume/volume_test.go
+++ b/node/gateway/volume/volume_test.go
@@ -18,10 +18,10 @@
 	m.Count(volume.Heartbeats, volume.Place{Zone: "c", Region: "south"}, 8)
 	m.Count(volume.Store, volume.Place{}, 16)
 	assert.DeepEqual(t, m.TakeSums(), volume.Sums{volume.Heartbeats: {Zone: 1, Region: 2, Across: 12}, volume.Store: {Unknown: 16}})
-	assert.Equal(t, len(m.TakeSums()), 0, "taken before")
+	assert.Equal(t, len(m.TakeSums()), 0, "the sums were taken before")
 }
 
-func TestBothWaysOfAConnectionCount(t *testing.T) {
+func TestConnCountsBothDirections(t *testing.T) {
 	m := volume.NewMeter(volume.Place{Zone: "a", Region: "north"})
 	near, far := net.Pipe()
 	counted := m.Conn(near, volume.Requests, volume.Place{Zone: "a", Region: "north"})
