--- a/node/gateway/planted/leaving_ignored.go
+++ b/node/gateway/planted/leaving_ignored.go
@@ -2,5 +2,5 @@
 
 package planted
 
-// Defect is the defect of this build.
+// Defect is the defect in this build.
 const Defect = LeavingIgnored
--- a/node/gateway/planted/planted.go
+++ b/node/gateway/planted/planted.go
@@ -1,26 +1,27 @@
-// Package planted holds defects that the fault soak must find. A usual build has
-// none of them: Defect is a constant, and the compiler drops what it guards. A
-// build with the tag planted_NAME has the defect NAME.
+// Package planted names defects that the fault soak must find when they are built in on purpose.
+// A normal build has none of them: Defect is a constant, so that the compiler removes the code
+// that it guards. A build with the tag planted_NAME has the defect NAME.
 package planted
 
-// Name is the name of a defect.
+// Name is the name of a defect, as in the build tag.
 type Name string
 
-// Defects.
 const (
+	// None is the value of Defect in a normal build.
 	None Name = ""
-	// Twice sends a request that must run at most once again after a lost answer.
+	// Twice resends a request that is not idempotent after its response was lost.
 	Twice Name = "twice"
-	// FalselyNotRun tells callers that a request has not run when its answer was lost.
+	// FalselyNotRun tells callers that a request has not run although its response was lost.
 	FalselyNotRun Name = "falsely_not_run"
-	// Crossed passes on answers that belong to other requests.
+	// Crossed forwards responses that belong to other requests.
 	Crossed Name = "crossed"
-	// LeavingIgnored goes on sending to targets that leave.
+	// LeavingIgnored keeps sending requests to targets that are leaving.
 	LeavingIgnored Name = "leaving_ignored"
-	// StaleConfig keeps the first configuration.
+	// StaleConfig keeps the first configuration instead of applying newer ones.
 	StaleConfig Name = "stale_config"
-	// ImmediateExit ends at once on SIGTERM.
+	// ImmediateExit exits on SIGTERM without finishing the running requests.
 	ImmediateExit Name = "cut_on_stop"
-	// ReusedAddress sends to whoever holds an address.
+	// ReusedAddress sends requests to whichever target holds an address, without checking that it
+	// is the intended one.
 	ReusedAddress Name = "reused_address"
 )
