--- a/node/gateway/feed/configread.go
+++ b/node/gateway/feed/configread.go
@@ -8,27 +8,28 @@
 	"heatherlock/steering/spread"
 )
 
-// configWait is how long the other parts of a read wait for the configuration, which may be
-// long on its way: a usual one takes some milliseconds more than they do.
-const configWait = 500 * time.Millisecond
+// configReadWait is how long a read of the store waits for the configuration once the targets and
+// evacuations have been read. A configuration of usual size arrives a few milliseconds after them;
+// a large one may take much longer.
+const configReadWait = 500 * time.Millisecond
 
-// configRead is a read of the configuration.
+// configRead is a read of the configuration from the store.
 type configRead struct {
 	began time.Time
 	done  chan struct{}
-	err   error // once done
+	err   error // set before done is closed
 }
 
-// Behind returns the newest version of the configuration that is known to exist, and how
-// long this VM has known of one newer than that in force; behind is false if it knows of
-// none.
+// Behind returns the newest configuration version known to exist and how long this VM has known of
+// a version newer than the one in force. behind is false if it knows of none.
 func (r *Reader) Behind() (newest uint64, late time.Duration, behind bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Behind(time.Now())
 }
 
-// Index returns the configuration in force with the hashes of its parts, or nil.
+// Index returns the configuration in force with the hashes of its parts, or nil before the first
+// configuration.
 func (r *Reader) Index() *spread.Index {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -42,10 +43,11 @@
 	return r.index
 }
 
-// Take takes in a configuration that came from peers.
+// Take puts a configuration that was fetched from peers in force if it is newer than the current
+// one.
 func (r *Reader) Take(x *spread.Index) {
 	r.update(func() bool {
-		if !r.state.TakeTable(time.Now(), x.Table()) {
+		if !r.state.SetTable(time.Now(), x.Table()) {
 			return false
 		}
 		r.index = x
@@ -53,27 +55,27 @@
 	})
 }
 
-// startConfig begins to read the configuration, or returns the read that is under way.
+// startConfig starts a read of the configuration, or returns the one already in progress.
 func (r *Reader) startConfig(ctx context.Context) *configRead {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.config != nil {
-		return r.config
+	if r.pendingConfig != nil {
+		return r.pendingConfig
 	}
 	c := &configRead{began: time.Now(), done: make(chan struct{})}
-	r.config = c
+	r.pendingConfig = c
 	go func() {
 		c.err = r.readConfig(ctx, c.began)
 		r.mu.Lock()
-		r.config = nil
+		r.pendingConfig = nil
 		r.mu.Unlock()
 		close(c.done)
 	}()
 	return c
 }
 
-// within waits for the end of the read, and reports whether it has ended.
-func (c *configRead) within(ctx context.Context, limit time.Duration) bool {
+// wait waits up to limit for the read to finish and reports whether it has.
+func (c *configRead) wait(ctx context.Context, limit time.Duration) bool {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
@@ -85,7 +87,8 @@
 	return false
 }
 
-// ReadConfig reads the configuration from the store, whoever else is to read.
+// ReadConfig reads the configuration from the store whatever this VM's read rank is, and returns
+// once the read has finished or ctx is done. It joins a read in progress.
 func (r *Reader) ReadConfig(ctx context.Context) error {
 	c := r.startConfig(ctx)
 	select {
@@ -96,54 +99,56 @@
 	}
 }
 
+// readConfig reads the configurations written since the last known revision, or the whole
+// configuration if the store no longer has the changes since then.
 func (r *Reader) readConfig(ctx context.Context, began time.Time) error {
 	_, since, _ := r.revisions()
 	if since > 0 {
 		next, err := r.store.ConfigChanges(ctx, since, 0)
 		if platform.FaultOf(err) != platform.FaultHistoryGone {
-			r.configured(began, next, err)
+			r.applyConfigRead(began, next, err)
 			return err
 		}
 	}
 	next, err := r.store.Config(ctx)
-	r.configured(began, next, err)
+	r.applyConfigRead(began, next, err)
 	return err
 }
 
-// configured takes in what a read brought. One that failed may still say where to go on;
-// it shows nothing about newer versions.
-func (r *Reader) configured(began time.Time, c platform.Config, err error) {
+// applyConfigRead applies the result of a read. A failed read may still return the revision to
+// continue from, but it is no evidence about newer versions, so its start time is discarded.
+func (r *Reader) applyConfigRead(began time.Time, c platform.Config, err error) {
 	if err != nil {
 		began = time.Time{}
 	}
-	r.update(func() bool { return r.state.Configured(time.Now(), began, c.Table, c.Revision) })
-	r.reject(c)
+	r.update(func() bool { return r.state.ApplyConfigRead(time.Now(), began, c.Table, c.Revision) })
+	r.noteRejected(c)
 }
 
-// reject notes a configuration that cannot be used, and tells it once.
-func (r *Reader) reject(c platform.Config) {
+// noteRejected remembers a configuration that cannot be used and logs each one once.
+func (r *Reader) noteRejected(c platform.Config) {
 	if c.Table == nil && c.Rejected == nil {
-		return // nothing new
+		return // the read found nothing new
 	}
 	r.mu.Lock()
 	known := r.rejected
 	r.rejected = c.Rejected
 	r.mu.Unlock()
 	if c.Rejected != nil && (known == nil || *known != *c.Rejected) {
-		_ = r.log.Log("msg", "configuration rejected, the one in force stays", "version", c.Rejected.Version, "why", c.Rejected.Reason) // the writer counts what it drops
+		_ = r.log.Log("msg", "configuration rejected, the one in force stays", "version", c.Rejected.Version, "why", c.Rejected.Reason) // the log writer counts the lines that it drops
 	}
 }
 
-// Rejected returns the newest configuration that this VM read and that cannot be used, or
-// nil if a usable one came after it.
+// Rejected returns the newest configuration that this VM has read if it cannot be used, or nil if
+// the newest one is usable.
 func (r *Reader) Rejected() *platform.RejectedConfig {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rejected
 }
 
-// InForce returns the configuration in force, the hash of its content and since when it is
-// in force here; ok is false before the first.
+// InForce returns the version of the configuration in force, the hash of its content and the time
+// at which this VM put it in force. ok is false before the first configuration.
 func (r *Reader) InForce() (version, content uint64, since time.Time, ok bool) {
 	index := r.Index()
 	if index == nil {
@@ -154,8 +159,8 @@
 	return index.Table().Version, index.Outline().ContentHash(), r.state.tableSince, true
 }
 
-// ContentHash returns the hash of the content of the configuration in force if it is known
-// without further work, else 0.
+// ContentHash returns the hash of the content of the configuration in force, or 0 if the hash has
+// not been computed yet.
 func (r *Reader) ContentHash() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/node/gateway/feed/doc.go
+++ b/node/gateway/feed/doc.go
@@ -1,6 +1,8 @@
-// Package feed keeps what an entry VM knows of the store: the configuration,
-// the targets, and the zones that are being evacuated.
+// Package feed keeps an entry VM's copy of what the store holds: the configuration, the targets and
+// the zones under evacuation.
 //
-// State is the pure part: it takes what was read, with the time, and says what
-// that means for placement. Reader asks the store.
+// State is the copy itself. It does no I/O: it is given what was read from the store or received
+// from peers, with the time, and derives the input of the placement. Reader reads the store when it
+// is this VM's turn, exchanges digests and updates with peers through its callers, and passes
+// changes on to a Sink.
 package feed
--- a/node/gateway/feed/reader.go
+++ b/node/gateway/feed/reader.go
@@ -16,40 +16,41 @@
 )
 
 const (
-	// readEvery is the longest age at which the first reader reads the store again.
-	// The entries of targets change with every heartbeat, so that a waiting watch
-	// would return at once; with this and the steps below a change is known
-	// everywhere well within the 2.5 s that a leaving target is given.
-	readEvery = 1100 * time.Millisecond
-	// readTime is how long a read that another VM has begun is waited for. With many
-	// targets a small VM takes longer for one than the step to the next in rank, and
-	// all those after it would read as well.
-	readTime = 700 * time.Millisecond
-	// boundUse is the part of a shorter bound that may pass before the next read.
-	boundUse = 0.4
-	// shortestEvery keeps a bound that is set far too short from flooding the store.
-	shortestEvery = 200 * time.Millisecond
-	// readStep is how much later each further entry VM reads, if none before it
-	// did. A reader that is gone, cut off or paused costs a step, and no lease
-	// has to lapse; two that read at once harm nothing.
-	readStep = 200 * time.Millisecond
-	// stepRanks have a full step each; those behind them a farStep. The few cover a
-	// zone that is lost, and in a large fleet the many must not all read when news
-	// is late for a moment. A VM that hears nobody has rank 0.
-	stepRanks = 4
-	farStep   = 10 * time.Millisecond
-	// startWait is how long a VM that starts waits for peers to tell it, which
-	// saves three calls: a way there and back over the longest link. After the loss
-	// of all VMs it is time in which nobody serves.
-	startWait = 80 * time.Millisecond
-	// failedPause is waited after a failed read, once for each VM that comes
-	// before this one, up to lastPause: while the store is away a few ask whether
-	// it is back, and the others hear of it from them.
-	failedPause = 300 * time.Millisecond
-	lastPause   = 3 * time.Second
+	// maxReadInterval is the age of the state at which the VM of rank 0 reads the store again. A
+	// blocking watch would return at once, since the entries of targets change with every
+	// heartbeat. With this interval and the delays per rank below, a change is known on all VMs
+	// well within the 2.5 s that a leaving target is given.
+	maxReadInterval = 1100 * time.Millisecond
+	// peerReadTimeout is how long a read that another VM has started is waited for. With many
+	// targets a small VM takes longer for a read than the delay between two ranks, and without this
+	// wait all VMs ranked after it would read as well.
+	peerReadTimeout = 700 * time.Millisecond
+	// boundFraction is the fraction of a bound set by SetBound that may pass before the next read.
+	boundFraction = 0.4
+	// minReadInterval keeps a bound that is set far too short from flooding the store.
+	minReadInterval = 200 * time.Millisecond
+	// rankDelay is how much later the VM of each further rank reads if none before it has. If a
+	// reader has crashed, is cut off or is paused, this costs one delay, with no lease that has to
+	// expire first; two VMs that read at the same time do no harm.
+	rankDelay = 200 * time.Millisecond
+	// The first fullDelayRanks ranks are a full rankDelay apart, and the ranks behind them a
+	// highRankDelay. The first ranks are enough to cover the loss of a zone. In a large fleet the
+	// VMs behind them must not all read when a result is late for a moment, which the extra delay
+	// per rank prevents. A VM that receives no heartbeats has rank 0.
+	fullDelayRanks = 4
+	highRankDelay  = 10 * time.Millisecond
+	// startupWait is how long a starting VM waits for peers to send their state, which saves it
+	// three calls to the store. It is one round trip over the longest link and no more, because
+	// after the loss of all VMs no VM serves requests during this time.
+	startupWait = 80 * time.Millisecond
+	// retryDelay is the delay after a failed read, multiplied by 1 plus the VM's rank, up to
+	// maxRetryDelay. While the store is unavailable only a few VMs check often whether it is back,
+	// and the others learn it from them.
+	retryDelay    = 300 * time.Millisecond
+	maxRetryDelay = 3 * time.Second
 )
 
-// Store is what a Reader reads.
+// Store is the part of the store's client that a Reader needs.
 type Store interface {
 	Targets(ctx context.Context) (platform.TargetList, error)
 	TargetChanges(ctx context.Context, since int64, wait time.Duration) (platform.TargetChanges, error)
@@ -59,58 +60,66 @@
 	EvacuationChanges(ctx context.Context, since int64, wait time.Duration) ([]platform.EvacuationChange, int64, error)
 }
 
-// Sink takes what a Reader learns.
+// Sink receives what a Reader learns. Configured and Placed are called with the Reader's lock held.
 type Sink interface {
-	// Configured is told each newer configuration, and for how long this VM has known
-	// that there is a newer one than before.
+	// Configured is called with each newer configuration and with how long this VM has known that
+	// it exists.
 	Configured(t *routes.Table, known time.Duration)
-	// Placed is told the targets when they changed.
+	// Placed is called with the targets when they, the evacuated zones or the configuration
+	// changed. known returns the generation of a target, and false for a target that is not in the
+	// state.
 	Placed(targets []placement.Target, known func(steering.Target) (steering.Generation, bool))
-	// Unusable is told the entries that name no target, each time that they are read.
+	// Unusable is called after each read that found target entries from which no usable target can
+	// be read.
 	Unusable(entries []platform.BadEntry)
-	// Reading is told that a read of the store begins, Refreshed that it was read.
+	// Reading is called when a read of the store begins, except while reads fail, and Refreshed
+	// when a read has succeeded.
 	Reading()
 	Refreshed()
 }
 
-// Peers is what a Reader knows of other entry VMs.
+// Peers is what a Reader needs to know about the other entry VMs.
 type Peers interface {
-	// ReadRank says how many entry VMs are to read before this one.
+	// ReadRank returns how many entry VMs read the store before this one. fails says whether this
+	// VM's reads fail.
 	ReadRank(fails bool) int
-	// ReadBegun says when one of them last told that it begins to read.
+	// ReadBegun returns when an entry VM that reads before this one last reported the start of a
+	// read, or the zero time.
 	ReadBegun() time.Time
 }
 
-// Reader keeps a State by reading the store, or by what peers tell.
+// Reader keeps a State up to date by reading the store and by applying what peers send. It is safe
+// for concurrent use.
 type Reader struct {
 	store Store
 	sink  Sink
 	log   log.Logger
 	peers Peers
 
-	mu      sync.Mutex
-	state   *State
-	every   time.Duration
-	failing bool
-	reading atomic.Bool
-	// index is that of the configuration in force, once it was asked for.
+	mu       sync.Mutex
+	state    *State
+	interval time.Duration
+	failing  bool
+	reading  atomic.Bool
+	// index belongs to the configuration in force. It is built when it is first asked for.
 	index *spread.Index
-	// config is the read of the configuration that is under way, or nil.
-	config *configRead
-	// rejected is the newest configuration if it cannot be used, or nil.
+	// pendingConfig is the read of the configuration in progress, or nil.
+	pendingConfig *configRead
+	// rejected is the newest configuration if it cannot be used, else nil.
 	rejected *platform.RejectedConfig
 }
 
-// NewReader returns a reader that fills state.
+// NewReader returns a reader that keeps state up to date. state must not be used directly
+// afterwards.
 func NewReader(store Store, sink Sink, state *State, peers Peers, logger log.Logger) *Reader {
-	return &Reader{store: store, sink: sink, state: state, peers: peers, log: logger, every: readEvery}
+	return &Reader{store: store, sink: sink, state: state, peers: peers, log: logger, interval: maxReadInterval}
 }
 
-// Run reads until ctx ends, each time that the state is old enough.
+// Run reads the store until ctx is done, whenever the state is old enough for this VM's rank.
 func (r *Reader) Run(ctx context.Context) {
-	sleep(ctx, startWait)
+	sleep(ctx, startupWait)
 	for ctx.Err() == nil {
-		if wait := r.due(time.Now()); wait > 0 {
+		if wait := r.untilDue(time.Now()); wait > 0 {
 			sleep(ctx, wait)
 			continue
 		}
@@ -118,8 +127,8 @@
 	}
 }
 
-// due returns how long it is until this VM is to read.
-func (r *Reader) due(now time.Time) time.Duration {
+// untilDue returns how long it is until this VM must read the store; 0 or less means now.
+func (r *Reader) untilDue(now time.Time) time.Duration {
 	rank, begun := r.Rank(), r.peers.ReadBegun()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -127,23 +136,24 @@
 	if !ok {
 		return 0
 	}
-	steps := time.Duration(min(rank, stepRanks))*readStep + time.Duration(max(rank-stepRanks, 0))*farStep
-	return max(r.every+steps-age, readTime-now.Sub(begun))
+	steps := time.Duration(min(rank, fullDelayRanks))*rankDelay + time.Duration(max(rank-fullDelayRanks, 0))*highRankDelay
+	return max(r.interval+steps-age, peerReadTimeout-now.Sub(begun))
 }
 
-// Rank returns how many entry VMs are to read before this one.
+// Rank returns how many entry VMs read the store before this one.
 func (r *Reader) Rank() int { return r.peers.ReadRank(r.Failing()) }
 
-// Reading reports whether a read is under way.
+// Reading reports whether a read of the store is in progress.
 func (r *Reader) Reading() bool { return r.reading.Load() }
 
-// SetBound tells how soon after the store took a change it must be known.
+// SetBound sets the time within which a change in the store must be known on all VMs. 0 means that
+// the default read interval is short enough.
 func (r *Reader) SetBound(bound time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.every = readEvery
+	r.interval = maxReadInterval
 	if bound > 0 {
-		r.every = min(readEvery, max(time.Duration(boundUse*float64(bound)), shortestEvery))
+		r.interval = min(maxReadInterval, max(time.Duration(boundFraction*float64(bound)), minReadInterval))
 	}
 }
 
@@ -154,14 +164,14 @@
 	return r.failing
 }
 
-// Digest returns what is known, in short.
+// Digest returns a digest of the state to send to peers.
 func (r *Reader) Digest() Digest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Digest(time.Now())
 }
 
-// Merge takes in a peer's digest and reports whether to ask the peer for more.
+// Merge applies a peer's digest and reports whether to request an update from that peer.
 func (r *Reader) Merge(m Digest) (pull bool) {
 	r.update(func() (changed bool) {
 		pull, changed = r.state.Merge(time.Now(), m)
@@ -170,26 +180,27 @@
 	return pull
 }
 
-// Position returns what to ask a peer for.
+// Position returns the revision to send to a peer when requesting an update; 0 requests all
+// targets.
 func (r *Reader) Position() (since int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Position()
 }
 
-// UpdateSince returns what a peer needs that knows a revision.
+// UpdateSince returns the update for a peer whose targets are those of revision since.
 func (r *Reader) UpdateSince(since int64) Update {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.UpdateSince(time.Now(), since)
 }
 
-// Apply takes in what a peer told.
+// Apply applies an update that a peer sent.
 func (r *Reader) Apply(k Update) {
 	r.update(func() bool { return r.state.Apply(time.Now(), k) })
 }
 
-// update changes the state and tells the sink what that means.
+// update runs change, which modifies the state, and passes the results on to the sink.
 func (r *Reader) update(change func() bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -204,8 +215,8 @@
 	}
 }
 
-// read reads everything that changed. The parts are asked for at once: from
-// another region each takes two ways over the longest link.
+// read reads everything that changed in the store. The three parts are read concurrently: from
+// another region each takes a round trip over the longest link.
 func (r *Reader) read(ctx context.Context) {
 	began := time.Now()
 	r.reading.Store(true)
@@ -214,9 +225,9 @@
 		r.sink.Reading()
 	}
 	if r.Failing() {
-		// One call is enough to find out that the store is still away.
+		// One call is enough to find out whether the store is still unavailable.
 		if err := r.readTargets(ctx); err != nil {
-			r.failed(ctx, err)
+			r.readFailed(ctx, err)
 			return
 		}
 	}
@@ -228,35 +239,35 @@
 	all.Wait()
 	for _, err := range []error{targets, evacuations} {
 		if err != nil {
-			r.failed(ctx, err)
+			r.readFailed(ctx, err)
 			return
 		}
 	}
-	if !config.within(ctx, configWait) {
-		// The next read of the targets must not wait for it.
-		sleep(ctx, r.pause())
+	if !config.wait(ctx, configReadWait) {
+		// The next read of the targets must not wait for the configuration.
+		sleep(ctx, r.readInterval())
 		return
 	}
 	if config.err != nil {
-		r.failed(ctx, config.err)
+		r.readFailed(ctx, config.err)
 		return
 	}
 	if config.began.Before(began) {
 		began = config.began
 	}
-	r.succeeded(began)
+	r.readSucceeded(began)
 }
 
-func (r *Reader) pause() time.Duration {
+func (r *Reader) readInterval() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.every
+	return r.interval
 }
 
-func (r *Reader) succeeded(began time.Time) {
+func (r *Reader) readSucceeded(began time.Time) {
 	r.update(func() bool {
-		changed := r.state.Settle(time.Now())
-		r.state.Fresh(began)
+		changed := r.state.DropMissing(time.Now())
+		r.state.MarkRead(began)
 		return changed
 	})
 	r.mu.Lock()
@@ -264,12 +275,12 @@
 	r.failing = false
 	r.mu.Unlock()
 	if again {
-		_ = r.log.Log("msg", "store answers again") // the writer counts what it drops
+		_ = r.log.Log("msg", "store answers again") // the log writer counts the lines that it drops
 	}
 	r.sink.Refreshed()
 }
 
-func (r *Reader) failed(ctx context.Context, err error) {
+func (r *Reader) readFailed(ctx context.Context, err error) {
 	r.mu.Lock()
 	first := !r.failing
 	r.failing = true
@@ -278,16 +289,16 @@
 	if first && ctx.Err() == nil {
 		_ = r.log.Log("msg", "store does not answer", "err", err, "state_age_ms", age.Milliseconds()) // as above
 	}
-	sleep(ctx, min(failedPause*time.Duration(1+r.Rank()), lastPause))
+	sleep(ctx, min(retryDelay*time.Duration(1+r.Rank()), maxRetryDelay))
 }
 
 func (r *Reader) revisions() (targets, config, evacuations int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.state.distrusted {
-		return 0, r.state.configured, r.state.evacuation // to be listed anew
+	if r.state.inconsistent {
+		return 0, r.state.configRevision, r.state.evacuationRevision // read all targets again
 	}
-	return r.state.revision, r.state.configured, r.state.evacuation
+	return r.state.revision, r.state.configRevision, r.state.evacuationRevision
 }
 
 func (r *Reader) readTargets(ctx context.Context) error {
@@ -295,8 +306,8 @@
 	if since > 0 {
 		found, err := r.store.TargetChanges(ctx, since, 0)
 		if err == nil {
-			r.update(func() bool { return r.state.Changed(time.Now(), found) })
-			r.tellUnusable(found.Bad, found.Usable())
+			r.update(func() bool { return r.state.ApplyTargetChanges(time.Now(), found) })
+			r.reportUnusable(found.Bad, found.Usable())
 		}
 		if platform.FaultOf(err) != platform.FaultHistoryGone {
 			return err
@@ -304,16 +315,17 @@
 	}
 	all, err := r.store.Targets(ctx)
 	if err == nil {
-		r.update(func() bool { return r.state.Listed(time.Now(), all) })
-		r.tellUnusable(all.Bad, all.Targets)
+		r.update(func() bool { return r.state.SetTargets(time.Now(), all) })
+		r.reportUnusable(all.Bad, all.Targets)
 	}
 	return err
 }
 
-// tellUnusable tells the sink which of the entries just read name no target.
-func (r *Reader) tellUnusable(bad []platform.BadEntry, read []platform.Target) {
+// reportUnusable passes the entries of a read that name no usable target to the sink: those that
+// could not be read and those in zones that the settings do not name.
+func (r *Reader) reportUnusable(bad []platform.BadEntry, read []platform.Target) {
 	r.mu.Lock()
-	bad = append(bad, r.state.strangers(read)...)
+	bad = append(bad, r.state.inUnknownZones(read)...)
 	r.mu.Unlock()
 	if len(bad) > 0 {
 		r.sink.Unusable(bad)
@@ -325,7 +337,7 @@
 	if since > 0 {
 		changes, revision, err := r.store.EvacuationChanges(ctx, since, 0)
 		if err == nil {
-			r.update(func() bool { return r.state.EvacuationChanged(time.Now(), changes, revision) })
+			r.update(func() bool { return r.state.ApplyEvacuationChanges(time.Now(), changes, revision) })
 		}
 		if platform.FaultOf(err) != platform.FaultHistoryGone {
 			return err
@@ -333,7 +345,7 @@
 	}
 	zones, revision, err := r.store.Evacuations(ctx)
 	if err == nil {
-		r.update(func() bool { return r.state.Evacuating(time.Now(), zones, revision) })
+		r.update(func() bool { return r.state.SetEvacuations(time.Now(), zones, revision) })
 	}
 	return err
 }
--- a/node/gateway/feed/share.go
+++ b/node/gateway/feed/share.go
@@ -7,12 +7,12 @@
 	"heatherlock/steering"
 )
 
-// Digest returns what is known, in short.
+// Digest returns a digest of the state to send to peers.
 func (s *State) Digest(now time.Time) Digest {
-	m := Digest{Revision: s.revision, Content: s.content, ColdRevision: s.cold, ConfigRevision: s.configured, EvacuationRevision: s.evacuation,
+	m := Digest{Revision: s.revision, Content: s.contentHash, ColdRevision: s.coldRevision, ConfigRevision: s.configRevision, EvacuationRevision: s.evacuationRevision,
 		Config: s.version(), Newest: s.newest, AgeMs: now.Sub(s.readAt).Milliseconds()}
-	if s.readAt.IsZero() || s.distrusted {
-		return Digest{Config: m.Config, Newest: m.Newest} // nothing else that a peer could go by
+	if s.readAt.IsZero() || s.inconsistent {
+		return Digest{Config: m.Config, Newest: m.Newest} // the other fields would mislead peers
 	}
 	for zone := range s.evacuated {
 		m.Evacuated = append(m.Evacuated, zone)
@@ -21,7 +21,7 @@
 	return m
 }
 
-// version returns the version of the configuration, 0 without one.
+// version returns the version of the configuration in force, or 0 if there is none.
 func (s *State) version() uint64 {
 	if s.table == nil {
 		return 0
@@ -29,98 +29,99 @@
 	return s.table.Version
 }
 
-// Merge takes in a peer's digest as far as that needs nothing further. pull tells
-// that the peer knows more of the targets; changed that something changed here. Whether
-// it knows of a newer configuration is told by Behind: targets and configuration are
-// asked for apart, since a configuration may be long on its way, and a target that
-// leaves must not wait for it.
+// Merge applies as much of a peer's digest as it can without further data. pull reports whether the
+// peer has newer targets that should be requested with UpdateSince, changed whether the evacuated
+// zones changed. Behind reports whether the peer's digest named a newer configuration: targets and
+// configuration are fetched separately because a large configuration can take long to transfer, and
+// the notice that a target is leaving must not wait for it.
 func (s *State) Merge(now time.Time, m Digest) (pull, changed bool) {
-	s.heardOf(now, max(m.Config, m.Newest))
+	s.noteVersion(now, max(m.Config, m.Newest))
 	if m.Revision == 0 {
 		return false, false
 	}
-	if m.EvacuationRevision > s.evacuation {
-		changed = s.Evacuating(now, m.Evacuated, m.EvacuationRevision)
+	if m.EvacuationRevision > s.evacuationRevision {
+		changed = s.SetEvacuations(now, m.Evacuated, m.EvacuationRevision)
 	}
 	if m.Config == s.version() {
-		s.configured = max(s.configured, m.ConfigRevision)
+		s.configRevision = max(s.configRevision, m.ConfigRevision)
 	}
 	if m.Revision < s.revision {
 		return false, changed
 	}
 	newer := m.Revision > s.revision
 	if s.revision == 0 {
-		s.floor = m.Revision
+		s.historyStart = m.Revision
 	}
 	if newer && m.ColdRevision > s.revision && s.revision > 0 {
 		return true, changed
 	}
-	if m.Content != s.content {
-		// At the same revision two VMs differ only in what they still hold for a
-		// target that missed its heartbeats; each settles that by itself.
+	if m.Content != s.contentHash {
+		// At the same revision two VMs can differ only in whether they still keep a target whose
+		// heartbeats are missing. Each VM resolves that by itself.
 		return newer, changed
 	}
 	s.revision = m.Revision
-	if s.distrusted {
-		s.distrusted, s.floor = false, m.Revision // the hash shows that it is right after all
+	if s.inconsistent {
+		s.inconsistent, s.historyStart = false, m.Revision // equal hashes show that the targets are correct after all
 	}
 	if max(m.Config, m.Newest) == s.newest {
-		s.freshBy(now, m, newer)
+		s.adoptAge(now, m, newer)
 	}
 	return false, changed
 }
 
-// ageMargin is how much younger a peer's read at the same revision has to be to
-// count as another read: above what digests of one read spend on their ways together
-// (spec/digest.pml). A reader writes to all itself, so that a read passes one or two
-// VMs, and the longest way between regions takes 70 ms.
-const ageMargin = 400 * time.Millisecond
+// minAgeDifference is how much younger than the local read a peer's read at the same revision must
+// be to count as a different read. It has to exceed the total transit time of the digests that
+// carried one read (spec/digest.pml): the VM that reads sends to all others itself, so a read
+// passes through one or two VMs, and the longest one-way transit between regions takes 70 ms.
+const minAgeDifference = 400 * time.Millisecond
 
-// freshBy takes over the age of a peer's read.
+// adoptAge adopts the age of a peer's read if that is a later read than the local one.
 //
-// What goes wrong when any younger age is taken: a digest does not age on its way,
-// so that two VMs which tell each other the same read make it younger each time.
-// One would notice that nobody reads the store any more. A read counts as
-// another only if it saw a newer revision, or is younger by more than the way.
-func (s *State) freshBy(now time.Time, m Digest, newer bool) {
+// A digest does not age in transit. If every younger age were adopted, two VMs that exchange the
+// same read would make it younger with each exchange, and none of them would notice that no VM
+// reads the store any more. So a read counts as later only if it saw a newer revision, or is
+// younger by more than the transit time.
+func (s *State) adoptAge(now time.Time, m Digest, newer bool) {
 	age := time.Duration(m.AgeMs) * time.Millisecond
-	if own, ok := s.Age(now); newer || !ok || age+ageMargin < own {
-		s.Fresh(now.Add(-age))
+	if own, ok := s.Age(now); newer || !ok || age+minAgeDifference < own {
+		s.MarkRead(now.Add(-age))
 	}
 }
 
-// Update is what one entry VM sends another: the changes after a revision that
-// the other knows, or everything.
+// Update is what one entry VM sends another on request: the changes after a revision that the other
+// VM has, or all targets.
 type Update struct {
 	Digest Digest `json:"digest"`
-	// Since is the revision after which Entries and Gone hold all changes; 0 means
-	// that Entries are all targets.
+	// Since is the revision after which Entries and Gone hold all changes. 0 means that Entries
+	// holds all targets.
 	Since   int64             `json:"since,omitempty"`
 	Entries []Entry           `json:"entries,omitempty"`
 	Gone    []steering.Target `json:"gone,omitempty"`
 }
 
-// Position returns what to ask a peer for: the changes after a revision, 0 for
-// everything.
+// Position returns the revision to send to a peer to request the changes after it; 0 requests all
+// targets.
 func (s *State) Position() (since int64) {
-	if s.distrusted {
+	if s.inconsistent {
 		return 0
 	}
 	return s.revision
 }
 
-// UpdateSince returns what a peer needs that knows a revision.
+// UpdateSince returns the update for a peer whose targets are those of revision since. It holds all
+// targets if since is 0 or older than the recorded history of changes.
 func (s *State) UpdateSince(now time.Time, since int64) Update {
 	k := Update{Digest: s.Digest(now)}
-	if since >= s.floor && since > 0 {
+	if since >= s.historyStart && since > 0 {
 		k.Since = since
 	}
 	for name, t := range s.targets {
 		if t.changed > k.Since || k.Since == 0 {
-			k.Entries = append(k.Entries, s.tell(now, name))
+			k.Entries = append(k.Entries, s.entryFor(now, name))
 		}
 	}
-	for name, e := range s.gone {
+	for name, e := range s.removed {
 		if k.Since > 0 && e.revision > k.Since {
 			k.Gone = append(k.Gone, name)
 		}
@@ -128,69 +129,70 @@
 	return k
 }
 
-func (s *State) tell(now time.Time, name steering.Target) Entry {
+// entryFor returns the entry of a target with its remaining cold time as of now.
+func (s *State) entryFor(now time.Time, name steering.Target) Entry {
 	e := *s.targets[name]
 	e.ColdFor = max(e.coldUntil.Sub(now), 0)
 	return e
 }
 
-// Apply takes in what a peer told. It reports whether anything changed.
+// Apply applies a peer's update and reports whether anything changed.
 func (s *State) Apply(now time.Time, k Update) bool {
 	changed := false
-	s.heardOf(now, max(k.Digest.Config, k.Digest.Newest))
-	if k.Digest.EvacuationRevision > s.evacuation {
-		changed = s.Evacuating(now, k.Digest.Evacuated, k.Digest.EvacuationRevision)
+	s.noteVersion(now, max(k.Digest.Config, k.Digest.Newest))
+	if k.Digest.EvacuationRevision > s.evacuationRevision {
+		changed = s.SetEvacuations(now, k.Digest.Evacuated, k.Digest.EvacuationRevision)
 	}
 	if k.Digest.Revision <= s.revision || k.Since > s.revision {
-		return changed // overtaken by another read meanwhile
+		return changed // another read or update was faster
 	}
 	if s.revision == 0 {
-		s.floor = k.Digest.Revision
+		s.historyStart = k.Digest.Revision
 	}
 	known := s.revision
-	names := s.replace(now, k)
+	names := s.applyEntries(now, k)
 	s.revision = k.Digest.Revision
-	changed = s.recorded(names) || changed
-	s.cold = max(s.cold, k.Digest.ColdRevision)
-	s.distrusted = k.Since != 0 && s.content != k.Digest.Content
-	if s.distrusted {
-		// What is known now is of no revision; the next update is the whole. The
-		// sender had taken over a revision by an equal hash, and missed a target
-		// that came and went in between.
+	changed = s.recordChanges(names) || changed
+	s.coldRevision = max(s.coldRevision, k.Digest.ColdRevision)
+	s.inconsistent = k.Since != 0 && s.contentHash != k.Digest.Content
+	if s.inconsistent {
+		// The targets now match no revision of the store, so the next update must hold all targets.
+		// This happens if the sender adopted a later revision because the hashes were equal, and so
+		// never saw a target that was added and removed in between.
 		s.revision = known
 		return changed
 	}
-	s.freshBy(now, k.Digest, true)
+	s.adoptAge(now, k.Digest, true)
 	return changed
 }
 
-// coldNews is how much longer a target has to be cold than was known for that to
-// be news and not the time that the update was on its way.
-const coldNews = 500 * time.Millisecond
+// minColdExtension is how much later than known a target's cold time must end for the target to
+// count as changed. A smaller difference can come from the transit time of the update.
+const minColdExtension = 500 * time.Millisecond
 
-// replace puts a peer's entries in place of the own ones, and returns the names of
-// those that changed.
-func (s *State) replace(now time.Time, k Update) []steering.Target {
+// applyEntries replaces the local entries with those of a peer's update and returns the names of
+// the targets that changed.
+func (s *State) applyEntries(now time.Time, k Update) []steering.Target {
 	var names []steering.Target
-	told := make(map[steering.Target]bool, len(k.Entries))
+	received := make(map[steering.Target]bool, len(k.Entries))
 	for _, e := range k.Entries {
 		e.coldUntil = coldUntil(now, e.ColdFor)
 		e.ColdFor = 0
 		if e.Missing {
-			s.doubtUntil = maxTime(s.doubtUntil, now.Add(returnTime))
+			s.holdRemovalsUntil = maxTime(s.holdRemovalsUntil, now.Add(reappearWindow))
 		}
 		old := s.targets[e.Name]
-		if old != nil && e.Generation < old.Generation || old == nil && e.Generation < s.gone[e.Name].generation {
-			told[e.Name] = true
-			continue // of a start that has ended
+		if old != nil && e.Generation < old.Generation || old == nil && e.Generation < s.removed[e.Name].generation {
+			received[e.Name] = true
+			continue // the entry of an earlier process, which has ended
 		}
-		if old == nil || old.hash() != e.hash() || e.coldUntil.After(old.coldUntil.Add(coldNews)) {
+		if old == nil || old.hash() != e.hash() || e.coldUntil.After(old.coldUntil.Add(minColdExtension)) {
 			names = append(names, e.Name)
 		} else {
 			e.changed = old.changed
 		}
 		s.targets[e.Name] = &e
-		told[e.Name] = true
+		received[e.Name] = true
 	}
 	for _, name := range k.Gone {
 		if s.drop(name) {
@@ -201,7 +203,7 @@
 		return names
 	}
 	for name := range s.targets {
-		if !told[name] && s.drop(name) {
+		if !received[name] && s.drop(name) {
 			names = append(names, name)
 		}
 	}
--- a/node/gateway/feed/state.go
+++ b/node/gateway/feed/state.go
@@ -15,136 +15,139 @@
 )
 
 const (
-	// returnTime is how long after an outage of the store entries that lapsed
-	// meanwhile may take to come back. Until then a missing entry says nothing.
-	returnTime = 2200 * time.Millisecond
-	// beatsMissed is how many heartbeats the store lets pass before it drops an
-	// entry; a longer gap between reads may hide an outage.
-	beatsMissed = 3
-	// goneKept bounds the targets remembered as gone, so that their end can be told
-	// as a difference.
-	goneKept = 1024
+	// reappearWindow is how long after an outage of the store targets have to write their entries
+	// again if these expired during the outage. Until then a missing entry does not mean that the
+	// target is gone.
+	reappearWindow = 2200 * time.Millisecond
+	// maxMissedHeartbeats is how many heartbeats of a target the store waits for before it drops
+	// the entry. A longer gap between two reads may hide an outage.
+	maxMissedHeartbeats = 3
+	// maxRemovedTargets bounds how many removed targets are remembered so that updates can report
+	// their removal.
+	maxRemovedTargets = 1024
 )
 
-// Entry is a target as known here and told to peers.
+// Entry is a target as this VM knows it and sends it to peers.
 type Entry struct {
 	platform.Target
-	// ColdFor is how much longer it is cold, from the time of telling.
+	// ColdFor is how much longer the target is cold, counted from when the update was sent.
 	ColdFor time.Duration `json:"coldFor,omitempty"`
-	// Missing entries were absent when the store was read right after an outage.
+	// Missing is set if the entry was absent when the store was read right after an outage.
 	Missing bool `json:"missing,omitempty"`
 
 	coldUntil time.Time
-	// changed is a revision by which the entry was as it is, and before which it
-	// differed: what a peer that knows a revision needs are the entries changed
-	// after it.
+	// changed is a revision at which the entry was as it is now and before which it differed. A
+	// peer at a revision needs the entries whose changed is higher.
 	changed int64
 }
 
-// Digest says what an entry VM knows and how fresh it is, in a few bytes.
+// Digest says in a few bytes what an entry VM knows of the store and how fresh that is.
 type Digest struct {
-	// Revision of the store as of which the targets are known.
+	// Revision is the store revision to which the targets correspond.
 	Revision int64 `json:"rev,omitempty"`
-	// Content is a hash of the targets: equal hashes mean equal knowledge.
+	// Content is a hash of the targets. Equal hashes mean equal targets.
 	Content uint64 `json:"hash,omitempty"`
-	// ColdRevision is a revision by which some target had turned cold again. The
-	// hash does not tell it, since VMs that start later never saw it.
+	// ColdRevision is a revision at which some target had become cold again. The hash does not
+	// cover that, because VMs that start later have never seen the change.
 	ColdRevision int64 `json:"coldRev,omitempty"`
-	// Config is the version in force, Newest the newest known to exist, and
-	// ConfigRevision where to look for newer ones than that in force.
+	// Config is the configuration version in force, Newest the newest version known to exist, and
+	// ConfigRevision the store revision after which to look for configurations newer than Config.
 	Config         uint64 `json:"cfg,omitempty"`
 	Newest         uint64 `json:"newest,omitempty"`
 	ConfigRevision int64  `json:"cfgRev,omitempty"`
-	// Evacuated are the zones under evacuation as of EvacuationRevision.
+	// Evacuated holds the zones under evacuation at EvacuationRevision.
 	Evacuated          []steering.Zone `json:"evac,omitempty"`
 	EvacuationRevision int64           `json:"evacRev,omitempty"`
-	// AgeMs is how old the read is on which this rests.
+	// AgeMs is the age of the read of the store that the digest is based on, in milliseconds.
 	AgeMs int64 `json:"age"`
 }
 
-// ending is how a target's entry ended.
-type ending struct {
-	// revision is one by which it was gone.
+// removal records that a target's entry was removed.
+type removal struct {
+	// revision is one at which the entry was absent.
 	revision int64
-	// generation is the target's last that was known.
+	// generation is the target's last known generation.
 	generation steering.Generation
 }
 
-// State is what is known of the store. It is not safe for concurrent use.
+// State is an entry VM's copy of what the store holds. It is not safe for concurrent use.
 type State struct {
-	beat    time.Duration
-	regions map[steering.Zone]steering.Region
-
-	targets  map[steering.Target]*Entry
-	revision int64
-	content  uint64
-	gone     map[steering.Target]ending
-	// cold is a revision by which some target had turned cold again, and turnedCold
-	// is set while a read shows that.
-	cold       int64
-	turnedCold bool
-	// floor is the revision after which all changes are on record.
-	floor int64
-	// distrusted is set when a difference that was told did not lead to what the
-	// peer knows; the next one asked for is the whole.
-	distrusted bool
-	evacuated  map[steering.Zone]bool
-	evacuation int64
-	table      *routes.Table
-	tableSince time.Time // when table came into force here
-	configured int64
-	// newest is the newest version known to exist, and behindSince is when this VM
-	// first knew of one newer than that in force; zero if it knows of none.
+	heartbeatInterval time.Duration
+	regions           map[steering.Zone]steering.Region
+
+	targets     map[steering.Target]*Entry
+	revision    int64
+	contentHash uint64
+	removed     map[steering.Target]removal
+	// coldRevision is a revision at which some target had become cold again. turnedCold is set
+	// while the changes of one read are applied and one of them shows that.
+	coldRevision int64
+	turnedCold   bool
+	// historyStart is the revision after which all changes of targets are recorded.
+	historyStart int64
+	// inconsistent is set if an update with changes did not lead to the hash in the peer's digest.
+	// The next update requested holds all targets.
+	inconsistent       bool
+	evacuated          map[steering.Zone]bool
+	evacuationRevision int64
+	table              *routes.Table
+	tableSince         time.Time // when table was put in force here
+	configRevision     int64
+	// newest is the newest configuration version known to exist. behindSince is when this VM
+	// first knew of a version newer than the one in force, or the zero time if it knows of none.
 	newest      uint64
 	behindSince time.Time
-	// coldZones marks zones whose targets may be cold though their entries do
-	// not say so yet.
+	// coldZones holds zones whose targets may be cold without their entries saying so yet, with the
+	// time until which they are treated as cold.
 	coldZones map[steering.Zone]time.Time
-	// readAt is when the store was read of which this is the state; zero if it
-	// never was.
+	// readAt is when the read of the store began that the state is based on; zero if there was
+	// none.
 	readAt time.Time
-	// doubtUntil is set after an outage: removals are held back until then.
-	doubtUntil time.Time
+	// holdRemovalsUntil is set after an outage of the store: until then, targets whose entries are
+	// missing are kept.
+	holdRemovalsUntil time.Time
 }
 
-// NewState returns an empty state. beat is how often targets write to the store.
-func NewState(beat time.Duration, regions map[steering.Zone]steering.Region) *State {
-	return &State{beat: beat, regions: regions, targets: make(map[steering.Target]*Entry), gone: make(map[steering.Target]ending),
+// NewState returns an empty state. heartbeatInterval is how often targets write to the store;
+// targets in zones that regions does not name are ignored.
+func NewState(heartbeatInterval time.Duration, regions map[steering.Zone]steering.Region) *State {
+	return &State{heartbeatInterval: heartbeatInterval, regions: regions, targets: make(map[steering.Target]*Entry), removed: make(map[steering.Target]removal),
 		evacuated: make(map[steering.Zone]bool), coldZones: make(map[steering.Zone]time.Time)}
 }
 
-// Age returns how old the read is on which the state rests; ok is false if there
-// was none.
+// Age returns the age of the read of the store that the state is based on. ok is false if there was
+// none.
 func (s *State) Age(now time.Time) (age time.Duration, ok bool) {
 	return now.Sub(s.readAt), !s.readAt.IsZero()
 }
 
-// Complete reports whether all of the store that matters is known.
+// Complete reports whether the targets, the configuration and the evacuations are all known.
 func (s *State) Complete() bool {
-	return !s.readAt.IsZero() && s.table != nil && s.evacuation > 0
+	return !s.readAt.IsZero() && s.table != nil && s.evacuationRevision > 0
 }
 
-// Table returns the newest configuration, or nil.
+// Table returns the configuration in force, or nil.
 func (s *State) Table() *routes.Table { return s.table }
 
-// Fresh notes that the store was read at a time.
-func (s *State) Fresh(at time.Time) {
+// MarkRead records that a read of the store, or of a peer's state, reflects the store at the given
+// time.
+func (s *State) MarkRead(at time.Time) {
 	if at.After(s.readAt) {
 		s.readAt = at
 	}
 }
 
-// noteRead notices an outage before a read.
-func (s *State) noteRead(now time.Time) {
-	if !s.readAt.IsZero() && now.Sub(s.readAt) > beatsMissed*s.beat {
-		s.doubtUntil = now.Add(returnTime)
+// detectOutage is called before the result of a read is applied. If the read before it is so old
+// that entries may have expired in an outage, removals are held back for reappearWindow.
+func (s *State) detectOutage(now time.Time) {
+	if !s.readAt.IsZero() && now.Sub(s.readAt) > maxMissedHeartbeats*s.heartbeatInterval {
+		s.holdRemovalsUntil = now.Add(reappearWindow)
 	}
 }
 
-// Listed takes in a whole list of targets. It reports whether anything changed
-// that matters.
-func (s *State) Listed(now time.Time, all platform.TargetList) bool {
-	s.noteRead(now)
+// SetTargets applies a complete list of targets and reports whether anything relevant changed.
+func (s *State) SetTargets(now time.Time, all platform.TargetList) bool {
+	s.detectOutage(now)
 	revision := all.Revision
 	listed := make(map[steering.Target]bool, len(all.Targets))
 	var changed []steering.Target
@@ -160,53 +163,54 @@
 		}
 	}
 	for name := range s.targets {
-		if !listed[name] && s.missing(now, name) {
+		if !listed[name] && s.entryMissing(now, name) {
 			changed = append(changed, name)
 		}
 	}
-	if s.revision == 0 || s.distrusted {
-		s.floor = revision
+	if s.revision == 0 || s.inconsistent {
+		s.historyStart = revision
 	}
-	s.revision, s.distrusted = revision, false
-	return s.recorded(changed)
+	s.revision, s.inconsistent = revision, false
+	return s.recordChanges(changed)
 }
 
-// Changed takes in changes of targets.
-func (s *State) Changed(now time.Time, found platform.TargetChanges) bool {
-	s.noteRead(now)
+// ApplyTargetChanges applies the changes of targets since the last read and reports whether
+// anything relevant changed.
+func (s *State) ApplyTargetChanges(now time.Time, found platform.TargetChanges) bool {
+	s.detectOutage(now)
 	var changed []steering.Target
 	for _, c := range found.Changes {
-		if s.change(now, c) {
+		if s.applyTargetChange(now, c) {
 			changed = append(changed, c.Target.Name)
 		}
 	}
 	s.revision = found.Revision
-	return s.recorded(changed)
+	return s.recordChanges(changed)
 }
 
-// change takes in one change, and reports whether it says something new.
-func (s *State) change(now time.Time, c platform.TargetChange) bool {
+// applyTargetChange applies one change and reports whether anything relevant changed.
+func (s *State) applyTargetChange(now time.Time, c platform.TargetChange) bool {
 	switch {
 	case c.Removed:
-		return s.missing(now, c.Target.Name)
+		return s.entryMissing(now, c.Target.Name)
 	case c.Unusable:
 		return s.drop(c.Target.Name)
 	}
 	return s.upsert(now, c.Target)
 }
 
-// upsert reports whether the entry says something new.
+// upsert adds or updates a target and reports whether anything relevant changed.
 func (s *State) upsert(now time.Time, t platform.Target) bool {
 	old := s.targets[t.Name]
-	if old == nil && t.Generation < s.gone[t.Name].generation {
-		return false // a late write of a start that ended before the one last known
+	if old == nil && t.Generation < s.removed[t.Name].generation {
+		return false // a late write of an earlier process than the last one known
 	}
 	if old == nil || t.Generation > old.Generation {
 		s.targets[t.Name] = &Entry{Target: t, coldUntil: coldUntil(now, t.ColdLeft)}
 		return true
 	}
 	if t.Before(old.Target) {
-		return false // an older state of the entry, seen late
+		return false // an older state of the entry that arrived late
 	}
 	changed := old.Leaving != t.Leaving || old.Slots != t.Slots || old.Address != t.Address || old.Missing
 	if t.Beat > old.Beat {
@@ -227,15 +231,15 @@
 	return now.Add(left)
 }
 
-// missing notes that an entry is gone. Right after an outage that may only mean
-// that the target could not write; it is believed once the time to come back is
-// over.
-func (s *State) missing(now time.Time, name steering.Target) bool {
+// entryMissing handles the absence of a target's entry. Right after an outage of the store it may
+// only mean that the target could not write; the target is kept until holdRemovalsUntil, unless it
+// was leaving.
+func (s *State) entryMissing(now time.Time, name steering.Target) bool {
 	t := s.targets[name]
 	if t == nil {
 		return false
 	}
-	if now.Before(s.doubtUntil) && !t.Leaving {
+	if now.Before(s.holdRemovalsUntil) && !t.Leaving {
 		changed := !t.Missing
 		t.Missing = true
 		return changed
@@ -243,21 +247,22 @@
 	return s.drop(name)
 }
 
-// drop forgets a target, and reports whether it was known. Its end is on record once
-// recorded has been told.
+// drop removes a target and reports whether it was known. The revision of the removal is set by
+// recordChanges.
 func (s *State) drop(name steering.Target) bool {
 	t := s.targets[name]
 	if t == nil {
 		return false
 	}
 	delete(s.targets, name)
-	s.gone[name] = ending{revision: s.gone[name].revision, generation: t.Generation}
+	s.removed[name] = removal{revision: s.removed[name].revision, generation: t.Generation}
 	return true
 }
 
-// Settle drops entries that did not come back after an outage.
-func (s *State) Settle(now time.Time) bool {
-	if now.Before(s.doubtUntil) {
+// DropMissing removes the targets whose entries are still missing once removals are no longer held
+// back after an outage. It reports whether it removed any.
+func (s *State) DropMissing(now time.Time) bool {
+	if now.Before(s.holdRemovalsUntil) {
 		return false
 	}
 	var changed []steering.Target
@@ -266,50 +271,51 @@
 			changed = append(changed, name)
 		}
 	}
-	return s.recorded(changed)
+	return s.recordChanges(changed)
 }
 
-// recorded marks targets as changed by the revision now known.
-func (s *State) recorded(changed []steering.Target) bool {
+// recordChanges marks targets as changed at the current revision and reports whether there were
+// any.
+func (s *State) recordChanges(changed []steering.Target) bool {
 	if len(changed) == 0 {
 		return false
 	}
 	if s.turnedCold {
-		s.cold, s.turnedCold = s.revision, false
+		s.coldRevision, s.turnedCold = s.revision, false
 	}
 	for _, name := range changed {
 		if t := s.targets[name]; t != nil {
 			t.changed = s.revision
-			delete(s.gone, name)
+			delete(s.removed, name)
 			continue
 		}
-		s.gone[name] = ending{revision: s.revision, generation: s.gone[name].generation}
+		s.removed[name] = removal{revision: s.revision, generation: s.removed[name].generation}
 	}
-	s.forgetGone()
-	s.content = s.hash()
+	s.trimRemoved()
+	s.contentHash = s.hash()
 	return true
 }
 
-// forgetGone drops the oldest half of the targets that are gone, when there are
-// too many; a peer that knows less than that needs the whole.
-func (s *State) forgetGone() {
-	if len(s.gone) <= goneKept {
+// trimRemoved forgets the older half of the removed targets if there are too many. A peer at an
+// older revision than the remaining ones then needs all targets.
+func (s *State) trimRemoved() {
+	if len(s.removed) <= maxRemovedTargets {
 		return
 	}
-	revisions := make([]int64, 0, len(s.gone))
-	for _, e := range s.gone {
+	revisions := make([]int64, 0, len(s.removed))
+	for _, e := range s.removed {
 		revisions = append(revisions, e.revision)
 	}
 	slices.Sort(revisions)
-	s.floor = max(s.floor, revisions[len(revisions)/2])
-	for name, e := range s.gone {
-		if e.revision <= s.floor {
-			delete(s.gone, name)
+	s.historyStart = max(s.historyStart, revisions[len(revisions)/2])
+	for name, e := range s.removed {
+		if e.revision <= s.historyStart {
+			delete(s.removed, name)
 		}
 	}
 }
 
-// hash sums up what matters of the targets, in any order.
+// hash returns the hash of all targets, which does not depend on their order.
 func (s *State) hash() uint64 {
 	var sum uint64
 	for _, t := range s.targets {
@@ -318,9 +324,10 @@
 	return sum
 }
 
+// hash returns the hash of the properties of a target that peers must agree on.
 func (t *Entry) hash() uint64 {
 	d := xxhash.New()
-	_, _ = d.WriteString(string(t.Name) + "\x00" + t.Address + "\x00" + string(t.Service)) // a hash takes all
+	_, _ = d.WriteString(string(t.Name) + "\x00" + t.Address + "\x00" + string(t.Service)) // writing to a hash cannot fail
 	var flags [11]byte
 	binary.BigEndian.PutUint16(flags[:], uint16(t.Slots))
 	binary.BigEndian.PutUint64(flags[2:], uint64(t.Generation))
@@ -334,25 +341,27 @@
 	return d.Sum64()
 }
 
-// Evacuating takes in a whole list of zones under evacuation.
-func (s *State) Evacuating(now time.Time, zones []steering.Zone, revision int64) bool {
+// SetEvacuations replaces the zones under evacuation by those read at revision, and reports whether
+// they changed.
+func (s *State) SetEvacuations(now time.Time, zones []steering.Zone, revision int64) bool {
 	next := make(map[steering.Zone]bool, len(zones))
 	for _, zone := range zones {
 		next[zone] = true
 	}
-	changed := len(next) != len(s.evacuated) || s.evacuation == 0
+	changed := len(next) != len(s.evacuated) || s.evacuationRevision == 0
 	for zone := range s.evacuated {
 		if !next[zone] {
 			changed = true
 			s.endEvacuation(now, zone)
 		}
 	}
-	s.evacuated, s.evacuation = next, revision
+	s.evacuated, s.evacuationRevision = next, revision
 	return changed
 }
 
-// EvacuationChanged takes in changes of evacuations.
-func (s *State) EvacuationChanged(now time.Time, changes []platform.EvacuationChange, revision int64) bool {
+// ApplyEvacuationChanges applies the changes of evacuations since the last read and reports whether
+// there were any.
+func (s *State) ApplyEvacuationChanges(now time.Time, changes []platform.EvacuationChange, revision int64) bool {
 	for _, c := range changes {
 		if c.Ended {
 			delete(s.evacuated, c.Zone)
@@ -361,24 +370,23 @@
 		}
 		s.evacuated[c.Zone] = true
 	}
-	s.evacuation = revision
+	s.evacuationRevision = revision
 	return len(changes) > 0
 }
 
-// endEvacuation takes the zone's targets as cold until their entries have had
-// time to say otherwise: an idle target may have lost what made it fast, and a
-// full load would crash it.
+// endEvacuation treats the zone's targets as cold until their entries have had time to say whether
+// they are: an idle target may no longer be warm, and full load would crash it.
 func (s *State) endEvacuation(now time.Time, zone steering.Zone) {
-	s.coldZones[zone] = now.Add(2 * s.beat)
+	s.coldZones[zone] = now.Add(2 * s.heartbeatInterval)
 }
 
-// Placement returns the targets for placement.
+// Placement returns the targets in the form that placement takes.
 func (s *State) Placement() []placement.Target {
 	all := make([]placement.Target, 0, len(s.targets))
 	for _, t := range s.targets {
 		region, known := s.regions[t.Zone]
 		if !known {
-			continue // see strangers
+			continue // see inUnknownZones
 		}
 		p := placement.Target{Name: t.Name, Generation: t.Generation, Service: t.Service, Address: t.Address, Zone: t.Zone, Region: region,
 			Slots: t.Slots, Closed: (t.Leaving || s.evacuated[t.Zone]) && planted.Defect != planted.LeavingIgnored, ColdUntil: t.coldUntil}
@@ -393,10 +401,10 @@
 	return all
 }
 
-// strangers returns the entries whose zone is not one of the settings. They get no
-// requests: without a region neither the bounds on where a request may run nor those on
-// lending can be kept for them.
-func (s *State) strangers(targets []platform.Target) []platform.BadEntry {
+// inUnknownZones returns the entries whose zone is not in the settings. Such targets get no
+// requests: without a region, neither the limits on where a request may run nor those on
+// cross-region lending can be enforced for them.
+func (s *State) inUnknownZones(targets []platform.Target) []platform.BadEntry {
 	var found []platform.BadEntry
 	for _, t := range targets {
 		if _, known := s.regions[t.Zone]; !known {
@@ -406,7 +414,8 @@
 	return found
 }
 
-// Generation returns the known start of a target; known is false if it is not on record.
+// Generation returns the known generation of a target. known is false if the target is not in the
+// state.
 func (s *State) Generation(name steering.Target) (generation steering.Generation, known bool) {
 	t := s.targets[name]
 	if t == nil {
--- a/node/gateway/feed/state_test.go
+++ b/node/gateway/feed/state_test.go
@@ -27,17 +27,18 @@
 	return platform.Target{Name: steering.Target(name), Service: "s", Address: "10.0.0.1:80", Zone: "a", Slots: 3, Beat: beat, Leaving: leaving}
 }
 
-// listed is a read of all targets at a revision.
+// listed is the result of reading all targets at a revision.
 func listed(targets []platform.Target, revision int64) platform.TargetList {
 	return platform.TargetList{Targets: targets, Revision: revision}
 }
 
-// changed is a read of what changed, up to a revision.
+// changed is the result of reading the changes up to a revision.
 func changed(changes []platform.TargetChange, revision int64) platform.TargetChanges {
 	return platform.TargetChanges{Changes: changes, Revision: revision}
 }
 
-func names(s *feed.State) map[steering.Target]placement.Target {
+// placedByName returns the targets that the state passes to placement.
+func placedByName(s *feed.State) map[steering.Target]placement.Target {
 	all := make(map[steering.Target]placement.Target)
 	for _, t := range s.Placement() {
 		all[t.Name] = t
@@ -49,71 +50,69 @@
 	return routes.NewTable(version, []*routes.Route{{Name: "r", Host: "h", Prefix: "/", Parts: []routes.Part{{Service: "s", Weight: 1}}}}, nil, routes.Limits{})
 }
 
-// Symptom: after an outage of the store every target is gone and all requests
-// are refused. Sequence: entries lapse while targets cannot write; the first
-// read afterwards finds none. Cause: taking a missing entry for a target that
-// left. Entries have 2 s to come back; one that is still missing then is gone.
+// Guards against dropping all targets, and with that refusing all requests, after an outage of the
+// store. Entries expire while targets cannot write, so the first read afterwards finds none.
+// Targets have 2.2 s to write them again; an entry that is still missing then is removed.
 func TestEntriesThatLapsedInAnOutageHaveTimeToComeBack(t *testing.T) {
 	s := feed.NewState(beat, regions)
-	s.Listed(start, listed([]platform.Target{target("back", 1, false), target("gone", 1, false), target("leaving", 1, true)}, 10))
-	s.Fresh(start)
+	s.SetTargets(start, listed([]platform.Target{target("back", 1, false), target("gone", 1, false), target("leaving", 1, true)}, 10))
+	s.MarkRead(start)
 	now := start.Add(10 * time.Second)
-	s.Listed(now, listed(nil, 20))
-	s.Fresh(now)
-	assert.Equal(t, len(names(s)), 2, "a leaving target needs no second look")
+	s.SetTargets(now, listed(nil, 20))
+	s.MarkRead(now)
+	assert.Equal(t, len(placedByName(s)), 2, "a leaving target is removed at once")
 	now = now.Add(1500 * time.Millisecond)
-	s.Changed(now, changed([]platform.TargetChange{{Target: target("back", 2, false)}}, 30))
-	s.Fresh(now)
-	assert.Assert(t, !s.Settle(now))
+	s.ApplyTargetChanges(now, changed([]platform.TargetChange{{Target: target("back", 2, false)}}, 30))
+	s.MarkRead(now)
+	assert.Assert(t, !s.DropMissing(now))
 	now = now.Add(time.Second)
-	assert.Assert(t, s.Settle(now))
-	_, found := names(s)["back"]
-	assert.Assert(t, found && len(names(s)) == 1)
+	assert.Assert(t, s.DropMissing(now))
+	_, found := placedByName(s)["back"]
+	assert.Assert(t, found && len(placedByName(s)) == 1)
 }
 
-// Symptom: a target that crashed for good keeps getting requests. Without an
-// outage a missing entry is gone at once.
+// Guards against requests to a target that crashed and does not restart: without an outage, a
+// target whose entry is missing is removed at once.
 func TestEntryThatIsRemovedIsGone(t *testing.T) {
 	s := feed.NewState(beat, regions)
-	s.Listed(start, listed([]platform.Target{target("a", 1, false)}, 10))
-	s.Fresh(start)
-	assert.Assert(t, s.Changed(start.Add(time.Second), changed([]platform.TargetChange{{Target: platform.Target{Name: "a"}, Removed: true}}, 11)))
-	assert.Equal(t, len(names(s)), 0)
+	s.SetTargets(start, listed([]platform.Target{target("a", 1, false)}, 10))
+	s.MarkRead(start)
+	assert.Assert(t, s.ApplyTargetChanges(start.Add(time.Second), changed([]platform.TargetChange{{Target: platform.Target{Name: "a"}, Removed: true}}, 11)))
+	assert.Equal(t, len(placedByName(s)), 0)
 }
 
-// Symptom: a leaving target gets new requests again. Sequence: an older state of
-// its entry arrives after the newer. Cause: taking what comes last for newest.
+// Guards against new requests to a leaving target, caused by an older state of its entry that
+// arrives after the newer one.
 func TestOlderStateOfAnEntryIsIgnored(t *testing.T) {
 	s := feed.NewState(beat, regions)
-	s.Listed(start, listed([]platform.Target{target("a", 5, true)}, 10))
-	s.Changed(start, changed([]platform.TargetChange{{Target: target("a", 4, false)}}, 11))
-	assert.Assert(t, names(s)["a"].Closed)
+	s.SetTargets(start, listed([]platform.Target{target("a", 5, true)}, 10))
+	s.ApplyTargetChanges(start, changed([]platform.TargetChange{{Target: target("a", 4, false)}}, 11))
+	assert.Assert(t, placedByName(s)["a"].Closed)
 }
 
-// Symptom: the targets of a zone crash when it is taken back. Sequence: they
-// lost what made them fast while idle, and their entries say so one heartbeat
-// later. Cause: sending the full load at once.
+// Guards against crashing the targets of a zone when its evacuation ends. They may no
+// longer be warm after being idle, and their entries say so only one heartbeat later, so they must
+// not get full load at once.
 func TestZoneTakenBackIsColdAtFirst(t *testing.T) {
 	s := feed.NewState(beat, regions)
-	s.Listed(start, listed([]platform.Target{target("a", 1, false)}, 10))
-	s.Evacuating(start, []steering.Zone{"a"}, 11)
-	assert.Assert(t, names(s)["a"].Closed)
-	s.EvacuationChanged(start, []platform.EvacuationChange{{Zone: "a", Ended: true}}, 12)
-	got := names(s)["a"]
+	s.SetTargets(start, listed([]platform.Target{target("a", 1, false)}, 10))
+	s.SetEvacuations(start, []steering.Zone{"a"}, 11)
+	assert.Assert(t, placedByName(s)["a"].Closed)
+	s.ApplyEvacuationChanges(start, []platform.EvacuationChange{{Zone: "a", Ended: true}}, 12)
+	got := placedByName(s)["a"]
 	assert.Assert(t, !got.Closed && got.ColdUntil.After(start.Add(beat)))
 }
 
-// Symptom: a configuration is unknown on all entry VMs for seconds. Sequence:
-// many VMs tell each other the same read, each digest some milliseconds on its
-// way. Cause: taking over the younger age each time, so that the read seems
-// fresh for ever and nobody makes the next one.
+// Guards against a configuration that stays unknown on all entry VMs for seconds. Many VMs exchange
+// digests of the same read, each some milliseconds in transit; if the younger age were adopted each
+// time, the read would look fresh forever and no VM would make the next one.
 func TestTellingTheSameReadDoesNotMakeItYounger(t *testing.T) {
 	a, b := feed.NewState(beat, regions), feed.NewState(beat, regions)
 	for _, s := range []*feed.State{a, b} {
-		s.Listed(start, listed([]platform.Target{target("a", 1, false)}, 10))
-		s.Configured(start, start, table(1), 10)
-		s.Evacuating(start, nil, 10)
-		s.Fresh(start)
+		s.SetTargets(start, listed([]platform.Target{target("a", 1, false)}, 10))
+		s.ApplyConfigRead(start, start, table(1), 10)
+		s.SetEvacuations(start, nil, 10)
+		s.MarkRead(start)
 	}
 	now := start
 	for range 100 {
@@ -127,66 +126,65 @@
 		assert.Assert(t, ok && age > 1900*time.Millisecond, "age %v after 2 s", age)
 	}
 	// A later read at the same revision still counts.
-	a.Fresh(now)
+	a.MarkRead(now)
 	b.Merge(now.Add(20*time.Millisecond), a.Digest(now))
 	age, _ := b.Age(now.Add(20 * time.Millisecond))
 	assert.Assert(t, age < 100*time.Millisecond)
 }
 
-// Symptom: entry VMs ask each other for all targets every second. Sequence: a
-// target turned cold once; a VM that starts later has not seen that. Cause: a hash
-// that depends on when a VM began to look.
+// Guards against entry VMs that request all targets from each other every second because their
+// hashes depend on when a VM started: a target became cold once, and a VM that starts later has not
+// seen that.
 func TestVMThatStartsLaterKnowsTheSame(t *testing.T) {
 	old, late := feed.NewState(beat, regions), feed.NewState(beat, regions)
-	old.Listed(start, listed([]platform.Target{target("x", 1, false)}, 10))
+	old.SetTargets(start, listed([]platform.Target{target("x", 1, false)}, 10))
 	cold := target("x", 2, false)
 	cold.ColdLeft = 3 * time.Second
-	old.Changed(start, changed([]platform.TargetChange{{Target: cold}}, 11))
-	old.Fresh(start)
-	late.Listed(start, listed([]platform.Target{target("x", 9, false)}, 20))
-	late.Fresh(start)
+	old.ApplyTargetChanges(start, changed([]platform.TargetChange{{Target: cold}}, 11))
+	old.MarkRead(start)
+	late.SetTargets(start, listed([]platform.Target{target("x", 9, false)}, 20))
+	late.MarkRead(start)
 	assert.Equal(t, old.Digest(start).Content, late.Digest(start).Content)
 	pull, _ := old.Merge(start, late.Digest(start))
 	assert.Assert(t, !pull)
 }
 
-// Symptom: a target that turned cold again is flooded by the entry VMs that were
-// told and did not read. Cause: a digest that says the same before and after.
-func TestTurningColdIsTold(t *testing.T) {
+// Guards against flooding a target that became cold again from the entry VMs that learn of it only
+// by digests: the digest must differ before and after.
+func TestDigestShowsTargetThatBecameCold(t *testing.T) {
 	a, b := feed.NewState(beat, regions), feed.NewState(beat, regions)
 	for _, s := range []*feed.State{a, b} {
-		s.Listed(start, listed([]platform.Target{target("x", 1, false)}, 10))
-		s.Fresh(start)
+		s.SetTargets(start, listed([]platform.Target{target("x", 1, false)}, 10))
+		s.MarkRead(start)
 	}
 	cold := target("x", 2, false)
 	cold.ColdLeft = 3 * time.Second
-	assert.Assert(t, a.Changed(start, changed([]platform.TargetChange{{Target: cold}}, 11)))
-	a.Fresh(start)
+	assert.Assert(t, a.ApplyTargetChanges(start, changed([]platform.TargetChange{{Target: cold}}, 11)))
+	a.MarkRead(start)
 	pull, _ := b.Merge(start, a.Digest(start))
 	assert.Assert(t, pull)
 	assert.Assert(t, b.Apply(start, a.UpdateSince(start, b.Position())))
-	assert.Assert(t, names(b)["x"].ColdUntil.After(start.Add(2*time.Second)))
+	assert.Assert(t, placedByName(b)["x"].ColdUntil.After(start.Add(2*time.Second)))
 }
 
-// Symptom: an entry VM goes by a target that is gone, and tells others so.
-// Sequence: a target comes and goes; one VM has read it in between; another took
-// over the later revision by an equal hash, and sends the first the difference,
-// which lacks the target's end. Cause: trusting a difference unseen. The hash
-// shows it: nothing is claimed until the whole has come, and the configuration
-// is told all the while.
+// Guards against an entry VM that keeps using a removed target and reports it to others. A target
+// is added and removed; one VM reads the store in between; another VM adopts the later revision
+// because the hashes are equal, and then sends the first VM an update that lacks the removal. The
+// hash exposes this: the first VM's digest names no revision until an update with all targets has
+// come, while it still names the configuration.
 func TestDifferenceThatMissesATargetIsNoticed(t *testing.T) {
 	before, between, after := feed.NewState(beat, regions), feed.NewState(beat, regions), feed.NewState(beat, regions)
 	read := func(s *feed.State, revision int64, all ...platform.Target) {
-		s.Listed(start, listed(all, revision))
-		s.Evacuating(start, nil, revision)
-		s.Configured(start, start, table(3), revision)
-		s.Fresh(start)
+		s.SetTargets(start, listed(all, revision))
+		s.SetEvacuations(start, nil, revision)
+		s.ApplyConfigRead(start, start, table(3), revision)
+		s.MarkRead(start)
 	}
 	read(before, 10)
 	read(between, 11, target("short", 1, false))
 	read(after, 12)
 	pull, _ := before.Merge(start, after.Digest(start))
-	assert.Assert(t, !pull, "both know no target")
+	assert.Assert(t, !pull, "both have no target")
 	exchange := func() {
 		if pull, _ := between.Merge(start, before.Digest(start)); pull {
 			between.Apply(start, before.UpdateSince(start, between.Position()))
@@ -195,18 +193,18 @@
 	exchange()
 	assert.Equal(t, between.Digest(start).Revision, int64(0))
 	assert.Equal(t, between.Digest(start).Config, uint64(3))
-	// The same hash at a later revision is as good as the whole.
+	// An equal hash at a later revision is as good as an update with all targets.
 	read(after, 13)
-	known := len(names(between))
+	known := len(placedByName(between))
 	pull, _ = between.Merge(start, after.Digest(start))
 	assert.Equal(t, pull, known != 0)
 	exchange()
 	exchange()
-	assert.Equal(t, len(names(between)), 0)
+	assert.Equal(t, len(placedByName(between)), 0)
 	assert.Assert(t, between.Digest(start).Revision >= 12)
 }
 
-// fakeStore is the store's targets at each revision, for reference.
+// fakeStore holds the store's targets at each revision as the reference.
 type fakeStore struct {
 	revision int64
 	now      map[string]platform.Target
@@ -250,7 +248,7 @@
 		for _, t := range f.now {
 			all = append(all, t)
 		}
-		s.Listed(now, listed(all, f.revision))
+		s.SetTargets(now, listed(all, f.revision))
 	} else {
 		var changes []platform.TargetChange
 		for _, e := range f.events {
@@ -258,18 +256,18 @@
 				changes = append(changes, e.change)
 			}
 		}
-		s.Changed(now, changed(changes, f.revision))
+		s.ApplyTargetChanges(now, changed(changes, f.revision))
 	}
-	s.Evacuating(now, nil, f.revision)
+	s.SetEvacuations(now, nil, f.revision)
 	if f.config > 0 {
-		s.Configured(now, now, table(f.config), f.revision)
+		s.ApplyConfigRead(now, now, table(f.config), f.revision)
 	}
-	s.Fresh(now)
+	s.MarkRead(now)
 }
 
 func contentOf(s *feed.State) string {
 	all := make(map[string]bool)
-	for name, t := range names(s) {
+	for name, t := range placedByName(s) {
 		all[string(name)] = t.Closed
 	}
 	raw, err := json.Marshal(all)
@@ -279,10 +277,10 @@
 	return string(raw)
 }
 
-// Symptom: entry VMs differ for good on which targets there are, or one goes
-// back to an older configuration. Whatever is read and told in whatever order,
-// and however late, each state is the store's at the revision that it names, its
-// configuration never goes back, and once all have told each other they agree.
+// Guards against entry VMs that permanently disagree about the targets, or one that returns to an
+// older configuration. Whatever is read and sent in whatever order and however late, each state
+// equals the store at the revision that it names, its configuration version never decreases, and
+// once all VMs have exchanged their states they agree.
 func TestStatesFollowTheStoreByReadingAndTelling(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &fakeStore{revision: 5, now: map[string]platform.Target{}, at: map[int64]string{5: "{}"}}
@@ -292,7 +290,7 @@
 		for i := range states {
 			states[i] = feed.NewState(beat, regions)
 		}
-		var late []feed.Update // told, and not arrived yet
+		var late []feed.Update // sent and not yet received
 		now := start
 		check := func() {
 			for i, s := range states {
@@ -312,8 +310,8 @@
 			assert.NilError(t, json.Unmarshal(raw, &k))
 			return k
 		}
-		// fetch brings the configuration that one VM has to another.
-		fetch := func(from, to int) { states[to].TakeTable(now, states[from].Table()) }
+		// fetch transfers the configuration of one VM to another.
+		fetch := func(from, to int) { states[to].SetTable(now, states[from].Table()) }
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
 			now = now.Add(50 * time.Millisecond)
 			from, to := rapid.IntRange(0, vms-1).Draw(t, "from"), rapid.IntRange(0, vms-1).Draw(t, "to")
@@ -346,8 +344,8 @@
 		store.config++
 		store.read(now, states[0], states[0].Digest(now))
 		for i := 1; i < vms; i++ {
-			// A difference that does not lead to the same is noticed by its hash, and
-			// the second update is the whole.
+			// Changes that do not lead to the sender's targets are detected by the hash, and the
+			// second update holds all targets.
 			for range 2 {
 				if pull, _ := states[i].Merge(now, states[0].Digest(now)); pull {
 					states[i].Apply(now, tell(0, i))
