--- a/node/gateway/fleet/beat.go
+++ b/node/gateway/fleet/beat.go
@@ -16,43 +16,46 @@
 // Beat is a heartbeat.
 type Beat struct {
 	From Member
-	// Incarnation tells one process from the next of the same name.
+	// Incarnation distinguishes a process from earlier ones of the same name.
 	Incarnation uint32
-	// Number grows with each beat of an incarnation.
+	// Number increases with each heartbeat of an incarnation.
 	Number uint64
-	// Serving VMs take requests.
+	// Serving is set while the VM takes requests.
 	Serving bool
-	// Leaving VMs are about to end.
+	// Leaving is set once the VM is shutting down.
 	Leaving bool
 	// StoreFails is set while the VM's own reads of the store fail.
 	StoreFails bool
 	// Reads is set while the VM reads the store.
 	Reads bool
-	// Meets is set by a VM that has never heard the receiver: it wants a heartbeat.
-	Meets bool
-	// Asks is set by a VM that wants to be told of all others.
-	Asks bool
-	// Crowd tells apart which VMs the sender hears.
+	// WantsReply is set by a VM that has never received a heartbeat from the receiver; it requests
+	// one.
+	WantsReply bool
+	// WantsMembers is set by a VM that requests the introduction of all other members.
+	WantsMembers bool
+	// Crowd is a hash of the set of VMs that the sender considers live. Two VMs with different sets
+	// have, most likely, different hashes.
 	Crowd uint32
 	// Known says what the VM knows of the store.
 	Known feed.Digest
-	// ConfigContent is a hash of the content of the configuration in force; 0 if it is not
-	// known, or as told before.
+	// ConfigContent is a hash of the content of the configuration in force. 0 means that it is
+	// unknown or as reported before.
 	ConfigContent uint32
-	// ConfigWait is what the VM waits for while a newer configuration is known to it.
+	// ConfigWait says what the VM is waiting for while it knows of a newer configuration.
 	ConfigWait catchup.Wait
-	// Demand is what the VM's own callers ask; nil means as told before. A VM of
-	// another zone is told that of all callers of the sender's zone instead.
+	// Demand is the demand of the VM's own callers; nil means as reported before. For a VM of
+	// another zone it is the demand of all callers of the sender's zone instead.
 	Demand placement.DemandOf
-	// Mates are the short ids of the VMs of its zone that the sender hears.
+	// Mates holds the short IDs of the VMs of the sender's zone from which the sender receives
+	// heartbeats.
 	Mates []uint32
-	// Replaced are targets at whose address another was found of late.
+	// Replaced holds targets at whose address a different target was found recently.
 	Replaced []placement.StartID
-	// Tight are the workspaces whose allowance is nearly used up.
+	// Tight holds the workspaces whose allowance is nearly used up.
 	Tight []allowance.TightNews
-	// Suspects are facts on requests that crash targets.
+	// Suspects holds facts about requests that crash targets.
 	Suspects []poison.Fact
-	// Members introduces others to a VM that may not know them.
+	// Members introduces other members to a VM that may not know them.
 	Members []Member
 }
 
@@ -61,14 +64,14 @@
 	flagServing = 1 << iota
 	flagLeaving
 	flagStoreFails
-	flagAsks
+	flagWantsMembers
 	flagReads
-	flagMeets
+	flagWantsReply
 )
 
-// datagram is a beat on the wire. As the fleet grows heartbeats are most of what
-// control sends, so the sender's addresses, a hundred bytes, are left out where
-// the receiver has them.
+// datagram is the encoding of a heartbeat. Most of the control traffic of a large fleet is
+// heartbeats, so the sender's addresses, which take a hundred bytes, are left out where the
+// receiver has them.
 type datagram struct {
 	_           struct{} `cbor:",toarray"`
 	Sender      uint64   // hash of the sender's name
@@ -78,17 +81,17 @@
 	Revision    int64
 	Content     uint64
 	Config      uint64
-	NewestLead  uint64 // Newest less Config
-	Content32   uint32 // hash of the configuration
+	NewestLead  uint64 // Newest minus Config
+	Content32   uint32 // hash of the configuration's content
 	Wait        uint8
-	ConfigLag   int64 // Revision less ConfigRevision
-	EvacLag     int64 // Revision less EvacuationRevision
-	ColdLag     int64 // Revision less ColdRevision
+	ConfigLag   int64 // Revision minus ConfigRevision
+	EvacLag     int64 // Revision minus EvacuationRevision
+	ColdLag     int64 // Revision minus ColdRevision
 	AgeMs       int64
 	Crowd       uint32
 	Evacuated   []steering.Zone
 	Demand      placement.DemandOf
-	Mates       []byte // short ids, mateBytes each
+	Mates       []byte // short IDs of shortIDBytes each
 	Replaced    []placement.StartID
 	Suspects    []poison.Fact
 	From        *Member
@@ -96,49 +99,49 @@
 	Tight       []allowance.TightNews
 }
 
-// idOf names a VM in a datagram.
+// idOf returns the ID that stands for a VM in datagrams.
 func idOf(name steering.VM) uint64 { return xxhash.Sum64String(string(name)) >> idShift }
 
-// idShift leaves 32 bits of an id: the chance that two of 650 names share one is 1
-// in 20,000, and an id is told for each VM of a zone.
+// idShift leaves 32 bits of an ID: the probability that two of 650 names share an ID is 1 in
+// 20,000, and more bits would cost space, since an ID is sent for each VM of a zone.
 const idShift = 32
 
-// mateBytes is the length of a short id in a datagram. The list of a zone is most
-// of what a VM of another zone is sent; of 50 VMs of one zone two share a short id
-// with a chance of 1 in 14,000, and then one of them that ends is noticed late.
-const mateBytes = 3
+// shortIDBytes is the length of a short ID in a datagram. The list of a zone's VMs is most of what
+// a VM of another zone is sent. Two of 50 VMs of a zone share a short ID with a probability of 1 in
+// 14,000; if one of them ends, this is then noticed late.
+const shortIDBytes = 3
 
-// shortOf names a VM among those of its zone.
-func shortOf(id uint64) uint32 { return uint32(id & (1<<(8*mateBytes) - 1)) }
+// shortID returns the ID that stands for a VM among those of its zone.
+func shortID(id uint64) uint32 { return uint32(id & (1<<(8*shortIDBytes) - 1)) }
 
-func packMates(mates []uint32) []byte {
-	if len(mates) == 0 {
+func packShortIDs(ids []uint32) []byte {
+	if len(ids) == 0 {
 		return nil
 	}
-	packed := make([]byte, 0, mateBytes*len(mates))
-	for _, id := range mates {
+	packed := make([]byte, 0, shortIDBytes*len(ids))
+	for _, id := range ids {
 		packed = append(packed, byte(id>>16), byte(id>>8), byte(id))
 	}
 	return packed
 }
 
-func unpackMates(packed []byte) []uint32 {
-	var mates []uint32
-	for ; len(packed) >= mateBytes; packed = packed[mateBytes:] {
-		mates = append(mates, uint32(packed[0])<<16|uint32(packed[1])<<8|uint32(packed[2]))
+func unpackShortIDs(packed []byte) []uint32 {
+	var ids []uint32
+	for ; len(packed) >= shortIDBytes; packed = packed[shortIDBytes:] {
+		ids = append(ids, uint32(packed[0])<<16|uint32(packed[1])<<8|uint32(packed[2]))
 	}
-	return mates
+	return ids
 }
 
-// encode returns a beat's datagram, with the sender's addresses or without.
+// encode returns the datagram for a heartbeat, with or without the sender's addresses.
 func encode(b Beat, addresses bool) ([]byte, error) {
 	k := b.Known
 	d := datagram{Sender: idOf(b.From.Name), Incarnation: b.Incarnation, Number: b.Number, Revision: k.Revision, Content: k.Content, Config: k.Config, NewestLead: max(k.Newest, k.Config) - k.Config, Content32: b.ConfigContent, Wait: uint8(b.ConfigWait),
-		ConfigLag: k.Revision - k.ConfigRevision, EvacLag: k.Revision - k.EvacuationRevision, ColdLag: k.Revision - k.ColdRevision, AgeMs: k.AgeMs, Crowd: b.Crowd, Evacuated: k.Evacuated, Demand: b.Demand, Mates: packMates(b.Mates), Replaced: b.Replaced, Suspects: b.Suspects, Introduced: b.Members, Tight: b.Tight}
+		ConfigLag: k.Revision - k.ConfigRevision, EvacLag: k.Revision - k.EvacuationRevision, ColdLag: k.Revision - k.ColdRevision, AgeMs: k.AgeMs, Crowd: b.Crowd, Evacuated: k.Evacuated, Demand: b.Demand, Mates: packShortIDs(b.Mates), Replaced: b.Replaced, Suspects: b.Suspects, Introduced: b.Members, Tight: b.Tight}
 	for _, f := range []struct {
 		flag uint8
 		set  bool
-	}{{flagServing, b.Serving}, {flagLeaving, b.Leaving}, {flagStoreFails, b.StoreFails}, {flagAsks, b.Asks}, {flagReads, b.Reads}, {flagMeets, b.Meets}} {
+	}{{flagServing, b.Serving}, {flagLeaving, b.Leaving}, {flagStoreFails, b.StoreFails}, {flagWantsMembers, b.WantsMembers}, {flagReads, b.Reads}, {flagWantsReply, b.WantsReply}} {
 		if f.set {
 			d.Flags |= f.flag
 		}
@@ -153,15 +156,15 @@
 	return raw, nil
 }
 
-// decode returns a datagram's beat. Its sender is named by id alone unless the
-// datagram says more.
+// decode returns the heartbeat in a datagram and the ID of its sender. From is empty unless the
+// datagram holds the sender's addresses.
 func decode(raw []byte) (Beat, uint64, error) {
 	var d datagram
 	if err := cbor.Unmarshal(raw, &d); err != nil {
 		return Beat{}, 0, errors.Wrap(err, "fleet: decode heartbeat")
 	}
-	b := Beat{Incarnation: d.Incarnation, Number: d.Number, Members: d.Introduced, Mates: unpackMates(d.Mates), Replaced: d.Replaced, Suspects: d.Suspects, Tight: d.Tight,
-		Serving: d.Flags&flagServing != 0, Leaving: d.Flags&flagLeaving != 0, StoreFails: d.Flags&flagStoreFails != 0, Asks: d.Flags&flagAsks != 0, Reads: d.Flags&flagReads != 0, Meets: d.Flags&flagMeets != 0, Crowd: d.Crowd, Demand: d.Demand, ConfigContent: d.Content32, ConfigWait: catchup.Wait(d.Wait),
+	b := Beat{Incarnation: d.Incarnation, Number: d.Number, Members: d.Introduced, Mates: unpackShortIDs(d.Mates), Replaced: d.Replaced, Suspects: d.Suspects, Tight: d.Tight,
+		Serving: d.Flags&flagServing != 0, Leaving: d.Flags&flagLeaving != 0, StoreFails: d.Flags&flagStoreFails != 0, WantsMembers: d.Flags&flagWantsMembers != 0, Reads: d.Flags&flagReads != 0, WantsReply: d.Flags&flagWantsReply != 0, Crowd: d.Crowd, Demand: d.Demand, ConfigContent: d.Content32, ConfigWait: catchup.Wait(d.Wait),
 		Known: feed.Digest{Revision: d.Revision, Content: d.Content, Config: d.Config, Newest: d.Config + d.NewestLead, ConfigRevision: d.Revision - d.ConfigLag,
 			EvacuationRevision: d.Revision - d.EvacLag, ColdRevision: d.Revision - d.ColdLag, AgeMs: d.AgeMs, Evacuated: d.Evacuated}}
 	if d.From != nil {
--- a/node/gateway/fleet/bench_test.go
+++ b/node/gateway/fleet/bench_test.go
@@ -8,7 +8,8 @@
 	"heatherlock/steering"
 )
 
-// benchRoster is the roster of one of 195 VMs in 9 zones that has heard all others.
+// benchRoster returns the roster of one of 195 VMs in 9 zones that has received a heartbeat from
+// each other VM, and these heartbeats.
 func benchRoster(b *testing.B, now time.Time) (*Roster, []Beat) {
 	b.Helper()
 	const size, zones = 195, 9
@@ -16,15 +17,15 @@
 		return Member{Name: steering.VM(fmt.Sprint("termas-entry-", i)), Zone: steering.Zone(fmt.Sprint("zone-", i%zones)), Region: "here", Peer: fmt.Sprint(i)}
 	}
 	r := NewRoster(member(0))
-	var mates []uint32
+	var peerIDs []uint32
 	for i := 1; i < size; i += zones {
-		mates = append(mates, shortOf(idOf(member(i).Name)))
+		peerIDs = append(peerIDs, shortID(idOf(member(i).Name)))
 	}
 	var beats []Beat
 	for i := 1; i < size; i++ {
 		beat := Beat{From: member(i), Incarnation: 7, Number: 1, Serving: true}
 		if i%zones == 1 {
-			beat.Mates = mates
+			beat.Mates = peerIDs
 		}
 		r.Heard(now, beat)
 		beats = append(beats, beat)
@@ -32,7 +33,7 @@
 	return r, beats
 }
 
-// What a heartbeat of another zone costs, which names the VMs of that zone.
+// BenchmarkHeard measures a heartbeat from another zone that names the VMs of that zone.
 func BenchmarkHeard(b *testing.B) {
 	now := time.Unix(1000, 0)
 	r, beats := benchRoster(b, now)
@@ -43,7 +44,7 @@
 	}
 }
 
-// What it costs to list those that live.
+// BenchmarkLive measures listing the live VMs.
 func BenchmarkLive(b *testing.B) {
 	now := time.Unix(1000, 0)
 	r, _ := benchRoster(b, now)
@@ -52,7 +53,7 @@
 	}
 }
 
-// What it costs to read a heartbeat of another zone.
+// BenchmarkDecode measures decoding a heartbeat from another zone.
 func BenchmarkDecode(b *testing.B) {
 	_, beats := benchRoster(b, time.Unix(1000, 0))
 	beats[0].Known.Revision, beats[0].Known.Content = 123456, 1<<60
@@ -67,7 +68,7 @@
 	}
 }
 
-// What it costs to write one.
+// BenchmarkEncode measures encoding a heartbeat from another zone.
 func BenchmarkEncode(b *testing.B) {
 	_, beats := benchRoster(b, time.Unix(1000, 0))
 	for range b.N {
--- a/node/gateway/fleet/doc.go
+++ b/node/gateway/fleet/doc.go
@@ -1,24 +1,25 @@
-// Package fleet lets entry VMs know of each other.
+// Package fleet implements the membership of entry VMs: by heartbeats each VM learns which others
+// are live, and what they report about themselves.
 //
-// There is no list of live entry VMs on the platform. Each VM writes a record of
-// itself to the store when it starts and then reads all records, so that of any
-// two one has read the other's; from then on they tell each other by datagrams
-// that they live, and need the store no more. A VM that starts while the store
-// is away asks the seeds from its settings, which answer with all they know.
+// The platform has no list of live entry VMs. Each VM writes a record of itself to the store when
+// it starts and then reads all records, so that of any two VMs one has read the other's record.
+// From then on they exchange heartbeats as UDP datagrams and no longer need the store. A VM that
+// starts while the store is unavailable asks the seeds from its settings, which reply with all
+// members they know.
 //
-// Within a zone each VM writes to each. To a VM of another zone three of a zone
-// write in its name, and tell which VMs of it live and what its callers ask; which
-// three differs from receiver to receiver, so that the work is spread. What a VM
-// sends grows with its zone and not with the fleet.
+// Within a zone each VM sends heartbeats to every other. To a VM of another zone three VMs of a
+// zone send on its behalf; their heartbeats name the live VMs of the zone and report the demand of
+// the zone's callers. Which three differs from receiver to receiver, which spreads the work. So
+// what a VM sends grows with its zone and not with the fleet.
 //
-// Who starts is met by those whose records it read, and told of others only if it
-// asks: it does while nobody hears the same VMs as it does.
+// A starting VM exchanges heartbeats with the VMs whose records it has read. It is introduced to
+// others only on request, which it sends while no VM reports the same set of live VMs as its own.
 //
-// Datagrams are lost now and then; five in a row rarely are, so a VM of the same
-// zone counts as gone after that many are missing, in large zones four. A VM that
-// was paused itself gives the others that time again, since it could not hear them.
+// Datagrams are lost now and then, but rarely five in a row, so a VM of the same zone is considered
+// gone after that many missing heartbeats, in large zones after four. A VM that was paused itself
+// extends the others' timeouts by its pause, during which it could not receive heartbeats.
 //
-// Weighed against it: each VM writing to each (what it sends grows with the fleet);
-// gossip to a few by chance (the end of a VM is noticed late, and heartbeats grow with
-// the fleet); an order of turns by clock (there is no common clock).
+// Alternatives rejected: each VM sends to every other (what a VM sends grows with the fleet);
+// gossip to a few random VMs (the end of a VM is noticed late, and heartbeats grow with the fleet);
+// turns by clock (the VMs have no common clock).
 package fleet
--- a/node/gateway/fleet/fleet.go
+++ b/node/gateway/fleet/fleet.go
@@ -16,26 +16,26 @@
 	"heatherlock/steering/poison"
 )
 
-// fullEvery is how many beats pass between two that tell demand and old suspects:
-// demand is averaged over seconds anyway.
-const fullEvery = 4
+// fullBeatEvery is the number of heartbeats of which one reports demand and repeats facts on
+// suspects. That is often enough for demand, which is averaged over seconds.
+const fullBeatEvery = 4
 
-// Config holds what a Fleet needs.
+// Config configures a Fleet.
 type Config struct {
 	Self  Member
-	Seeds []string // peer addresses of seeds
+	Seeds []string // peer addresses of the seeds
 	Log   log.Logger
-	// Own fills in what the next heartbeat says of this VM.
+	// Own sets the fields of the next heartbeat that describe this VM.
 	Own func(*Beat)
-	// Suspects returns the facts on suspects to tell; all asks also for those that
-	// were told before.
+	// Suspects returns the facts on suspects to send; with all set also those that were sent
+	// before.
 	Suspects func(all bool) []poison.Fact
-	// Heard is called for each heartbeat.
+	// Heard is called for each heartbeat received.
 	Heard func(Beat)
-	// Changed is called when members came or went.
+	// Changed is called when members became live or are no longer.
 	Changed func()
-	// Sent, when set, is told of each heartbeat sent: to whom, as far as that is known
-	// here, and how many bytes it has.
+	// Sent, if set, is called for each datagram sent with the receiver, of which only the address
+	// may be known, and the number of bytes.
 	Sent func(to Member, bytes int)
 }
 
@@ -45,89 +45,90 @@
 	conn        net.PacketConn
 	incarnation uint32
 
-	mu     sync.Mutex
-	roster *Roster
-	number uint64
-	last   map[steering.VM]bool // live at the last tick
-	wake   chan struct{}
-	// announcing is set when the next beat has to go to all.
-	announcing bool
-	inquiry    inquiry
-	leaving    bool   // as the last heartbeat told
-	crowd      uint32 // as of the last tick
-	// size is the number of live VMs as of the last tick, this one included.
+	mu         sync.Mutex
+	roster     *Roster
+	beatNumber uint64
+	lastLive   map[steering.VM]bool // live at the last tick
+	wake       chan struct{}
+	// announcing is set if the next heartbeat must go to all live members.
+	announcing   bool
+	queryBackoff queryBackoff
+	leaving      bool   // as in the last heartbeat
+	liveSetHash  uint32 // as of the last tick
+	// size is the number of live VMs as of the last tick, this VM included.
 	size atomic.Int64
 }
 
-// New returns a fleet that listens on conn.
+// New returns a fleet that sends and receives on conn. Run starts it.
 func New(cfg Config, conn net.PacketConn) *Fleet {
 	return &Fleet{cfg: cfg, conn: conn, incarnation: rand.Uint32(), roster: NewRoster(cfg.Self),
-		last: make(map[steering.VM]bool), wake: make(chan struct{}, 1)}
+		lastLive: make(map[steering.VM]bool), wake: make(chan struct{}, 1)}
 }
 
-// Run exchanges heartbeats until ctx ends, and then closes the connection.
+// Run exchanges heartbeats until ctx is done, and then closes the connection.
 func (f *Fleet) Run(ctx context.Context) {
 	defer f.conn.Close()
-	stop := context.AfterFunc(ctx, func() { _ = f.conn.SetReadDeadline(time.Unix(1, 0)) }) // ends the reader
+	stop := context.AfterFunc(ctx, func() { _ = f.conn.SetReadDeadline(time.Unix(1, 0)) }) // unblocks receiveLoop
 	defer stop()
 	var all sync.WaitGroup
-	all.Go(func() { f.read(ctx) })
-	all.Go(func() { f.beatOn(ctx) })
+	all.Go(func() { f.receiveLoop(ctx) })
+	all.Go(func() { f.sendLoop(ctx) })
 	all.Wait()
 }
 
-// Add notes members that were read of.
+// Add adds members whose records were read from the store.
 func (f *Fleet) Add(members []Member) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, m := range members {
 		f.roster.Add(time.Now(), m)
 	}
-	f.wakeUp()
+	f.wakeSender()
 }
 
-// AskRank returns how many live VMs of this VM's zone, and of its region, ask others
-// before it.
+// AskRank returns how many live VMs of this VM's zone, and of its region, rank before this VM in
+// requesting data from peers.
 func (f *Fleet) AskRank() (zone, region int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.roster.AskRank(time.Now())
 }
 
-// Holders returns the live VMs that have a newer configuration than a version.
+// Holders returns the live VMs whose configuration is newer than the version above.
 func (f *Fleet) Holders(above uint64) []Holder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.roster.Holders(time.Now(), above)
 }
 
-// Following returns which configuration each other VM on record follows.
+// Following returns which configuration each other VM on record uses.
 func (f *Fleet) Following() []Following {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.roster.Following(time.Now())
 }
 
-// Announce sends a heartbeat now, since something changed that others need.
+// Announce sends a heartbeat to all live members without waiting for the next interval, because
+// something changed that they need.
 func (f *Fleet) Announce() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.announcing = true
-	f.wakeUp()
+	f.wakeSender()
 }
 
-func (f *Fleet) wakeUp() {
+func (f *Fleet) wakeSender() {
 	select {
 	case f.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (f *Fleet) beatOn(ctx context.Context) {
+func (f *Fleet) sendLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		f.beat(ctx)
+		f.sendBeats(ctx)
 		f.mu.Lock()
-		pause := f.roster.Pause()
+		pause := f.roster.Interval()
 		f.mu.Unlock()
 		timer := time.NewTimer(pause)
 		select {
@@ -139,34 +140,34 @@
 	}
 }
 
-func (f *Fleet) beat(ctx context.Context) {
+func (f *Fleet) sendBeats(ctx context.Context) {
 	now := time.Now()
 	f.mu.Lock()
 	to := f.roster.Tick(now, f.announcing)
 	f.announcing = false
-	f.crowd = f.roster.Crowd(now, !f.leaving)
+	f.liveSetHash = f.roster.LiveSetHash(now, !f.leaving)
 	live := f.roster.Live(now, true)
 	f.size.Store(int64(len(live)) + 1)
 	alone := len(live) == 0
-	b := f.next()
-	met, unmet := f.split(to)
-	zone := f.zoneNews(now)
+	b := f.nextBeat()
+	contacted, uncontacted := f.splitByContact(to)
+	zone := f.zoneReport(now)
 	changed := f.noteChanges(live)
 	f.mu.Unlock()
-	f.own(&b)
-	full := b.Number%fullEvery == 1
+	f.fillBeat(&b)
+	full := b.Number%fullBeatEvery == 1
 	b.Suspects = f.cfg.Suspects(full)
-	far := zone.spoken(b)
+	far := zone.beatFor(b)
 	if !full {
 		b.Demand, b.ConfigContent = nil, 0
 		far.ConfigContent = 0
 	}
-	f.sendAll(b, far, met, false)
-	b.Meets, far.Meets = true, true
-	f.sendAll(b, far, unmet, true)
-	b.Meets = false
+	f.sendAll(b, far, contacted, false)
+	b.WantsReply, far.WantsReply = true, true
+	f.sendAll(b, far, uncontacted, true)
+	b.WantsReply = false
 	if alone {
-		b.Asks = true
+		b.WantsMembers = true
 		for _, seed := range f.cfg.Seeds {
 			if seed != f.cfg.Self.Peer {
 				f.send(b, seed)
@@ -178,24 +179,25 @@
 	}
 }
 
-// noteChanges compares who lives with the last tick.
+// noteChanges logs which members became live or are no longer since the last tick, and reports
+// whether there were any.
 func (f *Fleet) noteChanges(members []Member) bool {
 	live := make(map[steering.VM]bool, len(members))
 	changed := false
 	for _, m := range members {
 		live[m.Name] = true
-		if !f.last[m.Name] {
+		if !f.lastLive[m.Name] {
 			changed = true
-			_ = f.cfg.Log.Log("msg", "entry VM heard", "peer", m.Name, "zone", m.Zone) // the writer counts what it drops
+			_ = f.cfg.Log.Log("msg", "entry VM heard", "peer", m.Name, "zone", m.Zone) // the log writer counts the lines that it drops
 		}
 	}
-	for name := range f.last {
+	for name := range f.lastLive {
 		if !live[name] {
 			changed = true
 			_ = f.cfg.Log.Log("msg", "entry VM no longer heard", "peer", name) // as above
 		}
 	}
-	f.last = live
+	f.lastLive = live
 	return changed
 }
 
@@ -206,70 +208,69 @@
 	return f.roster.Live(time.Now(), false)
 }
 
-// Size returns how many VMs lived at the last heartbeat, this VM included.
-//
-// Each try of a request asks for it, so that it must not list the VMs.
+// Size returns the number of VMs that were live at the last tick, this VM included. It is called
+// for each try of a request, so it must not list the VMs.
 func (f *Fleet) Size() int { return max(int(f.size.Load()), 1) }
 
-// Serving returns the members that take requests.
+// Serving returns the members that take requests. selfServes says whether this VM does.
 func (f *Fleet) Serving(selfServes bool) []Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.roster.Serving(time.Now(), selfServes)
 }
 
-// PlaceOf returns where a member is, empty if it is not known.
+// PlaceOf returns the place of a member, or the zero value if it is not known.
 func (f *Fleet) PlaceOf(name steering.VM) volume.Place {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.roster.PlaceOf(name)
 }
 
-// Standing returns how many VMs there are: those on record that have not left.
+// Standing returns the number of VMs on record that have not left, this VM included.
 func (f *Fleet) Standing() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.roster.Standing(time.Now())
 }
 
-// Known returns the number of members on record.
+// Known returns the number of members on record, this VM included.
 func (f *Fleet) Known() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.roster.Known()
 }
 
-// Demand returns what the callers of other VMs ask, by region.
+// Demand returns the demand of the callers of all other VMs, by region.
 func (f *Fleet) Demand() map[steering.Region]placement.DemandOf {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.roster.Demand(time.Now())
 }
 
-// ZoneDemand returns what the callers of a zone ask, this VM's own left out.
+// ZoneDemand returns the demand of the callers of a zone without those of this VM.
 func (f *Fleet) ZoneDemand(zone steering.Zone) placement.DemandOf {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.roster.ZoneDemand(time.Now(), zone)
 }
 
-// ReadRank returns how many live VMs are to read the store before this one: those
-// whose reads do not fail, in an order that is the same on all.
+// ReadRank returns how many live VMs read the store before this one: those whose reads do not fail
+// come first, in an order that is the same on all VMs. fails says whether this VM's reads fail.
 func (f *Fleet) ReadRank(fails bool) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.roster.ReadRank(time.Now(), fails)
 }
 
-// ReadBegun returns when a live VM that reads before this one last told that it
-// reads the store.
+// ReadBegun returns when a live VM that reads before this one last reported the start of a read of
+// the store.
 func (f *Fleet) ReadBegun() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.roster.ReadBegun(time.Now())
 }
 
-// DarkZones returns the zones that seem cut off from this VM.
+// DarkZones returns the zones that seem to be unreachable from this VM.
 func (f *Fleet) DarkZones() map[steering.Zone]bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/node/gateway/fleet/following_test.go
+++ b/node/gateway/fleet/following_test.go
@@ -11,9 +11,9 @@
 	"heatherlock/steering"
 )
 
-// What an operator is told of another VM: the version in force there and since when, what
-// it waits for, and the hash of its content, which only some heartbeats carry.
-func TestFollowingKeepsWhatHeartbeatsToldBefore(t *testing.T) {
+// Checks what operators see of another VM: the version in force and since when, what the VM is
+// waiting for, and the hash of the content, which only some heartbeats carry.
+func TestFollowingKeepsEarlierReports(t *testing.T) {
 	now := time.Unix(1000, 0)
 	member := func(name string) Member {
 		return Member{Name: steering.VM(name), Zone: "a", Region: "r", Peer: name + ":1", Control: name + ":2"}
@@ -36,11 +36,11 @@
 	since := now
 	assert.Assert(t, first.Live && first.Version == 5 && first.Content == 77 && first.Since.Equal(since))
 	second := heard(5, 7, 0, catchup.Room)
-	assert.Equal(t, second.Content, uint32(77), "as told before")
+	assert.Equal(t, second.Content, uint32(77), "as reported before")
 	assert.Equal(t, second.Newest, uint64(7))
 	assert.Equal(t, second.Wait, catchup.Room)
 	assert.Assert(t, second.Since.Equal(since) && second.ToldAt.Equal(now))
 	third := heard(7, 7, 0, catchup.Nothing)
-	assert.Equal(t, third.Content, uint32(0), "of the version before")
+	assert.Equal(t, third.Content, uint32(0), "unknown for the new version")
 	assert.Assert(t, third.Since.Equal(now))
 }
--- a/node/gateway/fleet/golden_internal_test.go
+++ b/node/gateway/fleet/golden_internal_test.go
@@ -40,7 +40,7 @@
 func fullBeat() Beat {
 	return Beat{
 		From:        Member{Name: "vm-1", Zone: "norte-a", Region: "norte", Peer: "10.0.0.1:7640", Control: "10.0.0.1:7633", Callers: "10.0.0.1:7631", Capacity: 1250.5},
-		Incarnation: 1<<31 + 1, Number: 1<<40 + 2, Serving: true, Leaving: true, StoreFails: true, Reads: true, Meets: true, Asks: true, Crowd: 1<<30 + 3,
+		Incarnation: 1<<31 + 1, Number: 1<<40 + 2, Serving: true, Leaving: true, StoreFails: true, Reads: true, WantsReply: true, WantsMembers: true, Crowd: 1<<30 + 3,
 		Known: feed.Digest{Revision: 5000, Content: 1<<63 + 4, ColdRevision: 4990, Config: 17, Newest: 22, ConfigRevision: 4980,
 			Evacuated: []steering.Zone{"norte-b", "sur-b"}, EvacuationRevision: 4970, AgeMs: 905},
 		ConfigContent: 1<<29 + 6, ConfigWait: catchup.Holder,
@@ -52,9 +52,9 @@
 	}
 }
 
-// Guards against heartbeats that old and new entry VMs read differently, by a field that
-// moved, that is encoded under another name or that is told by another bit: they would take
-// each other for gone, or a leaving VM for one that serves.
+// Guards against heartbeats that old and new entry VMs decode differently because a field moved, is
+// encoded under another name or uses another flag bit: they would consider each other gone, or a
+// leaving VM to be serving.
 func TestGoldenHeartbeats(t *testing.T) {
 	sparse := Beat{From: Member{Name: "vm-1"}, Number: 1}
 	flag := func(set func(*Beat)) Beat {
@@ -74,8 +74,8 @@
 		"sparse-leaving":     {flag(func(b *Beat) { b.Leaving = true }), false},
 		"sparse-store-fails": {flag(func(b *Beat) { b.StoreFails = true }), false},
 		"sparse-reads":       {flag(func(b *Beat) { b.Reads = true }), false},
-		"sparse-meets":       {flag(func(b *Beat) { b.Meets = true }), false},
-		"sparse-asks":        {flag(func(b *Beat) { b.Asks = true }), false},
+		"sparse-meets":       {flag(func(b *Beat) { b.WantsReply = true }), false},
+		"sparse-asks":        {flag(func(b *Beat) { b.WantsMembers = true }), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			file := "golden/beat-" + name + ".hex"
--- a/node/gateway/fleet/inquiry.go
+++ b/node/gateway/fleet/inquiry.go
@@ -3,36 +3,38 @@
 import "time"
 
 const (
-	// askAfter is how long nobody may hear the same VMs as this one until it asks
-	// whom the others hear. When a VM comes or goes, those that noticed agree with
-	// each other, and so do those that did not, so nobody asks.
-	askAfter = 1500 * time.Millisecond
-	// firstAskPause and lastAskPause bound the time between two questions. It
-	// doubles while the answers tell of nobody new: during a cut that only some
-	// feel, asking cannot help, and an answer introduces the whole fleet.
-	firstAskPause = time.Second
-	lastAskPause  = time.Minute
+	// disagreementTimeout is how long no other VM may have reported the same set of live VMs before
+	// this VM asks for the others' members. When a VM starts or ends, those that have noticed agree
+	// with each other and so do those that have not, so no VM asks.
+	disagreementTimeout = 1500 * time.Millisecond
+	// minQueryInterval and maxQueryInterval bound the time between two queries. It doubles while
+	// the replies introduce no new member: during a network partition that affects only some VMs
+	// queries can't help, and each reply introduces the whole fleet.
+	minQueryInterval = time.Second
+	maxQueryInterval = time.Minute
 )
 
-// inquiry decides when to ask a peer whom it hears. The zero value is ready.
-type inquiry struct {
-	agreed, asked time.Time
-	pause         time.Duration
+// queryBackoff decides when to ask a peer which VMs it considers live. The zero value is ready to
+// use.
+type queryBackoff struct {
+	lastAgreed, lastQuery time.Time
+	interval              time.Duration
 }
 
-// heard notes whether a peer hears the same VMs as this one, and reports whether
-// to ask it.
-func (q *inquiry) heard(now time.Time, same bool) (ask bool) {
-	if same || q.agreed.IsZero() {
-		q.agreed = now
+// noteBeat records whether the sender of a heartbeat considers the same VMs live as this VM, and
+// reports whether to query it.
+func (q *queryBackoff) noteBeat(now time.Time, same bool) (ask bool) {
+	if same || q.lastAgreed.IsZero() {
+		q.lastAgreed = now
 	}
-	if same || now.Sub(q.agreed) < askAfter || now.Sub(q.asked) < q.pause {
+	if same || now.Sub(q.lastAgreed) < disagreementTimeout || now.Sub(q.lastQuery) < q.interval {
 		return false
 	}
-	q.asked = now
-	q.pause = min(max(2*q.pause, firstAskPause), lastAskPause)
+	q.lastQuery = now
+	q.interval = min(max(2*q.interval, minQueryInterval), maxQueryInterval)
 	return true
 }
 
-// learned notes that somebody new was heard of.
-func (q *inquiry) learned() { q.pause = 0 }
+// reset resets the interval to allow a query at once. It is called when a new member was
+// introduced.
+func (q *queryBackoff) reset() { q.interval = 0 }
--- a/node/gateway/fleet/receive.go
+++ b/node/gateway/fleet/receive.go
@@ -8,10 +8,10 @@
 	"github.com/go-faster/errors"
 )
 
-// introduced is how many members one datagram introduces.
-const introduced = 8
+// membersPerDatagram is how many members one datagram introduces.
+const membersPerDatagram = 8
 
-func (f *Fleet) read(ctx context.Context) {
+func (f *Fleet) receiveLoop(ctx context.Context) {
 	buffer := make([]byte, 64<<10)
 	for ctx.Err() == nil {
 		n, sender, err := f.conn.ReadFrom(buffer)
@@ -23,60 +23,63 @@
 		}
 		b, id, err := decode(buffer[:n])
 		if err != nil {
-			_ = f.cfg.Log.Log("msg", "heartbeat not understood", "err", err) // as above
+			_ = f.cfg.Log.Log("msg", "heartbeat not understood", "err", err) // the log writer counts the lines that it drops
 			continue
 		}
-		if b.From.Name == "" && !f.complete(&b, id) {
-			f.askBack(sender.String())
+		if b.From.Name == "" && !f.fillSender(&b, id) {
+			f.requestSender(sender.String())
 			continue
 		}
-		f.heard(b)
+		f.noteBeat(b)
 	}
 }
 
-// complete fills in the sender of a short beat, if it is known.
-func (f *Fleet) complete(b *Beat, id uint64) bool {
+// fillSender sets From in a heartbeat that was sent without addresses. It reports whether the
+// sender is known.
+func (f *Fleet) fillSender(b *Beat, id uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m, found := f.roster.Named(id)
+	m, found := f.roster.ByID(id)
 	b.From = m
 	return found
 }
 
-// askBack asks a sender that is not known here to introduce itself.
-func (f *Fleet) askBack(address string) {
+// requestSender asks an unknown sender for a heartbeat with its addresses.
+func (f *Fleet) requestSender(address string) {
 	f.mu.Lock()
-	b := f.next()
+	b := f.nextBeat()
 	f.mu.Unlock()
-	f.own(&b)
-	b.Meets = true
+	f.fillBeat(&b)
+	b.WantsReply = true
 	f.send(b, address)
 }
 
-func (f *Fleet) heard(b Beat) {
+// noteBeat handles a heartbeat: it updates the roster and replies if the sender requested that, has
+// restarted or come back, or is to be queried for its members.
+func (f *Fleet) noteBeat(b Beat) {
 	now := time.Now()
 	f.mu.Lock()
-	met := f.roster.Met(b.From.Name)
+	contacted := f.roster.Contacted(b.From.Name)
 	fresh := f.roster.Heard(now, b)
 	for _, m := range b.Members {
 		if f.roster.Add(now, m) {
-			f.inquiry.learned()
+			f.queryBackoff.reset()
 		}
 	}
 	var known []Member
-	reply := f.next()
-	if b.Asks {
+	reply := f.nextBeat()
+	if b.WantsMembers {
 		known = f.roster.Live(now, f.leaving)
 	}
-	reply.Asks = f.inquiry.heard(now, b.Crowd == f.crowd)
+	reply.WantsMembers = f.queryBackoff.noteBeat(now, b.Crowd == f.liveSetHash)
 	f.mu.Unlock()
 	f.cfg.Heard(b)
 	switch {
-	case b.Asks:
-		f.own(&reply)
+	case b.WantsMembers:
+		f.fillBeat(&reply)
 		f.introduce(reply, known, b.From.Peer)
-	case b.Meets || fresh && met || reply.Asks:
-		f.own(&reply)
+	case b.WantsReply || fresh && contacted || reply.WantsMembers:
+		f.fillBeat(&reply)
 		f.send(reply, b.From.Peer)
 	}
 	if fresh {
@@ -84,13 +87,13 @@
 	}
 }
 
-// introduce tells a VM of the others that live, a few a datagram.
+// introduce sends a VM the live members, a few in each datagram.
 func (f *Fleet) introduce(b Beat, known []Member, to string) {
-	for from := 0; from < len(known); from += introduced {
-		b.Members = known[from:min(from+introduced, len(known))]
+	for from := 0; from < len(known); from += membersPerDatagram {
+		b.Members = known[from:min(from+membersPerDatagram, len(known))]
 		f.send(b, to)
 		f.mu.Lock()
-		b.Number = f.next().Number
+		b.Number = f.nextBeat().Number
 		f.mu.Unlock()
 	}
 }
--- a/node/gateway/fleet/replaced_test.go
+++ b/node/gateway/fleet/replaced_test.go
@@ -16,37 +16,36 @@
 	"heatherlock/steering/poison"
 )
 
-// knower is an entry VM that tells and learns which targets were replaced.
-type knower struct {
+// testVM is an entry VM that reports replaced targets and learns of them.
+type testVM struct {
 	mu       sync.Mutex
 	balancer *placement.Balancer
 	fleet    *Fleet
 }
 
-func (k *knower) closed() int {
+func (k *testVM) closedTargets() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.balancer.Counts(time.Now())[0].Closed
 }
 
-// TestReplacedTargetIsKnownToAll holds the bound at the size of the largest deployment: a
-// target that one of 195 VMs finds replaced gets nothing from any of them a second later.
-// Before it was told, each of them found out by a request of its own, or when the
-// target's entry lapsed after 4.5 s.
+// Checks the bound in the largest deployment: once one of 195 VMs finds that a target was replaced,
+// none of them sends it requests a second later. Before heartbeats reported this, each VM found out
+// by a request of its own, or when the target's entry expired after 4.5 s.
 func TestReplacedTargetIsKnownToAll(t *testing.T) {
 	const size, zones = 195, 9
 	const bound = time.Second
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		w := &wire{ends: make(map[string]*end)}
+		w := &network{conns: make(map[string]*memoryConn)}
 		target := placement.Target{Name: "t-1", Generation: 1, Service: "s", Address: "10.9.9.9:80", Zone: "zone-0", Region: "here", Slots: 3}
-		var all []*knower
+		var all []*testVM
 		var records []Member
 		for i := range size {
 			self := Member{Name: steering.VM(fmt.Sprint("vm-", i)), Zone: steering.Zone(fmt.Sprint("zone-", i%zones)), Region: "here",
 				Peer: fmt.Sprintf("10.0.%d.%d:7620", i/250, i%250+1), Control: "c", Callers: "c"}
-			k := &knower{balancer: placement.NewBalancer(self.Name, "here")}
+			k := &testVM{balancer: placement.NewBalancer(self.Name, "here")}
 			k.balancer.SetTargets([]placement.Target{target})
 			k.fleet = New(Config{Self: self, Log: log.NewNopLogger(), Changed: func() {}, Suspects: func(bool) []poison.Fact { return nil },
 				Own: func(b *Beat) {
@@ -79,7 +78,7 @@
 			synctest.Wait()
 			known = 0
 			for _, k := range all {
-				known += k.closed()
+				known += k.closedTargets()
 			}
 		}
 		took := time.Since(began)
--- a/node/gateway/fleet/roster.go
+++ b/node/gateway/fleet/roster.go
@@ -16,215 +16,217 @@
 	Peer    string
 	Control string
 	Callers string
-	// Capacity is what it bears, in requests per second.
+	// Capacity is the load that the VM can take, in requests per second.
 	Capacity float32
 }
 
 const (
-	// shortestBeat is the pause between two heartbeats in a small fleet.
-	shortestBeat = 300 * time.Millisecond
-	// beatPerMate bounds what a VM sends as its zone grows: at most 1 datagram to a
-	// VM of its zone in this time.
-	beatPerMate = 20 * time.Millisecond
-	// shortestNearSilence and missedBeats bound how long nothing may be heard of a live VM
-	// of this zone: five heartbeats, fewer in a zone so large that they are rare.
-	shortestNearSilence = 5 * shortestBeat
-	missedBeats         = 4
-	// shortestFarBeat is the pause between two heartbeats that a VM of another zone gets
-	// from this zone, whoever sends them: each tells which VMs of its zone live, so
-	// few of them need to write.
-	shortestFarBeat = 400 * time.Millisecond
-	// speakers is how many VMs of a zone write to a VM of another zone. With one the
-	// zone would seem gone when that one ends. With all of a large zone each has a
-	// turn so seldom that, as turns fall by chance, now and then none writes for
-	// longer than farSilences heartbeats, and a live zone is taken for gone.
-	speakers = 3
-	// speakerBeats is how many heartbeats of a VM of the own zone may be missing
-	// until another speaks in its place: sooner than it counts as gone, so that
-	// others hear of the zone again before it counts as dark when all its speakers
-	// end together.
-	speakerBeats = 3
-	// farZones is how many zones get a heartbeat in each shortestFarBeat. With more zones all
-	// of them get one less often, or what a VM sends would grow with their number.
-	farZones = 10
-	// farSilences is how many heartbeats of a whole zone may be missing for a VM of
-	// it to be live still, and darkSilences for the zone to be in touch.
-	farSilences  = 5
-	darkSilences = 4
-	// forgetAfter is how long a VM that is gone is still written to, now and
-	// then, so that both sides of a cut find each other again.
-	forgetAfter = 10 * time.Minute
-	// slowRetry is how many beats pass between two datagrams to a VM that is
-	// gone.
-	slowRetry = 6
+	// minInterval is the time between two heartbeats in a small zone.
+	minInterval = 300 * time.Millisecond
+	// intervalPerPeer bounds what a VM sends as its zone grows: at most one datagram to a VM of its
+	// zone in this time.
+	intervalPerPeer = 20 * time.Millisecond
+	// minSameZoneTimeout and maxMissedBeats determine how long a VM of this zone stays live without
+	// a heartbeat: for five heartbeats, or for four in a zone so large that they are less frequent.
+	minSameZoneTimeout = 5 * minInterval
+	maxMissedBeats     = 4
+	// minCrossZoneInterval is the time between two heartbeats that a VM of another zone receives
+	// from this zone, whichever VM sends them. Few VMs of the zone need to send, as each heartbeat
+	// says which VMs of its zone are live.
+	minCrossZoneInterval = 400 * time.Millisecond
+	// sendersPerReceiver is how many VMs of a zone send heartbeats to a VM of another zone. With
+	// one, the zone would seem gone when that one ends. If all VMs of a large zone took turns, each
+	// would send so rarely that, as turns fall at random, sometimes none would send for longer than
+	// crossZoneMissedBeats heartbeats, and a live zone would be considered gone.
+	sendersPerReceiver = 3
+	// maxSenderMissedBeats is how many heartbeats of a VM of this zone may be missing before
+	// another VM sends to other zones in its place. This is sooner than the VM counts as gone, so
+	// that other zones receive heartbeats again before they consider the zone unreachable if all
+	// its senders end at the same time.
+	maxSenderMissedBeats = 3
+	// zonesPerInterval is how many zones are sent a heartbeat in each minCrossZoneInterval. With
+	// more zones each is sent heartbeats less often; otherwise what a VM sends would grow with the
+	// number of zones.
+	zonesPerInterval = 10
+	// A VM of another zone stays live until crossZoneMissedBeats heartbeats of its zone are
+	// missing, and the zone stays reachable until unreachableMissedBeats are.
+	crossZoneMissedBeats   = 5
+	unreachableMissedBeats = 4
+	// removeAfter is how long a VM that is gone is kept on record and is sent an occasional
+	// heartbeat, so that both sides of a network partition find each other again.
+	removeAfter = 10 * time.Minute
+	// goneRetryTicks is the number of ticks between two heartbeats to a VM that is gone.
+	goneRetryTicks = 6
 )
 
-// heard is what is known of a member's life.
-type heard struct {
+// peerState is what is known of another member.
+type peerState struct {
 	Member
-	id      uint64
-	at      time.Time // last heard; zero if never
-	since   time.Time // when it became known
-	leaving bool
-	beat    Beat
-	// beatAt is when its own last heartbeat came, and configAt the first that told the
-	// configuration that it has in force.
-	beatAt   time.Time
-	configAt time.Time
-	// toldAt is when it last told its demand, or that of its zone.
-	toldAt time.Time
-	// reads is when it first told of its last read of the store. The time of the last
-	// heartbeat that tells it would hold up all others for as long as a read hangs.
-	reads time.Time
-	// sent is when a heartbeat was last sent to it.
-	sent time.Time
+	id         uint64
+	lastSeen   time.Time // zero if no heartbeat was ever received from it
+	knownSince time.Time // when it was put on record
+	leaving    bool
+	beat       Beat
+	// lastBeatAt is when its own last heartbeat was received, configSince when the first one was
+	// that reported its configuration in force.
+	lastBeatAt  time.Time
+	configSince time.Time
+	// demandAt is when it last reported its demand or that of its zone.
+	demandAt time.Time
+	// readBegan is when it first reported its last read of the store. With the time of the last
+	// heartbeat that reported the read instead, a read that hangs would delay all other VMs for as
+	// long as it lasts.
+	readBegan time.Time
+	// lastSent is when a heartbeat was last sent to it.
+	lastSent time.Time
 }
 
-// Roster holds all entry VMs known. It is not safe for concurrent use.
+// Roster holds all known entry VMs. It is not safe for concurrent use.
 type Roster struct {
-	self    Member
-	id      uint64
-	members map[steering.VM]*heard
-	byID    map[uint64]*heard
-	ticked  time.Time
-	turn    int
-	zones   map[steering.Zone][]*heard // VMs on record without this one
+	self     Member
+	id       uint64
+	members  map[steering.VM]*peerState
+	byID     map[uint64]*peerState
+	lastTick time.Time
+	ticks    int
+	zones    map[steering.Zone][]*peerState // VMs on record without this one
 }
 
-// NewRoster returns the roster of a VM that knows only itself.
+// NewRoster returns the roster of a VM that knows no other VM.
 func NewRoster(self Member) *Roster {
-	return &Roster{self: self, id: idOf(self.Name), members: make(map[steering.VM]*heard), byID: make(map[uint64]*heard), zones: make(map[steering.Zone][]*heard)}
+	return &Roster{self: self, id: idOf(self.Name), members: make(map[steering.VM]*peerState), byID: make(map[uint64]*peerState), zones: make(map[steering.Zone][]*peerState)}
 }
 
-// Add notes a member that was read of. It reports whether it is new.
+// Add adds a member whose record was read or that another member introduced. It reports whether the
+// member is new.
 func (r *Roster) Add(now time.Time, m Member) bool {
 	if m.Name == r.self.Name || m.Name == "" || m.Peer == "" {
 		return false
 	}
 	if old := r.members[m.Name]; old != nil {
-		if old.at.IsZero() {
-			r.describe(old, m)
+		if old.lastSeen.IsZero() {
+			r.updateMember(old, m)
 		}
 		return false
 	}
-	r.enter(m.Name, &heard{Member: m, since: now})
+	r.insert(m.Name, &peerState{Member: m, knownSince: now})
 	return true
 }
 
-func (r *Roster) enter(name steering.VM, h *heard) {
+func (r *Roster) insert(name steering.VM, h *peerState) {
 	h.id = idOf(name)
 	r.members[name] = h
 	r.byID[h.id] = h
 	r.zones[h.Zone] = append(r.zones[h.Zone], h)
 }
 
-// describe notes where a member is; one that starts anew may be in another zone.
-func (r *Roster) describe(h *heard, m Member) {
+// updateMember updates a member's addresses and zone, which can differ after a restart.
+func (r *Roster) updateMember(h *peerState, m Member) {
 	if h.Zone != m.Zone {
-		r.leaveZone(h)
+		r.removeFromZone(h)
 		r.zones[m.Zone] = append(r.zones[m.Zone], h)
 	}
 	h.Member = m
 }
 
-func (r *Roster) forget(name steering.VM, h *heard) {
+func (r *Roster) remove(name steering.VM, h *peerState) {
 	delete(r.members, name)
 	delete(r.byID, h.id)
-	r.leaveZone(h)
+	r.removeFromZone(h)
 }
 
-func (r *Roster) leaveZone(h *heard) {
-	left := slices.DeleteFunc(r.zones[h.Zone], func(other *heard) bool { return other == h })
+func (r *Roster) removeFromZone(h *peerState) {
+	left := slices.DeleteFunc(r.zones[h.Zone], func(other *peerState) bool { return other == h })
 	r.zones[h.Zone] = left
 	if len(left) == 0 {
 		delete(r.zones, h.Zone)
 	}
 }
 
-// Heard notes a heartbeat. It reports whether the member was not live before.
+// Heard applies a heartbeat. It reports whether the member was not live before or has restarted.
 func (r *Roster) Heard(now time.Time, b Beat) bool {
 	if b.From.Name == r.self.Name {
 		return false
 	}
 	h := r.members[b.From.Name]
 	if h == nil {
-		h = &heard{Member: b.From, since: now}
-		r.enter(b.From.Name, h)
+		h = &peerState{Member: b.From, knownSince: now}
+		r.insert(b.From.Name, h)
 	}
 	if h.beat.Incarnation == b.Incarnation && b.Number <= h.beat.Number {
-		return false // late or doubled
+		return false // late or duplicated
 	}
 	fresh := !r.live(now, h) || h.beat.Incarnation != b.Incarnation
 	if b.Demand != nil {
-		h.toldAt = now
+		h.demandAt = now
 	} else if h.beat.Incarnation == b.Incarnation {
-		b.Demand = h.beat.Demand // told before
+		b.Demand = h.beat.Demand // as reported before
 	}
 	if b.Known.Config != h.beat.Known.Config || h.beat.Incarnation != b.Incarnation {
-		h.configAt = now
+		h.configSince = now
 	} else if b.ConfigContent == 0 {
-		b.ConfigContent = h.beat.ConfigContent // told before
+		b.ConfigContent = h.beat.ConfigContent // as reported before
 	}
-	h.beatAt = now
-	goesOn := h.beat.Reads && h.beat.Incarnation == b.Incarnation
-	r.describe(h, b.From)
-	h.at, h.leaving, h.beat = now, b.Leaving, b
-	if b.Reads && !b.StoreFails && !goesOn {
-		h.reads = now
+	h.lastBeatAt = now
+	stillReading := h.beat.Reads && h.beat.Incarnation == b.Incarnation
+	r.updateMember(h, b.From)
+	h.lastSeen, h.leaving, h.beat = now, b.Leaving, b
+	if b.Reads && !b.StoreFails && !stillReading {
+		h.readBegan = now
 	}
-	r.heardOf(now, b)
+	r.refreshZone(now, b)
 	return fresh
 }
 
-// heardOf notes the VMs of the sender's zone that the sender hears. What a VM of
-// one zone says of another zone does not count: it may be older than what is
-// known here, and two zones that tell each other of a third would keep it alive.
-func (r *Roster) heardOf(now time.Time, b Beat) {
+// refreshZone marks the VMs of the sender's zone that the sender considers live as seen. What a VM
+// reports about other zones than its own does not count: it may be older than what is known here,
+// and two zones that report a third one to each other would keep it live forever.
+func (r *Roster) refreshZone(now time.Time, b Beat) {
 	if b.From.Zone == r.self.Zone {
 		return
 	}
 	for _, h := range r.zones[b.From.Zone] {
-		if !h.leaving && !h.at.IsZero() && slices.Contains(b.Mates, shortOf(h.id)) {
-			h.at = now
+		if !h.leaving && !h.lastSeen.IsZero() && slices.Contains(b.Mates, shortID(h.id)) {
+			h.lastSeen = now
 		}
 	}
 }
 
-// Named returns the member with an id, or false if it is not known.
-func (r *Roster) Named(id uint64) (Member, bool) {
+// ByID returns the member with an ID, and false if it is not known.
+func (r *Roster) ByID(id uint64) (Member, bool) {
 	if h := r.byID[id]; h != nil {
 		return h.Member, true
 	}
 	return Member{}, false
 }
 
-// Tick says whom to write to now. A gap between ticks means that this VM was
-// paused: what it did not hear meanwhile says nothing of the others. With all
-// set, every live member is written to.
+// Tick returns the members to which to send a heartbeat now. With all set these include every live
+// member. A gap since the last tick means that this VM was paused and could not receive heartbeats,
+// so the gap is not counted towards the timeouts of other VMs.
 func (r *Roster) Tick(now time.Time, all bool) []Member {
-	if gap := now.Sub(r.ticked) - r.Pause(); !r.ticked.IsZero() && gap > r.Pause() {
+	if gap := now.Sub(r.lastTick) - r.Interval(); !r.lastTick.IsZero() && gap > r.Interval() {
 		for _, h := range r.members {
-			if !h.at.IsZero() {
-				h.at = h.at.Add(gap)
+			if !h.lastSeen.IsZero() {
+				h.lastSeen = h.lastSeen.Add(gap)
 			}
 		}
 	}
-	r.ticked = now
-	r.turn++
-	pause, able := r.Pause(), r.ableMates(now)
+	r.lastTick = now
+	r.ticks++
+	pause, senders := r.Interval(), r.eligibleSenders(now)
 	var to []Member
 	for name, h := range r.members {
-		if now.Sub(maxTime(h.at, h.since)) > forgetAfter {
-			r.forget(name, h)
+		if now.Sub(maxTime(h.lastSeen, h.knownSince)) > removeAfter {
+			r.remove(name, h)
 			continue
 		}
-		due := r.due(now, h, pause, able)
+		due := r.due(now, h, pause, senders)
 		if due {
-			h.sent = now
+			h.lastSent = now
 		}
-		// What is sent to all at once must not move the turns: after news that every
-		// VM announces, those of a zone would all write together from then on, and
-		// be silent in between for longer than a live zone may be.
+		// A heartbeat that is sent only because of all does not update lastSent. Otherwise, after a
+		// change that every VM announces, the senders of a zone would all send at the same time
+		// from then on, and none would send in between for longer than the timeout of a live zone.
 		if due || all && r.live(now, h) {
 			to = append(to, h.Member)
 		}
@@ -232,98 +234,100 @@
 	return to
 }
 
-// due reports whether a member is to get a heartbeat now.
-func (r *Roster) due(now time.Time, h *heard, pause time.Duration, able []uint64) bool {
-	quiet, unsent := now.Sub(maxTime(h.at, h.since)), now.Sub(h.sent)
+// due reports whether to send a member a heartbeat at this tick.
+func (r *Roster) due(now time.Time, h *peerState, pause time.Duration, senders []uint64) bool {
+	unseen, unsent := now.Sub(maxTime(h.lastSeen, h.knownSince)), now.Sub(h.lastSent)
 	switch {
-	case !r.live(now, h) && quiet > r.nearSilence():
-		return r.turn%slowRetry == 0
+	case !r.live(now, h) && unseen > r.sameZoneTimeout():
+		return r.ticks%goneRetryTicks == 0
 	case h.Zone == r.self.Zone:
 		return true
 	case !r.live(now, h):
-		return unsent >= r.farBeat()
+		return unsent >= r.crossZoneInterval()
 	}
-	rank, of := r.speakerRank(able, h.id)
-	// Half a tick early, since ticks are late by a little.
-	return rank < of && unsent >= time.Duration(of)*r.farBeat()-pause/2
+	rank, of := r.senderRank(senders, h.id)
+	// Half an interval early, since ticks are always a little late.
+	return rank < of && unsent >= time.Duration(of)*r.crossZoneInterval()-pause/2
 }
 
-// ableMates returns the ids of the VMs of this zone that may write to others in its
-// name just now.
-func (r *Roster) ableMates(now time.Time) []uint64 {
-	var able []uint64
+// eligibleSenders returns the IDs of the other VMs of this zone that currently may send to other
+// zones on its behalf.
+func (r *Roster) eligibleSenders(now time.Time) []uint64 {
+	var senders []uint64
 	for _, h := range r.members {
-		if h.Zone == r.self.Zone && !h.leaving && !h.at.IsZero() && now.Sub(h.at) <= speakerBeats*r.Pause() {
-			able = append(able, h.id)
+		if h.Zone == r.self.Zone && !h.leaving && !h.lastSeen.IsZero() && now.Sub(h.lastSeen) <= maxSenderMissedBeats*r.Interval() {
+			senders = append(senders, h.id)
 		}
 	}
-	return able
+	return senders
 }
 
-// speakerRank returns this VM's place among those of its zone that may write to a
-// member of another zone, and how many of them do. The order differs from one
-// receiver to the next, so that the work is spread over the zone.
-func (r *Roster) speakerRank(able []uint64, to uint64) (rank, of int) {
-	own := mixed(r.id, to)
-	for _, id := range able {
-		if mixed(id, to) < own {
+// senderRank returns this VM's rank among those of its zone that may send to a member of another
+// zone, and how many of them do. The order differs from receiver to receiver, which spreads the
+// work over the zone.
+func (r *Roster) senderRank(senders []uint64, to uint64) (rank, of int) {
+	own := pairHash(r.id, to)
+	for _, id := range senders {
+		if pairHash(id, to) < own {
 			rank++
 		}
 	}
-	return rank, min(len(able)+1, speakers)
+	return rank, min(len(senders)+1, sendersPerReceiver)
 }
 
-// mixed returns a number of 32 bits that differs for each pair.
-func mixed(a, b uint64) uint64 { return (a*0x9e3779b1 ^ b*0x85ebca6b) & (1<<32 - 1) }
+// pairHash returns a 32-bit hash of a pair of IDs.
+func pairHash(a, b uint64) uint64 { return (a*0x9e3779b1 ^ b*0x85ebca6b) & (1<<32 - 1) }
 
-// Pause is the time between two ticks.
-func (r *Roster) Pause() time.Duration {
-	return max(shortestBeat, time.Duration(len(r.zones[r.self.Zone]))*beatPerMate)
+// Interval returns the time between two ticks.
+func (r *Roster) Interval() time.Duration {
+	return max(minInterval, time.Duration(len(r.zones[r.self.Zone]))*intervalPerPeer)
 }
 
-// Met reports whether a member was ever heard.
-func (r *Roster) Met(name steering.VM) bool {
+// Contacted reports whether a heartbeat was ever received from a member.
+func (r *Roster) Contacted(name steering.VM) bool {
 	h := r.members[name]
-	return h != nil && !h.at.IsZero()
+	return h != nil && !h.lastSeen.IsZero()
 }
 
-// Crowd returns a number that is the same on two VMs that hear the same VMs; with
-// self this VM counts as well.
-func (r *Roster) Crowd(now time.Time, self bool) uint32 {
-	var crowd uint32
+// LiveSetHash returns a hash of the set of live VMs that are not leaving, which is the same on VMs
+// with the same set. With self set, this VM is part of it.
+func (r *Roster) LiveSetHash(now time.Time, self bool) uint32 {
+	var hash uint32
 	if self {
-		crowd = uint32(r.id)
+		hash = uint32(r.id)
 	}
 	for _, h := range r.members {
 		if r.live(now, h) && !h.leaving {
-			crowd ^= uint32(h.id)
+			hash ^= uint32(h.id)
 		}
 	}
-	return crowd
+	return hash
 }
 
-// MateIDs returns the short ids of the live VMs of this zone, for VMs of others.
-func (r *Roster) MateIDs(now time.Time) []uint32 {
+// ZonePeerIDs returns the short IDs of the live VMs of this zone, to send to VMs of other zones.
+func (r *Roster) ZonePeerIDs(now time.Time) []uint32 {
 	var ids []uint32
-	for _, m := range r.Mates(now) {
-		ids = append(ids, shortOf(idOf(m.Name)))
+	for _, m := range r.ZonePeers(now) {
+		ids = append(ids, shortID(idOf(m.Name)))
 	}
 	return ids
 }
 
-func (r *Roster) live(now time.Time, h *heard) bool {
-	silence := r.nearSilence()
+func (r *Roster) live(now time.Time, h *peerState) bool {
+	timeout := r.sameZoneTimeout()
 	if h.Zone != r.self.Zone {
-		silence = max(silence, farSilences*r.farBeat())
+		timeout = max(timeout, crossZoneMissedBeats*r.crossZoneInterval())
 	}
-	return !h.at.IsZero() && now.Sub(h.at) < silence
+	return !h.lastSeen.IsZero() && now.Sub(h.lastSeen) < timeout
 }
 
-func (r *Roster) nearSilence() time.Duration { return max(shortestNearSilence, missedBeats*r.Pause()) }
+func (r *Roster) sameZoneTimeout() time.Duration {
+	return max(minSameZoneTimeout, maxMissedBeats*r.Interval())
+}
 
-// farBeat is the pause between two heartbeats of a zone to a VM of another one.
-func (r *Roster) farBeat() time.Duration {
-	return max(shortestFarBeat, shortestFarBeat*time.Duration(len(r.zones))/farZones)
+// crossZoneInterval returns the time between two heartbeats of a zone to a VM of another zone.
+func (r *Roster) crossZoneInterval() time.Duration {
+	return max(minCrossZoneInterval, minCrossZoneInterval*time.Duration(len(r.zones))/zonesPerInterval)
 }
 
 func maxTime(a, b time.Time) time.Time {
--- a/node/gateway/fleet/roster_test.go
+++ b/node/gateway/fleet/roster_test.go
@@ -18,8 +18,8 @@
 	return fleet.Member{Name: name, Zone: zone, Region: "r", Peer: "10.0.0.1:1", Control: "c", Callers: "f"}
 }
 
-// hears lets r hear a beat of a member.
-func hears(r *fleet.Roster, now time.Time, m fleet.Member, number uint64) bool {
+// receiveBeat gives r a heartbeat of a member.
+func receiveBeat(r *fleet.Roster, now time.Time, m fleet.Member, number uint64) bool {
 	return r.Heard(now, fleet.Beat{From: m, Incarnation: 7, Number: number, Serving: true})
 }
 
@@ -35,23 +35,23 @@
 	r := fleet.NewRoster(member("self", "a"))
 	other := member("other", "b")
 	assert.Assert(t, r.Add(start, other))
-	assert.Equal(t, len(live(r, start)), 0, "only read of, not heard")
-	assert.Assert(t, hears(r, start, other, 1))
+	assert.Equal(t, len(live(r, start)), 0, "only its record was read")
+	assert.Assert(t, receiveBeat(r, start, other, 1))
 	assert.DeepEqual(t, live(r, start.Add(time.Second)), []steering.VM{"other"})
 	gone := start.Add(3 * time.Second)
 	assert.Equal(t, len(live(r, gone)), 0)
 	assert.Assert(t, r.DarkZones(gone)["b"])
-	assert.Assert(t, hears(r, gone, other, 2), "news, since it was gone")
+	assert.Assert(t, receiveBeat(r, gone, other, 2), "it was gone before")
 	assert.Assert(t, !r.DarkZones(gone)["b"])
 }
 
-// Symptom: a VM that was suspended takes all others for dead and answers callers
-// with itself alone. Sequence: it wakes, and its clock says that nothing was
-// heard for seconds. Cause: counting its own pause against the others.
-func TestOwnPauseIsNotHeldAgainstOthers(t *testing.T) {
+// Guards against a VM that was suspended, considers all others gone and names only itself to
+// callers. When it resumes, its clock says that no heartbeat has come for seconds, but its own
+// pause must not count towards the others' timeouts.
+func TestOwnPauseDoesNotExpireOthers(t *testing.T) {
 	r := fleet.NewRoster(member("self", "a"))
 	r.Tick(start, false)
-	hears(r, start, member("other", "b"), 1)
+	receiveBeat(r, start, member("other", "b"), 1)
 	r.Tick(start.Add(300*time.Millisecond), false)
 	woken := start.Add(8 * time.Second)
 	r.Tick(woken, false)
@@ -59,26 +59,26 @@
 	for step := range 10 {
 		r.Tick(woken.Add(time.Duration(step)*300*time.Millisecond), false)
 	}
-	assert.Equal(t, len(live(r, woken.Add(3*time.Second))), 0, "silent after the pause as well")
+	assert.Equal(t, len(live(r, woken.Add(3*time.Second))), 0, "no heartbeats after the pause either")
 }
 
-// Symptom: a VM that left is named to callers again. Sequence: a late datagram
-// from before its leaving arrives. Cause: not comparing the numbers.
-func TestLateHeartbeatChangesNothing(t *testing.T) {
+// Guards against naming a VM that left to callers again because a datagram from before it left
+// arrives late: the numbers of heartbeats must be compared.
+func TestLateHeartbeatIsIgnored(t *testing.T) {
 	r := fleet.NewRoster(member("self", "a"))
 	m := member("other", "b")
-	hears(r, start, m, 5)
+	receiveBeat(r, start, m, 5)
 	r.Heard(start, fleet.Beat{From: m, Incarnation: 7, Number: 6, Leaving: true})
-	hears(r, start, m, 4)
+	receiveBeat(r, start, m, 4)
 	assert.Equal(t, len(live(r, start)), 0)
-	assert.Assert(t, r.Heard(start, fleet.Beat{From: m, Incarnation: 8, Number: 1}), "its next process begins anew")
+	assert.Assert(t, r.Heard(start, fleet.Beat{From: m, Incarnation: 8, Number: 1}), "a new incarnation")
 	assert.DeepEqual(t, live(r, start), []steering.VM{"other"})
 }
 
-// Symptom: in a large fleet either heartbeats are most of what is sent, or a dead
-// VM is named to callers for long. Sequence: 180 VMs, one ends. Cause: each VM
-// tells each other one of its own life alone. What a VM sends must not grow with
-// the number of zones times their size, and the end be known everywhere in time.
+// Guards against a large fleet in which most of the traffic is heartbeats, or in which a VM that
+// ended is named to callers for long, as when each VM sends to every other and reports only itself.
+// What a VM sends must not grow with the number of zones times their size, and the end of one of
+// 180 VMs must be known everywhere in time.
 func TestLargeFleetKnowsWhoLivesWithFewDatagrams(t *testing.T) {
 	const zones, perZone = 5, 36
 	var members []fleet.Member
@@ -92,18 +92,18 @@
 			rosters[i].Heard(start, fleet.Beat{From: other, Incarnation: 1, Number: 1, Serving: true})
 		}
 	}
-	const dead = 7
+	const ended = 7
 	sent, numbers := 0, make([]uint64, len(members))
-	announced := false // all announce something once, at the same time
-	pause := rosters[0].Pause()
+	announced := false // all VMs announce a change once, at the same time
+	pause := rosters[0].Interval()
 	var knownAfter time.Duration
 	for now := start; now.Before(start.Add(9 * time.Second)); now = now.Add(pause) {
 		for i, r := range rosters {
-			if i == dead && now.After(start.Add(2*time.Second)) {
+			if i == ended && now.After(start.Add(2*time.Second)) {
 				continue
 			}
 			numbers[i]++
-			b := fleet.Beat{From: members[i], Incarnation: 1, Number: 1 + numbers[i], Serving: true, Mates: r.MateIDs(now)}
+			b := fleet.Beat{From: members[i], Incarnation: 1, Number: 1 + numbers[i], Serving: true, Mates: r.ZonePeerIDs(now)}
 			announces := !announced && now.After(start.Add(500*time.Millisecond))
 			for _, to := range r.Tick(now, announces) {
 				if !announces {
@@ -119,9 +119,9 @@
 		for i, r := range rosters {
 			gone := true
 			for _, m := range r.Live(now, true) {
-				gone = gone && m.Name != members[dead].Name
+				gone = gone && m.Name != members[ended].Name
 			}
-			known = known && (gone || i == dead)
+			known = known && (gone || i == ended)
 			if i == 0 && now.After(start.Add(time.Second)) {
 				assert.Assert(t, len(r.Live(now, false)) >= zones*perZone-1, "%d live", len(r.Live(now, false)))
 			}
@@ -131,16 +131,16 @@
 		}
 	}
 	perSecond := float64(sent) / float64(len(members)) / 9
-	assert.Assert(t, perSecond < 110, "%.0f datagrams a second and VM", perSecond)
+	assert.Assert(t, perSecond < 110, "%.0f datagrams per second and VM", perSecond)
 	assert.Assert(t, knownAfter > 0 && knownAfter < 7*time.Second, "known after %v", knownAfter)
-	t.Logf("%.0f datagrams a second and VM, the end known everywhere after %v", perSecond, knownAfter)
+	t.Logf("%.0f datagrams per second and VM, the end known everywhere after %v", perSecond, knownAfter)
 }
 
-// Symptom: two halves of a cut fleet never find each other again. Cause: never
-// writing to a member that is gone.
-func TestGoneMemberIsStillWrittenToNowAndThen(t *testing.T) {
+// Guards against the two sides of a network partition never finding each other again because no
+// heartbeats are sent to members that are gone.
+func TestGoneMemberIsRetriedOccasionally(t *testing.T) {
 	r := fleet.NewRoster(member("self", "a"))
-	hears(r, start, member("other", "b"), 1)
+	receiveBeat(r, start, member("other", "b"), 1)
 	written := 0
 	for step := range 100 {
 		written += len(r.Tick(start.Add(time.Duration(step)*300*time.Millisecond), false))
@@ -148,10 +148,10 @@
 	assert.Assert(t, written > 10 && written < 40, "%d datagrams in 30 s", written)
 }
 
-// Symptom: at 100 VMs the store is read six times a second. Sequence: a read takes
-// a small VM longer than the step to the next in rank. Cause: not knowing that it
-// has begun. What VMs after this one read, or VMs whose reads fail, does not count.
-func TestReadThatOthersHaveBegunIsKnown(t *testing.T) {
+// Guards against six reads of the store per second at 100 VMs. A small VM takes longer for a read
+// than the delay to the next rank, so later ranks must know that a read has begun. Reads by VMs
+// that rank after this one, or whose reads fail, do not count.
+func TestReadBegunByLowerRankIsKnown(t *testing.T) {
 	names := []steering.VM{"a", "b", "c", "d"}
 	for _, self := range names {
 		r := fleet.NewRoster(member(self, "x"))
@@ -168,14 +168,12 @@
 	}
 }
 
-// Symptom: all VMs read the store at once, or none does. Each has another rank,
-// and VMs whose reads fail come last.
-// Symptom: a configuration is known nowhere for 2.8 s while the store is silent to one VM.
-// Sequence: it is the first to read, and its read hangs; each of its heartbeats tells so.
-// Cause: others waited from the last heartbeat that told it, not from the first.
+// Guards against a configuration that no VM learns of for 2.8 s while the store does not answer one
+// VM. That VM is the first to read, its read hangs, and each of its heartbeats reports the read;
+// others must wait from the first such heartbeat and not from the last.
 //
-// Evidence: with the store silent to that VM alone, a version was in force on the others
-// after 2.5 s and more; 1.1 s until a read is due, 1 s until it is given up, 0.7 s of waiting.
+// With a store that did not answer that VM alone, a version was in force on the others only after
+// 2.5 s and more: 1.1 s until a read is due, 1 s until it is given up, and 0.7 s of waiting.
 func TestReadThatHangsIsNotWaitedForAnew(t *testing.T) {
 	names := []steering.VM{"a", "b"}
 	for _, self := range names {
@@ -193,7 +191,7 @@
 		beat(300, true)
 		beat(600, true)
 		if r.ReadRank(start, false) == 0 {
-			continue // the other one waits for this one
+			continue // the other VM waits for this one
 		}
 		assert.Equal(t, r.ReadBegun(start.Add(700*time.Millisecond)), start)
 		beat(900, false)
@@ -202,6 +200,8 @@
 	}
 }
 
+// Guards against all VMs reading the store at the same time, or none of them: each has a different
+// rank, and VMs whose reads fail come last.
 func TestReadersAreRanked(t *testing.T) {
 	members := []fleet.Member{member("a", "x"), member("b", "x"), member("c", "y"), member("d", "y")}
 	ranks := func(failing steering.VM) map[int]steering.VM {
@@ -222,9 +222,9 @@
 	assert.Equal(t, failing[0], well[1])
 }
 
-// Symptom: a leaving target still gets requests after its bound, on small VMs far
-// from the reader. Sequence: a VM with a thin link is the first to read the store;
-// all others wait for what it tells. Cause: an order by name alone.
+// Guards against requests to a leaving target after its bound on small VMs far from the reader.
+// With an order by name alone, a VM with a slow link can be the first to read the store, and all
+// others wait for what it sends.
 func TestMoreAbleVMsReadAndFetchFirst(t *testing.T) {
 	members := []fleet.Member{member("a", "x"), member("b", "x"), member("c", "y"), member("d", "y")}
 	members[2].Capacity, members[1].Capacity = 2400, 300
@@ -240,29 +240,28 @@
 	assert.Equal(t, rank(members[0])+rank(members[3]), 5)
 }
 
-// Feared: heartbeats of a zone are as rare as if VMs that moved away were there still, or
-// those in the new zone count as gone, since the zone is told to live without them.
-//
-// Sequence: 29 VMs of this zone end and start under their names in another zone, and one of
-// them tells whom of its zone it hears.
+// Guards against VMs that moved to another zone and still count in their old one, which makes its
+// heartbeats less frequent, or that count as gone in the new one because the reports of that zone
+// are not applied to them. 29 VMs of this zone end and start under the same names in another zone,
+// and one of them reports which VMs of its zone are live.
 func TestVMThatStartsInAnotherZoneCountsThere(t *testing.T) {
 	r := fleet.NewRoster(member("self", "a"))
 	var names []steering.VM
 	for n := range 29 {
 		names = append(names, steering.VM(fmt.Sprint("vm-", n)))
-		hears(r, start, member(names[n], "a"), 1)
+		receiveBeat(r, start, member(names[n], "a"), 1)
 	}
-	assert.Equal(t, r.Pause(), 580*time.Millisecond)
-	mates := fleet.NewRoster(member(names[0], "b"))
+	assert.Equal(t, r.Interval(), 580*time.Millisecond)
+	restarted := fleet.NewRoster(member(names[0], "b"))
 	for n, name := range names {
 		moved := fleet.Beat{From: member(name, "b"), Incarnation: 8, Number: 1, Serving: true}
 		r.Heard(start, moved)
 		if n > 0 {
-			mates.Heard(start, moved)
+			restarted.Heard(start, moved)
 		}
 	}
-	assert.Equal(t, r.Pause(), 300*time.Millisecond)
+	assert.Equal(t, r.Interval(), 300*time.Millisecond)
 	later := start.Add(1900 * time.Millisecond)
-	r.Heard(later, fleet.Beat{From: member(names[0], "b"), Incarnation: 8, Number: 2, Serving: true, Mates: mates.MateIDs(start)})
+	r.Heard(later, fleet.Beat{From: member(names[0], "b"), Incarnation: 8, Number: 2, Serving: true, Mates: restarted.ZonePeerIDs(start)})
 	assert.Equal(t, len(live(r, later.Add(time.Second))), 29)
 }
--- a/node/gateway/fleet/send.go
+++ b/node/gateway/fleet/send.go
@@ -9,9 +9,9 @@
 	"heatherlock/steering/placement"
 )
 
-// sendAll sends near to VMs of this zone, and far, which speaks for the zone, to
-// those of others. Addresses are for VMs that were never heard; whoever lacks them
-// asks.
+// sendAll sends near to the VMs of this zone, and far, which reports for the whole zone, to those
+// of other zones. Addresses are included for VMs from which no heartbeat was ever received; other
+// VMs that lack them ask.
 func (f *Fleet) sendAll(near, far Beat, to []Member, addresses bool) {
 	forNear, err := encode(near, addresses)
 	if err == nil {
@@ -26,77 +26,80 @@
 		}
 	}
 	if err != nil {
-		_ = f.cfg.Log.Log("msg", "heartbeat not sent", "err", err) // the writer counts what it drops
+		_ = f.cfg.Log.Log("msg", "heartbeat not sent", "err", err) // the log writer counts the lines that it drops
 	}
 }
 
-// zoneNews is what a VM tells other zones of the others of its own.
-type zoneNews struct {
-	mates  []uint32
-	demand placement.DemandOf
+// zoneReport is what a VM reports to other zones about the other VMs of its own zone.
+type zoneReport struct {
+	peerIDs []uint32
+	demand  placement.DemandOf
 }
 
-func (f *Fleet) zoneNews(now time.Time) zoneNews {
-	return zoneNews{mates: f.roster.MateIDs(now), demand: f.roster.MatesDemand(now)}
+// zoneReport returns the report as of now. f.mu must be held.
+func (f *Fleet) zoneReport(now time.Time) zoneReport {
+	return zoneReport{peerIDs: f.roster.ZonePeerIDs(now), demand: f.roster.ZonePeersDemand(now)}
 }
 
-// spoken returns a beat as other zones get it.
-func (z zoneNews) spoken(b Beat) Beat {
+// beatFor returns a heartbeat in the form for other zones, with the live VMs and the demand of this
+// zone.
+func (z zoneReport) beatFor(b Beat) Beat {
 	own := b.Demand
-	b.Mates, b.Demand = z.mates, maps.Clone(z.demand)
+	b.Mates, b.Demand = z.peerIDs, maps.Clone(z.demand)
 	b.Demand.AddAll(own)
 	return b
 }
 
-// AnnounceInZone sends a heartbeat to the VMs of this zone.
+// AnnounceInZone sends a heartbeat to the VMs of this zone at once.
 func (f *Fleet) AnnounceInZone() {
 	f.mu.Lock()
-	b := f.next()
-	mates := f.roster.Mates(time.Now())
+	b := f.nextBeat()
+	peers := f.roster.ZonePeers(time.Now())
 	f.mu.Unlock()
-	f.own(&b)
+	f.fillBeat(&b)
 	b.Demand = nil
-	f.sendAll(b, b, mates, false)
+	f.sendAll(b, b, peers, false)
 }
 
-// split parts members that were heard before from those that were not.
-func (f *Fleet) split(all []Member) (met, unmet []Member) {
+// splitByContact separates the members from which a heartbeat was ever received from the others.
+func (f *Fleet) splitByContact(all []Member) (contacted, uncontacted []Member) {
 	for _, m := range all {
-		if f.roster.Met(m.Name) {
-			met = append(met, m)
+		if f.roster.Contacted(m.Name) {
+			contacted = append(contacted, m)
 		} else {
-			unmet = append(unmet, m)
+			uncontacted = append(uncontacted, m)
 		}
 	}
-	return met, unmet
+	return contacted, uncontacted
 }
 
-// own fills in what a heartbeat says of this VM and of whom it hears.
-func (f *Fleet) own(b *Beat) {
+// fillBeat sets the fields of a heartbeat that describe this VM and its set of live VMs.
+func (f *Fleet) fillBeat(b *Beat) {
 	f.cfg.Own(b)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.leaving, b.Crowd = b.Leaving, f.crowd
+	f.leaving, b.Crowd = b.Leaving, f.liveSetHash
 }
 
-func (f *Fleet) next() Beat {
-	f.number++
-	return Beat{From: f.cfg.Self, Incarnation: f.incarnation, Number: f.number}
+// nextBeat returns a heartbeat with the next number. f.mu must be held.
+func (f *Fleet) nextBeat() Beat {
+	f.beatNumber++
+	return Beat{From: f.cfg.Self, Incarnation: f.incarnation, Number: f.beatNumber}
 }
 
-// send sends a beat to one VM, with this VM's addresses. It tells no demand: a VM of
-// another zone would take that of this VM's callers for that of the whole zone.
+// send sends a heartbeat with this VM's addresses to one VM. It leaves out the demand: a VM of
+// another zone would take the demand of this VM's callers for that of the whole zone.
 func (f *Fleet) send(b Beat, address string) {
 	b.Demand = nil
 	raw, err := encode(b, true)
 	if err != nil {
-		_ = f.cfg.Log.Log("msg", "heartbeat not sent", "err", err) // the writer counts what it drops
+		_ = f.cfg.Log.Log("msg", "heartbeat not sent", "err", err) // the log writer counts the lines that it drops
 		return
 	}
 	f.write(raw, Member{Peer: address})
 }
 
-// write sends a datagram to a VM, of which no more than the address need be known.
+// write sends a datagram to a VM, of which only the address need be known.
 func (f *Fleet) write(raw []byte, m Member) {
 	to, err := netip.ParseAddrPort(m.Peer)
 	if err != nil {
@@ -106,7 +109,7 @@
 	if f.cfg.Sent != nil {
 		f.cfg.Sent(m, len(raw))
 	}
-	// A datagram that cannot be sent counts as lost: the other side notices a
-	// missing heartbeat, whatever the reason.
+	// A datagram that cannot be sent counts as lost: the receiver notices a missing heartbeat
+	// whatever the reason.
 	_, _ = f.conn.WriteTo(raw, net.UDPAddrFromAddrPort(to))
 }
--- a/node/gateway/fleet/views.go
+++ b/node/gateway/fleet/views.go
@@ -14,8 +14,8 @@
 	"heatherlock/steering/placement"
 )
 
-// Live returns the live members that are not leaving, this VM included unless
-// it leaves, by name.
+// Live returns the live members that are not leaving, by name. It includes this VM unless
+// selfLeaves is set.
 func (r *Roster) Live(now time.Time, selfLeaves bool) []Member {
 	all := make([]Member, 0, len(r.members)+1)
 	if !selfLeaves {
@@ -30,8 +30,8 @@
 	return all
 }
 
-// Mates returns the other live members of this VM's zone.
-func (r *Roster) Mates(now time.Time) []Member {
+// ZonePeers returns the other live members of this VM's zone.
+func (r *Roster) ZonePeers(now time.Time) []Member {
 	var mates []Member
 	for _, h := range r.members {
 		if h.Zone == r.self.Zone && r.live(now, h) && !h.leaving {
@@ -41,7 +41,7 @@
 	return mates
 }
 
-// Serving returns the live members that take requests.
+// Serving returns the live members that take requests. selfServes says whether this VM does.
 func (r *Roster) Serving(now time.Time, selfServes bool) []Member {
 	all := r.Live(now, !selfServes)
 	kept := all[:0]
@@ -53,8 +53,8 @@
 	return kept
 }
 
-// MatesDemand returns what the callers of the other live VMs of this zone ask.
-func (r *Roster) MatesDemand(now time.Time) placement.DemandOf {
+// ZonePeersDemand returns the demand of the callers of the other live VMs of this zone.
+func (r *Roster) ZonePeersDemand(now time.Time) placement.DemandOf {
 	sum := make(placement.DemandOf)
 	for _, h := range r.members {
 		if h.Zone == r.self.Zone && r.live(now, h) && !h.leaving {
@@ -64,16 +64,16 @@
 	return sum
 }
 
-// Demand returns what the callers of other VMs ask, by region. Of another zone only
-// what was told last counts, since each of its VMs tells the demand of all.
+// Demand returns the demand of the callers of other VMs, by region. For another zone only the
+// latest report counts, since each of its senders reports the demand of the whole zone.
 func (r *Roster) Demand(now time.Time) map[steering.Region]placement.DemandOf {
-	demand := map[steering.Region]placement.DemandOf{r.self.Region: r.MatesDemand(now)}
-	last := make(map[steering.Zone]*heard)
+	demand := map[steering.Region]placement.DemandOf{r.self.Region: r.ZonePeersDemand(now)}
+	last := make(map[steering.Zone]*peerState)
 	for _, h := range r.members {
 		if h.Zone == r.self.Zone || !r.live(now, h) || h.beat.Demand == nil {
 			continue
 		}
-		if old := last[h.Zone]; old == nil || h.toldAt.After(old.toldAt) {
+		if old := last[h.Zone]; old == nil || h.demandAt.After(old.demandAt) {
 			last[h.Zone] = h
 		}
 	}
@@ -86,14 +86,14 @@
 	return demand
 }
 
-// ZoneDemand returns what the callers of a zone ask, this VM's own left out.
+// ZoneDemand returns the demand of the callers of a zone without those of this VM.
 func (r *Roster) ZoneDemand(now time.Time, zone steering.Zone) placement.DemandOf {
 	if zone == r.self.Zone {
-		return r.MatesDemand(now)
+		return r.ZonePeersDemand(now)
 	}
-	var last *heard
+	var last *peerState
 	for _, h := range r.zones[zone] {
-		if r.live(now, h) && h.beat.Demand != nil && (last == nil || h.toldAt.After(last.toldAt)) {
+		if r.live(now, h) && h.beat.Demand != nil && (last == nil || h.demandAt.After(last.demandAt)) {
 			last = h
 		}
 	}
@@ -104,32 +104,32 @@
 	return sum
 }
 
-// Following is which configuration another entry VM follows, as far as it is known here.
+// Following says which configuration another entry VM uses, as far as this VM knows.
 type Following struct {
 	Member
-	// Live is whether it lives, and Leaving whether it is about to end.
+	// Live is set while the VM is live, Leaving once it is shutting down.
 	Live    bool
 	Leaving bool
 	Serving bool
-	// Version is in force there, 0 for none, and Newest the newest that it knows of.
+	// Version is in force on the VM, 0 for none, and Newest is the newest version that it knows of.
 	Version uint64
 	Newest  uint64
 	// Content is a hash of the content in force; 0 if it is not known.
 	Content uint32
 	Wait    catchup.Wait
-	// Since is when its first heartbeat with this version came, ToldAt when its last
-	// came; zero if none ever did. VMs of other zones seldom write.
+	// Since is when the first heartbeat with this version was received, ToldAt when the last
+	// heartbeat was; zero if none was. VMs of other zones rarely send heartbeats.
 	Since  time.Time
 	ToldAt time.Time
 }
 
-// Following returns which configuration each other VM on record follows, by zone and name.
+// Following returns which configuration each other VM on record uses, by zone and name.
 func (r *Roster) Following(now time.Time) []Following {
 	all := make([]Following, 0, len(r.members))
 	for _, h := range r.members {
 		k := h.beat.Known
 		all = append(all, Following{Member: h.Member, Live: r.live(now, h), Leaving: h.leaving, Serving: h.beat.Serving, Version: k.Config,
-			Newest: max(k.Newest, k.Config), Content: h.beat.ConfigContent, Wait: h.beat.ConfigWait, Since: h.configAt, ToldAt: h.beatAt})
+			Newest: max(k.Newest, k.Config), Content: h.beat.ConfigContent, Wait: h.beat.ConfigWait, Since: h.configSince, ToldAt: h.lastBeatAt})
 	}
 	sort.Slice(all, func(i, j int) bool {
 		if all[i].Zone != all[j].Zone {
@@ -146,7 +146,7 @@
 	Version uint64
 }
 
-// Holders returns the live VMs that have a newer configuration than a version.
+// Holders returns the live VMs whose configuration is newer than the version above.
 func (r *Roster) Holders(now time.Time, above uint64) []Holder {
 	var all []Holder
 	for _, h := range r.members {
@@ -157,8 +157,8 @@
 	return all
 }
 
-// AskRank returns how many live VMs of this VM's zone, and of its region, ask others
-// before it.
+// AskRank returns how many live VMs of this VM's zone, and of its region, rank before this VM in
+// requesting data from peers.
 func (r *Roster) AskRank(now time.Time) (zone, region int) {
 	for _, h := range r.members {
 		if h.Region != r.self.Region || !r.live(now, h) || h.leaving || !h.before(r.self) {
@@ -172,7 +172,7 @@
 	return zone, region
 }
 
-// ReadRank returns how many live VMs are to read the store before this one.
+// ReadRank returns how many live VMs read the store before this one.
 func (r *Roster) ReadRank(now time.Time, fails bool) int {
 	rank := 0
 	for _, h := range r.members {
@@ -186,23 +186,24 @@
 	return rank
 }
 
-// ReadBegun returns when a live VM that reads before this one first told of its last read
-// of the store.
+// ReadBegun returns when a live VM that reads before this one first reported its last read of the
+// store.
 func (r *Roster) ReadBegun(now time.Time) time.Time {
 	var last time.Time
 	for _, h := range r.members {
 		if r.live(now, h) && !h.leaving && h.before(r.self) {
-			last = maxTime(last, h.reads)
+			last = maxTime(last, h.readBegan)
 		}
 	}
 	return last
 }
 
-// before reports whether a VM reads the store before another, or fetches before it:
-// the more able first, and of those that bear the same any, the same for all.
+// before reports whether a VM reads the store, or fetches from peers, before another one. VMs with
+// more capacity come first, those of equal capacity in an arbitrary order that is the same on all
+// VMs.
 //
-// All others wait until the first has read and told what changed, so it must not be one
-// with a thin link.
+// All others wait until the first VM has read the store and sent what changed, so it must not be
+// one with a slow link.
 func (m Member) before(o Member) bool {
 	if m.Capacity != o.Capacity {
 		return m.Capacity > o.Capacity
@@ -210,10 +211,10 @@
 	return readOrder(m.Name) < readOrder(o.Name)
 }
 
-// readOrder spreads the reading over VMs whatever their names.
+// readOrder is a hash, so that the order does not depend on how VMs are named.
 func readOrder(name steering.VM) uint64 { return xxhash.Sum64String("read\x00" + string(name)) }
 
-// PlaceOf returns where a VM is, empty if it is not known.
+// PlaceOf returns the place of a VM, or the zero value if it is not known.
 func (r *Roster) PlaceOf(name steering.VM) volume.Place {
 	if name == r.self.Name {
 		return volume.Place{Zone: r.self.Zone, Region: r.self.Region}
@@ -224,8 +225,8 @@
 	return volume.Place{}
 }
 
-// Standing returns how many VMs there are, this one included: those on record that have
-// not told that they leave.
+// Standing returns the number of VMs on record that have not left, this VM included. A VM has left
+// once it reported that it is leaving and is no longer live.
 func (r *Roster) Standing(now time.Time) int {
 	standing := 1
 	for _, h := range r.members {
@@ -239,20 +240,20 @@
 // Known returns the number of members on record, this VM included.
 func (r *Roster) Known() int { return 1 + len(r.members) }
 
-// DarkZones returns the zones whose entry VMs were all heard before and are
-// silent now. Targets there are most likely cut off as well.
+// DarkZones returns the other zones whose entry VMs were seen live before and from which no
+// heartbeat has come for unreachableMissedBeats. Targets there are most likely unreachable as well.
 func (r *Roster) DarkZones(now time.Time) map[steering.Zone]bool {
-	dark, lit := make(map[steering.Zone]bool), map[steering.Zone]bool{r.self.Zone: true}
+	unreachable, reachable := make(map[steering.Zone]bool), map[steering.Zone]bool{r.self.Zone: true}
 	for _, h := range r.members {
 		switch {
-		case !h.at.IsZero() && now.Sub(h.at) < darkSilences*r.farBeat():
-			lit[h.Zone] = true
-		case !h.at.IsZero() && !h.leaving:
-			dark[h.Zone] = true
+		case !h.lastSeen.IsZero() && now.Sub(h.lastSeen) < unreachableMissedBeats*r.crossZoneInterval():
+			reachable[h.Zone] = true
+		case !h.lastSeen.IsZero() && !h.leaving:
+			unreachable[h.Zone] = true
 		}
 	}
-	for zone := range lit {
-		delete(dark, zone)
+	for zone := range reachable {
+		delete(unreachable, zone)
 	}
-	return dark
+	return unreachable
 }
