--- a/node/gateway/callers/conn.go
+++ b/node/gateway/callers/conn.go
@@ -20,88 +20,90 @@
 
 var errHeaderTooBig = errors.New("callers: header larger than the limit")
 
-// source bounds the bytes that one header may take.
-type source struct {
-	from net.Conn
-	left int // bytes; negative means no bound
+// limitedReader limits how many bytes one request header may take.
+type limitedReader struct {
+	from      net.Conn
+	remaining int // bytes; negative means no limit
 }
 
-func (s *source) Read(p []byte) (int, error) {
-	if s.left == 0 {
+func (s *limitedReader) Read(p []byte) (int, error) {
+	if s.remaining == 0 {
 		return 0, errHeaderTooBig
 	}
-	if s.left > 0 && len(p) > s.left {
-		p = p[:s.left]
+	if s.remaining > 0 && len(p) > s.remaining {
+		p = p[:s.remaining]
 	}
 	n, err := s.from.Read(p)
-	if s.left > 0 {
-		s.left -= n
+	if s.remaining > 0 {
+		s.remaining -= n
 	}
 	return n, err
 }
 
-// conn is one connection of a caller.
+// conn is a caller's connection.
 type conn struct {
-	server *Server
-	raw    net.Conn
-	source *source
-	in     *bufio.Reader
-	slots  chan struct{} // one a running request
-	busy   atomic.Int64
-	broken atomic.Bool // no further answer can be written
-	done   sync.WaitGroup
-
-	mu   sync.Mutex
-	last chan struct{} // closed when the newest request's answer is written
-	// ended is set once an answer has told the caller that the connection ends.
-	// The caller sends again whatever it sent behind that answer, so nothing that
-	// is read later may run.
-	ended bool
-	// lent is set while a request reads its body from the connection.
-	lent bool
+	server        *Server
+	raw           net.Conn
+	limitedReader *limitedReader
+	reader        *bufio.Reader
+	slots         chan struct{} // holds one element for each running request
+	inFlight      atomic.Int64
+	unwritable    atomic.Bool // set when no further response can be written
+	done          sync.WaitGroup
+
+	mu          sync.Mutex
+	lastWritten chan struct{} // closed when the response to the newest request has been written
+	// closeAnnounced is set once a response has announced that the connection will be closed. The
+	// caller repeats every request that it sent after the one so answered, so none that is read
+	// later may run.
+	closeAnnounced bool
+	// bodyStreaming is set while a running request reads the remainder of its body from the
+	// connection.
+	bodyStreaming bool
 }
 
 func newConn(s *Server, raw net.Conn) *conn {
-	src := &source{from: raw, left: -1}
+	src := &limitedReader{from: raw, remaining: -1}
 	first := make(chan struct{})
 	close(first)
-	return &conn{server: s, raw: raw, source: src, in: bufio.NewReaderSize(src, readBuffer),
-		slots: make(chan struct{}, maxAhead), last: first}
+	return &conn{server: s, raw: raw, limitedReader: src, reader: bufio.NewReaderSize(src, readBufferSize),
+		slots: make(chan struct{}, maxPipelined), lastWritten: first}
 }
 
-// serve reads requests until the caller leaves or the connection is to end.
+// serve reads and starts requests until the caller closes the connection or the server has to.
 func (c *conn) serve(ctx context.Context) {
-	defer c.server.ended(c)
+	defer c.server.remove(c)
 	defer c.raw.Close()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	for c.readNext(ctx) {
 	}
-	if c.leftByCaller() {
+	if c.waitForCallerClose() {
 		cancel()
 	}
 	c.done.Wait()
 }
 
-// leftByCaller waits for the caller to close, while requests still run.
-func (c *conn) leftByCaller() bool {
-	if c.busy.Load() == 0 || c.lent {
+// waitForCallerClose reads and discards input while requests run and reports whether the caller
+// closed the connection before they ended.
+func (c *conn) waitForCallerClose() bool {
+	if c.inFlight.Load() == 0 || c.bodyStreaming {
 		return false
 	}
-	if c.broken.Load() {
+	if c.unwritable.Load() {
 		return true
 	}
-	settled := make(chan struct{})
+	finished := make(chan struct{})
 	go func() {
 		c.done.Wait()
-		close(settled)
-		_ = c.raw.SetReadDeadline(time.Unix(1, 0)) // wakes the read below
+		close(finished)
+		_ = c.raw.SetReadDeadline(time.Unix(1, 0)) // ends the read below
 	}()
 	_ = c.raw.SetReadDeadline(time.Time{})
-	c.source.left = -1
-	_, err := io.Copy(io.Discard, c.in)
+	c.limitedReader.remaining = -1
+	_, err := io.Copy(io.Discard, c.reader)
 	select {
-	case <-settled:
+	case <-finished:
 		return false
 	default:
 		return err == nil || !errors.Is(err, os.ErrDeadlineExceeded)
@@ -111,62 +113,62 @@
 func (c *conn) limits() routes.Limits {
 	l := c.server.limits()
 	if l.HeaderBytes <= 0 {
-		return fallback
+		return defaultLimits
 	}
 	return l
 }
 
-// readNext reads one request and starts it; false ends reading.
+// readNext reads one request and starts it. It returns false when no further request is to be read.
 func (c *conn) readNext(ctx context.Context) bool {
 	limits := c.limits()
-	c.source.left = -1
+	c.limitedReader.remaining = -1
 	if !c.awaitFirstByte(limits.IdleTimeout) {
 		return false
 	}
 	received := time.Now()
 	_ = c.raw.SetReadDeadline(received.Add(limits.HeaderTimeout))
-	c.source.left = max(limits.HeaderBytes-c.in.Buffered(), 1)
-	r, err := http.ReadRequest(c.in)
-	c.source.left = -1
+	c.limitedReader.remaining = max(limits.HeaderBytes-c.reader.Buffered(), 1)
+	r, err := http.ReadRequest(c.reader)
+	c.limitedReader.remaining = -1
 	if err != nil {
-		c.unreadable(err)
+		c.refuseUnreadable(err)
 		return false
 	}
-	if status, detail := unacceptable(r, limits); status != 0 {
+	if status, detail := checkHeader(r, limits); status != 0 {
 		c.refuse(status, detail)
 		return false
 	}
-	return c.take(ctx, r, received, limits)
+	return c.readBodyAndStart(ctx, r, received, limits)
 }
 
-// awaitFirstByte waits for a request to begin. It goes on waiting while earlier
-// ones run.
+// awaitFirstByte waits for the first byte of a request. The idle timeout does not apply while
+// earlier requests run.
 func (c *conn) awaitFirstByte(idle time.Duration) bool {
 	for {
 		_ = c.raw.SetReadDeadline(time.Now().Add(idle))
-		_, err := c.in.Peek(1)
+		_, err := c.reader.Peek(1)
 		if err == nil {
 			return true
 		}
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
-			c.broken.Store(true)
+			c.unwritable.Store(true)
 			return false
 		}
-		if c.busy.Load() == 0 {
+		if c.inFlight.Load() == 0 {
 			return false
 		}
 	}
 }
 
-// unreadable answers a header that cannot be read, where that is possible.
-func (c *conn) unreadable(err error) {
+// refuseUnreadable answers a request whose header cannot be read, unless the connection is broken.
+func (c *conn) refuseUnreadable(err error) {
 	switch {
 	case errors.Is(err, errHeaderTooBig):
 		c.refuse(http.StatusRequestHeaderFieldsTooLarge, "the header is larger than the limit")
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		c.refuse(http.StatusRequestTimeout, "the header did not come in time")
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), isNetError(err):
-		c.broken.Store(true)
+		c.unwritable.Store(true)
 	default:
 		c.refuse(http.StatusBadRequest, "the request is malformed")
 	}
@@ -177,8 +179,9 @@
 	return errors.As(err, &e)
 }
 
-// unacceptable returns the status for a request that is refused by its header.
-func unacceptable(r *http.Request, limits routes.Limits) (int, string) {
+// checkHeader returns the status and detail with which to refuse a request because of its header,
+// or 0 to accept it.
+func checkHeader(r *http.Request, limits routes.Limits) (int, string) {
 	switch {
 	case r.Host == "" && r.ProtoAtLeast(1, 1):
 		return http.StatusBadRequest, "no Host"
@@ -192,9 +195,9 @@
 	return 0, ""
 }
 
-// validHeader reports whether all fields are well formed. The codec lets some
-// pass that another reader would understand differently, and with that a second
-// request could hide in the first.
+// validHeader reports whether all header fields are well formed. The parser accepts some fields
+// that another server would interpret differently, which would allow request smuggling: a second
+// request hidden in the first.
 func validHeader(h http.Header) bool {
 	for name, values := range h {
 		if !httpguts.ValidHeaderFieldName(name) {
@@ -209,16 +212,17 @@
 	return true
 }
 
-// take reads the body and starts the request.
-func (c *conn) take(ctx context.Context, r *http.Request, received time.Time, limits routes.Limits) bool {
+// readBodyAndStart reads the body, or its beginning, and starts the request. It returns false when
+// no further request is to be read.
+func (c *conn) readBodyAndStart(ctx context.Context, r *http.Request, received time.Time, limits routes.Limits) bool {
 	if r.Header.Get("Expect") != "" && r.ContentLength != 0 {
-		c.goOn()
+		c.sendContinue()
 	}
 	_ = c.raw.SetReadDeadline(time.Now().Add(bodyTimeout))
 	body, rest, status := readBody(r, limits.BodyBytes)
 	if status != 0 {
 		if status == statusGone {
-			c.broken.Store(true)
+			c.unwritable.Store(true)
 			return false
 		}
 		c.refuse(status, "the body could not be read")
@@ -227,31 +231,33 @@
 	request := &Request{Method: r.Method, Path: r.RequestURI, Host: r.Host, Header: r.Header,
 		Body: body, Rest: rest, Length: lengthOf(r, body, rest), Received: received}
 	wantsClose := r.Close
-	c.lent = rest != nil
+	c.bodyStreaming = rest != nil
 	if !c.start(ctx, request, r, wantsClose) {
 		return false
 	}
 	if rest != nil {
-		// The rest of the body is read by the request itself, and with it goes
-		// the connection: what follows cannot be told from the body otherwise.
+		// The request itself reads the remainder of the body. No further request is read from
+		// the connection meanwhile, as its bytes could not be distinguished from the body, and
+		// the connection is closed after the response.
 		return false
 	}
 	return !wantsClose
 }
 
-// statusGone marks a caller that left in the middle of a body.
+// statusGone marks a caller that closed the connection before the end of a body.
 const statusGone = -1
 
-// readBody reads a body of usual size whole.
-func readBody(r *http.Request, most int64) (body []byte, rest io.Reader, status int) {
+// readBody reads a body of up to maxBufferedBody bytes whole, and the beginning of a longer one;
+// rest yields the remainder. A status other than 0 refuses the request.
+func readBody(r *http.Request, maxBytes int64) (body []byte, rest io.Reader, status int) {
 	if r.ContentLength == 0 {
 		return nil, nil, 0
 	}
-	var held bytes.Buffer
+	var buffered bytes.Buffer
 	if r.ContentLength > 0 {
-		held.Grow(int(min(r.ContentLength, maxHeld)) + bytes.MinRead)
+		buffered.Grow(int(min(r.ContentLength, maxBufferedBody)) + bytes.MinRead)
 	}
-	n, err := io.Copy(&held, io.LimitReader(r.Body, maxHeld))
+	n, err := io.Copy(&buffered, io.LimitReader(r.Body, maxBufferedBody))
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return nil, nil, http.StatusRequestTimeout
@@ -259,35 +265,36 @@
 		return nil, nil, statusGone
 	case err != nil:
 		return nil, nil, http.StatusBadRequest
-	case most > 0 && n > most:
+	case maxBytes > 0 && n > maxBytes:
 		return nil, nil, http.StatusRequestEntityTooLarge
-	case n < maxHeld || n == r.ContentLength:
-		return held.Bytes(), nil, 0
+	case n < maxBufferedBody || n == r.ContentLength:
+		return buffered.Bytes(), nil, 0
 	}
-	if most <= 0 {
-		return held.Bytes(), r.Body, 0
+	if maxBytes <= 0 {
+		return buffered.Bytes(), r.Body, 0
 	}
-	return held.Bytes(), &boundedBody{from: r.Body, left: most - n}, 0
+	return buffered.Bytes(), &boundedBody{from: r.Body, remaining: maxBytes - n}, 0
 }
 
 var errBodyTooBig = errors.New("callers: body larger than the limit")
 
-// boundedBody fails once more than a bound was read. Ending there instead would
-// pass a cut body on as a whole one.
+// boundedBody fails once more than a limit was read. Returning io.EOF there instead would pass on a
+// truncated body as a complete one.
 type boundedBody struct {
-	from io.Reader
-	left int64
+	from      io.Reader
+	remaining int64
 }
 
 func (b *boundedBody) Read(p []byte) (int, error) {
 	n, err := b.from.Read(p)
-	b.left -= int64(n)
-	if b.left < 0 {
+	b.remaining -= int64(n)
+	if b.remaining < 0 {
 		return 0, errBodyTooBig
 	}
 	return n, err
 }
 
+// lengthOf returns the length of the body, negative if it is unknown.
 func lengthOf(r *http.Request, body []byte, rest io.Reader) int64 {
 	if rest == nil && r.ContentLength >= 0 {
 		return int64(len(body))
@@ -295,83 +302,84 @@
 	return r.ContentLength
 }
 
-// goOn tells a caller that waits for it to send the body.
-func (c *conn) goOn() {
-	<-c.newest()
+// sendContinue sends 100 Continue to a caller that waits for it before it sends the body.
+func (c *conn) sendContinue() {
+	<-c.lastAnswer()
 	_ = c.raw.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := io.WriteString(c.raw, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
-		c.broken.Store(true)
+		c.unwritable.Store(true)
 	}
 }
 
-// newest returns the channel that closes when the newest answer is written.
-func (c *conn) newest() chan struct{} {
+// lastAnswer returns the channel that is closed when the response to the newest request has been
+// written.
+func (c *conn) lastAnswer() chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.last
+	return c.lastWritten
 }
 
-// start runs a request; its answer is written when those before it are. It
-// returns false if the connection is ending.
+// start runs a request in its own goroutine; its response is written after those to earlier
+// requests. It returns false if the connection is about to be closed.
 func (c *conn) start(ctx context.Context, request *Request, r *http.Request, wantsClose bool) bool {
 	c.slots <- struct{}{}
 	c.mu.Lock()
-	before, mine := c.last, make(chan struct{})
-	if c.ended {
+	previous, own := c.lastWritten, make(chan struct{})
+	if c.closeAnnounced {
 		c.mu.Unlock()
 		return false
 	}
-	c.last = mine
-	c.busy.Add(1)
+	c.lastWritten = own
+	c.inFlight.Add(1)
 	c.done.Add(1)
 	c.mu.Unlock()
 	c.server.running.Add(1)
 	go func() {
 		defer c.done.Done()
 		defer c.server.running.Add(-1)
-		defer c.busy.Add(-1)
+		defer c.inFlight.Add(-1)
 		defer func() { <-c.slots }()
-		defer close(mine)
+		defer close(own)
 		response := c.server.handler.Serve(ctx, request)
-		<-before
+		<-previous
 		if response != nil && response.Turn != nil {
 			response.Turn()
 		}
-		c.write(response, r, c.ending(mine, response, wantsClose || request.Rest != nil))
+		c.write(response, r, c.announceClose(own, response, wantsClose || request.Rest != nil))
 	}()
 	return true
 }
 
-// ending decides whether the connection ends behind an answer. While leaving it
-// does, unless further requests run already: they are answered first.
-func (c *conn) ending(mine chan struct{}, a *Response, wanted bool) bool {
+// announceClose decides whether the connection is closed after a response, and records it. While
+// the server is leaving it is, unless further requests already run: these are answered first.
+func (c *conn) announceClose(own chan struct{}, a *Response, closing bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	wanted = wanted || a != nil && a.Close || c.server.leaving.Load() && c.last == mine
-	c.ended = c.ended || wanted
-	return wanted
+	closing = closing || a != nil && a.Close || c.server.leaving.Load() && c.lastWritten == own
+	c.closeAnnounced = c.closeAnnounced || closing
+	return closing
 }
 
-// refuse answers what cannot be read, and ends the connection behind it.
+// refuse answers a request that cannot be read and closes the connection after the response.
 func (c *conn) refuse(status int, detail string) {
-	<-c.newest()
+	<-c.lastAnswer()
 	c.write(c.server.handler.Problem(status, detail), &http.Request{Method: http.MethodGet, ProtoMajor: 1, ProtoMinor: 1}, true)
 	c.linger()
 }
 
-// linger reads on for a while: closing with unread bytes would reset the
-// connection and take the answer with it.
+// linger keeps reading for a while: closing a connection with unread bytes would reset it, and the
+// caller would lose the response.
 func (c *conn) linger() {
 	if tcp, ok := c.raw.(*net.TCPConn); ok {
 		_ = tcp.CloseWrite()
 	}
-	c.source.left = -1
-	_ = c.raw.SetReadDeadline(time.Now().Add(lingerTime))
-	_, _ = io.Copy(io.Discard, c.in) // whatever comes is not wanted
+	c.limitedReader.remaining = -1
+	_ = c.raw.SetReadDeadline(time.Now().Add(lingerTimeout))
+	_, _ = io.Copy(io.Discard, c.reader) // input after the response is discarded
 }
 
 func (c *conn) closeIfIdle() {
-	if c.busy.Load() == 0 {
+	if c.inFlight.Load() == 0 {
 		_ = c.raw.SetReadDeadline(time.Unix(1, 0))
 	}
 }
--- a/node/gateway/callers/doc.go
+++ b/node/gateway/callers/doc.go
@@ -1,10 +1,10 @@
-// Package callers serves callers' connections.
+// Package callers serves the HTTP connections of callers.
 //
-// The HTTP library's own server is not used here: while a request runs it reads
-// just one byte ahead, so that it no longer notices a caller that leaves after
-// sending a further request, and it starts that further request only when the
-// first is answered. Here a connection is read on while its requests run, up to
-// a bound, and answers are written in the order of the requests. The library's
-// codec is used for what is read, and bodies of usual size are read whole
-// before the request is handed on, so that it can be sent a second time.
+// It does not use the server of net/http. While a request runs, that server reads one byte ahead
+// and no more, so it no longer notices when a caller closes the connection after it has sent a
+// further request, and it starts the further request only once the first is answered. Server keeps
+// reading a connection while its requests run, up to a bound, and writes the responses in the order
+// of the requests. Requests are parsed with net/http. A body of usual size, up to maxBufferedBody,
+// is read whole before the request is passed to the Handler, so that the request can be sent a
+// second time.
 package callers
--- a/node/gateway/callers/server.go
+++ b/node/gateway/callers/server.go
@@ -10,11 +10,11 @@
 	"github.com/go-faster/errors"
 )
 
-// Server serves callers on a listener.
+// Server serves callers on a listener. It is safe for concurrent use.
 type Server struct {
 	handler Handler
 	limits  LimitsFunc
-	// maxConns bounds the open connections.
+	// maxConns bounds the open connections; further ones are closed at once.
 	maxConns int
 
 	leaving atomic.Bool
@@ -23,15 +23,15 @@
 	running atomic.Int64
 }
 
-// NewServer returns a server with at most maxConns connections.
+// NewServer returns a server that passes requests to h and keeps at most maxConns connections open.
 func NewServer(h Handler, limits LimitsFunc, maxConns int) *Server {
 	return &Server{handler: h, limits: limits, maxConns: maxConns, conns: make(map[*conn]struct{})}
 }
 
-// acceptPause is waited after a failed accept, such as one without descriptors.
+// acceptPause is the delay after a failed accept, for example when no file descriptors are left.
 const acceptPause = 20 * time.Millisecond
 
-// Serve accepts connections until the listener is closed.
+// Serve accepts connections until the listener is closed. Requests are cancelled when ctx is done.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	for {
 		raw, err := listener.Accept()
@@ -45,11 +45,11 @@
 			time.Sleep(acceptPause)
 			continue
 		}
-		s.begin(ctx, raw)
+		s.startConn(ctx, raw)
 	}
 }
 
-func (s *Server) begin(ctx context.Context, raw net.Conn) {
+func (s *Server) startConn(ctx context.Context, raw net.Conn) {
 	s.mu.Lock()
 	full := len(s.conns) >= s.maxConns
 	c := newConn(s, raw)
@@ -64,16 +64,16 @@
 	go c.serve(ctx)
 }
 
-func (s *Server) ended(c *conn) {
+func (s *Server) remove(c *conn) {
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
 }
 
-// Leave makes each further answer end its connection.
+// Leave makes the server close each connection after its next response.
 func (s *Server) Leave() { s.leaving.Store(true) }
 
-// CloseIdle closes the connections on which nothing runs.
+// CloseIdle closes the connections that have no request running.
 func (s *Server) CloseIdle() {
 	s.mu.Lock()
 	all := make([]*conn, 0, len(s.conns))
@@ -86,10 +86,10 @@
 	}
 }
 
-// Running returns how many requests run.
+// Running returns the number of requests in flight.
 func (s *Server) Running() int { return int(s.running.Load()) }
 
-// Connections returns how many connections are open.
+// Connections returns the number of open connections.
 func (s *Server) Connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/node/gateway/callers/types.go
+++ b/node/gateway/callers/types.go
@@ -16,56 +16,60 @@
 	Path   string
 	Host   string
 	Header http.Header
-	// Body is the body, or its beginning when Rest holds more.
+	// Body is the whole body, or its beginning if Rest is set, which yields the remainder.
 	Body []byte
 	Rest io.Reader
-	// Length is the body's length; negative for one sent in chunks.
+	// Length is the length of the whole body; it is negative for a chunked body.
 	Length int64
-	// Received is when the first byte of the request was here.
+	// Received is when the first byte of the request arrived.
 	Received time.Time
 }
 
-// Response is an answer to a caller.
+// Response is a response to a caller.
 type Response struct {
 	Status int
 	Header http.Header
-	// Body is the body, or its beginning when Rest holds more.
+	// Body is the whole body, or its beginning if Rest is set, which yields the remainder.
 	Body []byte
 	Rest io.ReadCloser
-	// Length is the stated length; negative if none is known. It counts only
-	// with Rest.
+	// Length is the length of the whole body, or negative if it is unknown. It is only used if Rest
+	// is set or the request's method is HEAD.
 	Length int64
-	// Close ends the connection behind the answer.
+	// Close closes the connection after the response.
 	Close bool
-	// Turn, if set, is called when the answers before it on its connection are written.
+	// Turn, if set, is called when all earlier responses on the connection have been written.
 	Turn func()
 }
 
-// Handler answers requests. ctx ends when the caller leaves.
+// Handler answers requests.
 type Handler interface {
+	// Serve returns the response to a request. ctx is done when the caller closes the connection.
+	// If it returns nil, the connection is closed without a response.
 	Serve(ctx context.Context, r *Request) *Response
-	// Problem makes the answer to a request that cannot be read.
+	// Problem returns the response to a request that cannot be read or is refused by its header.
 	Problem(status int, detail string) *Response
 }
 
-// LimitsFunc returns the limits in force.
+// LimitsFunc returns the limits in force. Limits without HeaderBytes mean that no configuration is
+// known yet.
 type LimitsFunc func() routes.Limits
 
-// Fallbacks hold until a configuration is known.
-var fallback = routes.Limits{HeaderBytes: 16 << 10, BodyBytes: 64 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
+// defaultLimits apply until a configuration is known.
+var defaultLimits = routes.Limits{HeaderBytes: 16 << 10, BodyBytes: 64 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 
 const (
-	// maxAhead is how many requests of one connection run at once.
-	maxAhead = 16
-	// maxHeld is the largest body that is read whole before the request is
-	// handed on. Uploads of this size can be sent a second time.
-	maxHeld = 512 << 10
-	// bodyTimeout bounds the time a caller takes for a body.
+	// maxPipelined is how many requests of one connection run at the same time.
+	maxPipelined = 16
+	// maxBufferedBody is the largest body in bytes that is read whole before the request is passed
+	// to the Handler. Requests with bodies up to this size can be sent a second time.
+	maxBufferedBody = 512 << 10
+	// bodyTimeout is how long a caller may take to send a body.
 	bodyTimeout = 10 * time.Second
-	// writeTimeout bounds the time a caller takes to accept a part of an answer.
+	// writeTimeout is how long the caller may take to accept a response, from when the server
+	// begins to write it.
 	writeTimeout = 10 * time.Second
-	// lingerTime is how long the rest of an unwanted body is read, so that the
-	// answer is not lost in a reset.
-	lingerTime = time.Second
-	readBuffer = 4 << 10
+	// lingerTimeout is how long the remainder of an unwanted body is read and discarded, so that a
+	// connection reset does not discard the response.
+	lingerTimeout  = time.Second
+	readBufferSize = 4 << 10
 )
--- a/node/gateway/callers/write.go
+++ b/node/gateway/callers/write.go
@@ -9,57 +9,57 @@
 	"time"
 )
 
-const writeBuffer = 4 << 10
+const writeBufferSize = 4 << 10
 
-// write writes an answer. A body that breaks off ends the connection, so that
-// it does not look complete.
+// write writes a response. If its body ends early the connection is closed, so that the response
+// does not look complete.
 func (c *conn) write(a *Response, r *http.Request, closing bool) {
-	if a == nil || c.broken.Load() {
-		c.breakOff(a)
+	if a == nil || c.unwritable.Load() {
+		c.abort(a)
 		return
 	}
 	_ = c.raw.SetWriteDeadline(time.Now().Add(writeTimeout))
-	w := bufio.NewWriterSize(c.raw, writeBuffer)
+	w := bufio.NewWriterSize(c.raw, writeBufferSize)
 	err := writeAnswer(w, a, r, closing)
 	if err == nil {
 		err = w.Flush()
 	}
 	if err != nil {
-		c.breakOff(a)
+		c.abort(a)
 		return
 	}
 	if closing {
-		c.broken.Store(true)
-		_ = c.raw.SetReadDeadline(time.Now().Add(lingerTime))
+		c.unwritable.Store(true)
+		_ = c.raw.SetReadDeadline(time.Now().Add(lingerTimeout))
 		if half, ok := c.raw.(interface{ CloseWrite() error }); ok {
 			_ = half.CloseWrite()
 		}
 	}
 }
 
-// breakOff ends the connection without a complete answer.
-func (c *conn) breakOff(a *Response) {
-	c.broken.Store(true)
+// abort closes the connection without a complete response.
+func (c *conn) abort(a *Response) {
+	c.unwritable.Store(true)
 	if a != nil && a.Rest != nil {
 		_ = a.Rest.Close()
 	}
 	_ = c.raw.Close()
 }
 
-// bodyless reports answers that have no body whatever their header says.
-func bodyless(status int, method string) bool {
+// hasNoBody reports whether a response has no body whatever its header says.
+func hasNoBody(status int, method string) bool {
 	return method == http.MethodHead || status == http.StatusNoContent || status == http.StatusNotModified
 }
 
 func writeAnswer(w *bufio.Writer, a *Response, r *http.Request, closing bool) error {
-	_, _ = w.WriteString("HTTP/1.1 " + strconv.Itoa(a.Status) + " " + http.StatusText(a.Status) + "\r\n") // kept by w until Flush
+	_, _ = w.WriteString("HTTP/1.1 " + strconv.Itoa(a.Status) + " " + http.StatusText(a.Status) + "\r\n") // w keeps the error until Flush
 	if err := a.Header.Write(w); err != nil {
 		return err
 	}
 	if closing {
 		_, _ = w.WriteString("Connection: close\r\n")
 	}
-	if bodyless(a.Status, r.Method) {
+	if hasNoBody(a.Status, r.Method) {
 		if r.Method == http.MethodHead && a.Length >= 0 {
 			_, _ = w.WriteString("Content-Length: " + strconv.FormatInt(a.Length, 10) + "\r\n")
 		}
