--- a/node/gateway/status/gather.go
+++ b/node/gateway/status/gather.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// askTimeout bounds the question to one entry VM.
+	// askTimeout is the timeout of the request to one entry VM.
 	askTimeout = 3 * time.Second
-	// largestAnswer bounds what is read of an answer: 650 VMs take 200 bytes each.
-	largestAnswer = 4 << 20
-	// triedOfZone is how many VMs of a zone are asked until one answers.
-	triedOfZone = 3
+	// maxResponseBytes limits how much of a response is read; 650 VMs take 200 bytes each.
+	maxResponseBytes = 4 << 20
+	// maxTriesPerZone is how many VMs of a zone are asked until one answers.
+	maxTriesPerZone = 3
 )
 
-// Ask asks an entry VM for its status by the host:port of its control listener.
+// Ask requests the status of the entry VM whose control listener is at the host:port control.
 func Ask(ctx context.Context, client *http.Client, control string) (*Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
@@ -40,19 +40,20 @@
 		return nil, errors.Errorf("status: answered %d", response.StatusCode)
 	}
 	var s Status
-	if err := json.NewDecoder(io.LimitReader(response.Body, largestAnswer)).Decode(&s); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(&s); err != nil {
 		return nil, errors.Wrap(err, "status: decode")
 	}
 	return &s, nil
 }
 
-// mostAtOnce bounds the VMs that are asked at the same time.
-const mostAtOnce = 32
+// maxConcurrentRequests bounds how many VMs are asked at the same time.
+const maxConcurrentRequests = 32
 
-// AskEach asks VMs for their status; the answers and errors are in the order of controls.
+// AskEach requests the status of several VMs concurrently. The statuses and errors are in the order
+// of controls.
 func AskEach(ctx context.Context, client *http.Client, controls []string) ([]*Status, []error) {
 	answers, problems := make([]*Status, len(controls)), make([]error, len(controls))
-	room := make(chan struct{}, mostAtOnce)
+	room := make(chan struct{}, maxConcurrentRequests)
 	var all sync.WaitGroup
 	for n, control := range controls {
 		room <- struct{}{}
@@ -65,7 +66,7 @@
 	return answers, problems
 }
 
-// AskAny asks VMs in order until one answers; the error is that of the last.
+// AskAny asks VMs in order until one answers. If none does it returns the error of the last one.
 func AskAny(ctx context.Context, client *http.Client, controls []string) (*Status, error) {
 	err := errors.New("status: no entry VM to ask")
 	for _, control := range controls {
@@ -77,16 +78,16 @@
 	return nil, err
 }
 
-// View is which configuration a fleet follows, and who was asked.
+// View says which configuration each VM of a fleet uses, and which VMs were asked.
 type View struct {
 	Overview
-	// Asked are the VMs that answered, Silent the zones in which none did.
+	// Asked holds the VMs that answered, Silent the zones in which none did.
 	Asked  []steering.VM   `json:"asked"`
 	Silent []steering.Zone `json:"silent_zones,omitempty"`
 }
 
-// Gather completes what one VM says of a fleet by asking one VM of each other zone: VMs
-// of one zone hear each other several times a second.
+// Gather completes the status of one VM with that of one VM of each other zone. One VM per zone is
+// enough, since the VMs of a zone exchange heartbeats several times a second.
 func Gather(ctx context.Context, client *http.Client, first *Status) View {
 	view := View{Asked: []steering.VM{first.VM}}
 	rows := first.Rows()
@@ -94,7 +95,7 @@
 	answers := make([]*Status, len(zones))
 	var all sync.WaitGroup
 	for n, zone := range zones {
-		all.Go(func() { answers[n], _ = AskAny(ctx, client, first.liveOf(zone)) }) // a zone without an answer is named below
+		all.Go(func() { answers[n], _ = AskAny(ctx, client, first.liveControls(zone)) }) // zones without an answer are reported in Silent
 	}
 	all.Wait()
 	for n, s := range answers {
@@ -109,7 +110,7 @@
 	return view
 }
 
-// otherZones returns the zones of all VMs on record but its own.
+// otherZones returns the zones on record other than the VM's own.
 func (s *Status) otherZones() []steering.Zone {
 	var zones []steering.Zone
 	for _, p := range s.Fleet {
@@ -121,11 +122,11 @@
 	return zones
 }
 
-// liveOf returns the control addresses of some live VMs of a zone.
-func (s *Status) liveOf(zone steering.Zone) []string {
+// liveControls returns the control addresses of up to maxTriesPerZone live VMs of a zone.
+func (s *Status) liveControls(zone steering.Zone) []string {
 	var controls []string
 	for _, p := range s.Fleet {
-		if p.Zone == zone && p.Live && !p.Leaving && len(controls) < triedOfZone {
+		if p.Zone == zone && p.Live && !p.Leaving && len(controls) < maxTriesPerZone {
 			controls = append(controls, p.Control)
 		}
 	}
--- a/node/gateway/status/golden_test.go
+++ b/node/gateway/status/golden_test.go
@@ -30,8 +30,8 @@
 			Owned: &status.Allowance{Rate: 24.5, Burst: 25.5, Limit: 26.5, Left: -27.5, Lent: 28.5, Demand: 29.5, VMs: 30, Low: true}}, {Name: "w2"}}}
 }
 
-// Guards against a status that the tools of operators read in part, as they may be older or
-// newer than the VM. It is encoded as in showstatus.go and read by Ask.
+// Guards against a status that operators' tools can decode only in part, since these may be older
+// or newer than the VM. It is encoded as in showstatus.go and decoded by Ask.
 func TestGoldenStatus(t *testing.T) {
 	for name, s := range map[string]status.Status{"full": fullStatus(), "empty": {}} {
 		t.Run(name, func(t *testing.T) {
@@ -51,7 +51,7 @@
 	}
 }
 
-// Guards against an overview that scripts of operators no longer read.
+// Guards against an overview that operators' scripts can no longer read.
 func TestGoldenView(t *testing.T) {
 	s := fullStatus()
 	rows := s.Rows()
--- a/node/gateway/status/overview.go
+++ b/node/gateway/status/overview.go
@@ -9,22 +9,22 @@
 	"heatherlock/steering"
 )
 
-// longUnheard is how old a VM's last word may be before it says nothing of what the VM
-// follows now: within it a live VM of the same zone writes several times, and a change
-// is in force everywhere.
-const longUnheard = 5 * time.Second
+// staleAfter is the age at which a VM's last heartbeat no longer says which configuration the VM
+// uses now. Within that time a live VM of the same zone sends several heartbeats, and a change
+// comes into force everywhere.
+const staleAfter = 5 * time.Second
 
-// Row is which configuration one VM follows, as it says itself or as one that hears it
-// says.
+// Row says which configuration one VM uses, as reported by the VM itself or by another one that
+// receives its heartbeats.
 type Row struct {
 	Peer
-	// From is the VM that says so.
+	// From is the VM that reported it.
 	From steering.VM `json:"from"`
-	// Own tells more; it is set if the VM said so itself.
+	// Own has further details. It is set if the VM reported them itself.
 	Own *Config `json:"own,omitempty"`
 }
 
-// Rows returns what a VM says of itself and of all others on record.
+// Rows returns what the VM reports about itself and about all others on record.
 func (s *Status) Rows() []Row {
 	own := s.Config
 	rows := []Row{{From: s.VM, Own: &own, Peer: Peer{VM: s.VM, Zone: s.Zone, Region: s.Region, Live: true, Ready: s.Ready, Leaving: s.Leaving,
@@ -35,27 +35,29 @@
 	return rows
 }
 
-// Outlier is a VM that does not follow what most follow, and why.
+// Outlier is a VM that does not use the newest configuration with the content that most VMs have,
+// and the reason.
 type Outlier struct {
 	Row
 	Why string `json:"why"`
 }
 
-// ZoneVersion counts the VMs of a zone that follow a version with a content.
+// ZoneVersion counts the VMs of a zone that use a version with the same content.
 type ZoneVersion struct {
 	Zone    steering.Zone `json:"zone"`
 	Version uint64        `json:"version"`
 	Content string        `json:"content"`
 	VMs     int           `json:"vms"`
-	// InForceMs is how long it has been in force on all of these.
+	// InForceMs is how long the version has been in force on all of these VMs.
 	InForceMs int64 `json:"in_force_ms"`
 }
 
-// Overview is which configuration a fleet follows.
+// Overview says which configuration the VMs of a fleet use.
 type Overview struct {
 	// Newest is the newest version that any VM knows to exist.
 	Newest uint64 `json:"newest"`
-	// Live VMs are heard; Gone ones are on record and not heard.
+	// Live counts the VMs that send heartbeats, Gone those on record that do not or that are
+	// leaving.
 	Live     int           `json:"live"`
 	Gone     int           `json:"gone"`
 	Zones    []ZoneVersion `json:"zones"`
@@ -63,15 +65,17 @@
 	Rejected []Rejected    `json:"rejected"`
 }
 
-// Agree reports whether all live VMs follow the newest version, with the same content.
+// Agree reports whether there is a live VM and all live VMs use the newest version with the same
+// content.
 func (o Overview) Agree() bool { return o.Live > 0 && len(o.Outliers) == 0 }
 
-// Summarize sums up rows, of which a VM may have several: what it says itself counts
-// before what others say, and of those the one that heard it last.
+// Summarize derives an overview from rows, which may hold several rows about a VM. What a VM
+// reports about itself takes precedence over what others report, and of the others the one with the
+// latest heartbeat counts.
 func Summarize(rows []Row) Overview {
 	best := make(map[steering.VM]Row)
 	for _, r := range rows {
-		if known, ok := best[r.VM]; !ok || r.betterThan(known) {
+		if known, ok := best[r.VM]; !ok || r.preferredTo(known) {
 			best[r.VM] = r
 		}
 	}
@@ -82,7 +86,7 @@
 		o.Newest = max(o.Newest, r.ConfigVersion, r.Newest)
 	}
 	slices.SortFunc(all, func(a, b Row) int { return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.VM, b.VM)) })
-	usual := usualContent(all, o.Newest)
+	usual := majorityContent(all, o.Newest)
 	counts := make(map[ZoneVersion]*ZoneVersion)
 	for _, r := range all {
 		if !r.Live || r.Leaving {
@@ -91,8 +95,8 @@
 		}
 		o.Live++
 		o.count(counts, r)
-		if why := r.why(o.Newest, usual); why != "" {
-			o.Outliers = append(o.Outliers, Outlier{r, why})
+		if reason := r.reason(o.Newest, usual); reason != "" {
+			o.Outliers = append(o.Outliers, Outlier{r, reason})
 		}
 		if r.Own != nil && r.Own.Rejected != nil && !slices.Contains(o.Rejected, *r.Own.Rejected) {
 			o.Rejected = append(o.Rejected, *r.Own.Rejected)
@@ -107,7 +111,8 @@
 	return o
 }
 
-func (r Row) betterThan(o Row) bool {
+// preferredTo reports whether a row about a VM is more reliable than another one.
+func (r Row) preferredTo(o Row) bool {
 	if (r.Own != nil) != (o.Own != nil) {
 		return r.Own != nil
 	}
@@ -117,6 +122,7 @@
 	return r.ToldMs < o.ToldMs
 }
 
+// count adds a row to the count of its zone, version and content.
 func (o *Overview) count(counts map[ZoneVersion]*ZoneVersion, r Row) {
 	key := ZoneVersion{Zone: r.Zone, Version: r.ConfigVersion, Content: r.Content}
 	c := counts[key]
@@ -128,9 +134,9 @@
 	c.InForceMs = min(c.InForceMs, r.InForceMs)
 }
 
-// usualContent returns the content that most VMs with a version have; empty if none
-// says it.
-func usualContent(all []Row, version uint64) string {
+// majorityContent returns the content that most VMs with a version have, or the empty string if no
+// VM reports one.
+func majorityContent(all []Row, version uint64) string {
 	counts := make(map[string]int)
 	usual := ""
 	for _, r := range all {
@@ -144,36 +150,40 @@
 	return usual
 }
 
-// why says what sets a VM apart; empty if it follows the newest version.
-func (r Row) why(newest uint64, usual string) string {
-	unheard := time.Duration(r.ToldMs) * time.Millisecond
+// reason returns why a VM is an outlier, or the empty string if it uses the newest version with the
+// usual content.
+func (r Row) reason(newest uint64, usual string) string {
+	age := time.Duration(r.ToldMs) * time.Millisecond
 	switch {
 	case r.ToldMs < 0 && r.Own == nil:
 		return "on record, and never heard by " + string(r.From)
-	case r.Own == nil && unheard > longUnheard:
+	case r.Own == nil && age > staleAfter:
 		return fmt.Sprintf("last heard %d ms ago by %s", r.ToldMs, r.From)
 	case r.ConfigVersion == newest && r.Content != "" && r.Content != usual:
 		return "same version, other content"
 	case r.ConfigVersion == newest:
 		return ""
 	case r.ConfigVersion == 0:
-		return "no configuration yet" + because(r.Wait)
+		return "no configuration yet" + waitSuffix(r.Wait)
 	case r.Own != nil && r.Own.BehindMs > 0:
-		return fmt.Sprintf("behind for %d ms%s%s", r.Own.BehindMs, because(r.Wait), missing(r.Own))
+		return fmt.Sprintf("behind for %d ms%s%s", r.Own.BehindMs, waitSuffix(r.Wait), missingParts(r.Own))
 	case r.Newest > r.ConfigVersion:
-		return "behind" + because(r.Wait)
+		return "behind" + waitSuffix(r.Wait)
 	}
 	return "does not know of the newest"
 }
 
-func because(wait string) string {
+// waitSuffix returns what a VM is waiting for as the end of a reason.
+func waitSuffix(wait string) string {
 	if wait == "" {
 		return ""
 	}
 	return ": " + wait
 }
 
-func missing(c *Config) string {
+// missingParts returns how many parts of a configuration have not been received as the end of a
+// reason.
+func missingParts(c *Config) string {
 	if c.Parts == 0 {
 		return ""
 	}
--- a/node/gateway/status/overview_test.go
+++ b/node/gateway/status/overview_test.go
@@ -9,8 +9,8 @@
 	"heatherlock/steering"
 )
 
-// fleetOf195 returns what one VM of each of nine zones says of a fleet of 195 that all
-// follow version 17.
+// fleetOf195 returns the statuses of one VM of each of nine zones in a fleet of 195 VMs that all
+// use version 17.
 func fleetOf195() []*Status {
 	var all []*Status
 	for zone := range 9 {
@@ -23,7 +23,7 @@
 			p := Peer{VM: steering.VM(fmt.Sprintf("vm-%d-%d", n%9, n/9)), Zone: steering.Zone(fmt.Sprint("zone-", n%9)), Live: true, Ready: true,
 				ConfigVersion: 17, Newest: 17, Content: "0badcafe", InForceMs: 8000, ToldMs: 300}
 			if n%9 != zone {
-				p.ConfigVersion, p.Newest, p.ToldMs = 0, 0, -1 // most of another zone never write to it
+				p.ConfigVersion, p.Newest, p.ToldMs = 0, 0, -1 // most VMs of other zones never send heartbeats to it
 			}
 			s.Fleet = append(s.Fleet, p)
 		}
@@ -32,7 +32,7 @@
 	return all
 }
 
-func summary(all []*Status) Overview {
+func summarizeAll(all []*Status) Overview {
 	var rows []Row
 	for _, s := range all {
 		rows = append(rows, s.Rows()...)
@@ -40,9 +40,9 @@
 	return Summarize(rows)
 }
 
-// One VM a zone is asked, and the configuration of all 195 is known.
-func TestOneOfEachZoneTellsOfAll(t *testing.T) {
-	o := summary(fleetOf195())
+// Checks that asking one VM per zone is enough to know the configuration of all 195.
+func TestOneStatusPerZoneCoversTheFleet(t *testing.T) {
+	o := summarizeAll(fleetOf195())
 	assert.Assert(t, o.Agree())
 	assert.Equal(t, o.Live, 195)
 	assert.Equal(t, o.Newest, uint64(17))
@@ -56,8 +56,9 @@
 	assert.Equal(t, vms, 195)
 }
 
-// Each way of not following the newest is named, with what the VM waits for.
-func TestOutliersAreNamedWithTheirReason(t *testing.T) {
+// Checks that each way of not using the newest configuration is reported with its reason, including
+// what the VM is waiting for.
+func TestOutliersHaveReasons(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(p *Peer)
 		why    string
@@ -75,7 +76,7 @@
 					c.change(p)
 				}
 			}
-			o := summary(all)
+			o := summarizeAll(all)
 			assert.Assert(t, !o.Agree())
 			assert.Equal(t, len(o.Outliers), 1)
 			assert.Equal(t, o.Outliers[0].VM, steering.VM("vm-3-7"))
@@ -84,16 +85,16 @@
 	}
 }
 
-func TestWhatAVMSaysItselfTellsWhatIsMissing(t *testing.T) {
+func TestOwnStatusReportsMissingParts(t *testing.T) {
 	all := fleetOf195()
 	all[0].ConfigVersion = 15
 	all[0].Config = Config{Newest: 17, NewestFrom: "vm-1-0", BehindMs: 2100, PartsMissing: 3, Parts: 8, Wait: "parts under way"}
-	o := summary(all)
+	o := summarizeAll(all)
 	assert.Equal(t, o.Outliers[0].Why, "behind for 2100 ms: parts under way, 3 of 8 parts missing")
 }
 
-// A VM that is gone or leaving is counted, and sets nobody apart.
-func TestGoneAndLeavingDoNotCount(t *testing.T) {
+// Checks that a VM that is gone or leaving is counted as gone and is not reported as an outlier.
+func TestGoneAndLeavingVMsAreNotOutliers(t *testing.T) {
 	all := fleetOf195()
 	for n := range all[2].Fleet {
 		switch p := &all[2].Fleet[n]; p.VM {
@@ -103,17 +104,17 @@
 			p.Leaving, p.ConfigVersion = true, 3
 		}
 	}
-	o := summary(all)
+	o := summarizeAll(all)
 	assert.Assert(t, o.Agree())
 	assert.Equal(t, o.Live, 193)
 	assert.Equal(t, o.Gone, 2)
 }
 
-func TestRejectedConfigurationsAreNamedOnce(t *testing.T) {
+func TestRejectedConfigurationIsReportedOnce(t *testing.T) {
 	all := fleetOf195()
 	all[0].Config.Rejected = &Rejected{Version: "r18", Reason: "route x names no service"}
 	all[1].Config.Rejected = &Rejected{Version: "r18", Reason: "route x names no service"}
-	assert.DeepEqual(t, summary(all).Rejected, []Rejected{{"r18", "route x names no service"}})
+	assert.DeepEqual(t, summarizeAll(all).Rejected, []Rejected{{"r18", "route x names no service"}})
 }
 
-func TestNobodyAgreesWithoutAnyVM(t *testing.T) { assert.Assert(t, !Summarize(nil).Agree()) }
+func TestEmptyFleetDoesNotAgree(t *testing.T) { assert.Assert(t, !Summarize(nil).Agree()) }
--- a/node/gateway/status/status.go
+++ b/node/gateway/status/status.go
@@ -1,5 +1,7 @@
-// Package status is what an entry VM on the users' platform tells operators of what
-// it goes by, as JSON from GET /v1/status on its control listener.
+// Package status defines the status that an entry VM on the users' platform reports to operators,
+// as JSON from GET /v1/status on its control listener. It also holds the client: Ask and its
+// variants request the status of VMs, Gather combines the statuses of one VM of each zone, and
+// Summarize derives from them which configuration each VM uses.
 package status
 
 import "heatherlock/steering"
@@ -7,127 +9,136 @@
 // Path is where an entry VM serves its status.
 const Path = "/v1/status"
 
-// Status is what one entry VM goes by at one moment.
+// Status is the state of one entry VM at one moment.
 type Status struct {
 	VM     steering.VM     `json:"vm"`
 	Zone   steering.Zone   `json:"zone"`
 	Region steering.Region `json:"region"`
-	// Ready VMs take requests; Leaving ones are about to end.
+	// Ready is set while the VM takes requests, Leaving once it is shutting down.
 	Ready   bool `json:"ready"`
 	Leaving bool `json:"leaving"`
-	// ConfigVersion is the configuration in force, 0 before one is known.
+	// ConfigVersion is the version of the configuration in force, 0 before the first one.
 	ConfigVersion uint64 `json:"config_version"`
-	// Config tells more of it.
+	// Config describes the configuration in force and the newest one known.
 	Config Config `json:"config"`
-	// Fleet is what this VM knows of the others on record, by zone and name.
+	// Fleet holds the other entry VMs that this VM has a record of, by zone and name.
 	Fleet []Peer `json:"fleet"`
-	// StoreAgeMs is the age of the read of the store that it goes by; -1 before one.
+	// StoreAgeMs is the age of the read of the store that the VM's state is based on; -1 before the
+	// first read.
 	StoreAgeMs int64 `json:"store_age_ms"`
-	// StoreFails is set while its own reads fail.
+	// StoreFails is set while the VM's own reads of the store fail.
 	StoreFails bool `json:"store_fails"`
 	// ReadRank is how many live VMs read the store before this one.
 	ReadRank int `json:"read_rank"`
-	// PeersLive and PeersKnown count entry VMs with this one.
+	// PeersLive and PeersKnown count live entry VMs and those on record, this one included.
 	PeersLive  int `json:"peers_live"`
 	PeersKnown int `json:"peers_known"`
-	// DarkZones have no entry VM that this one hears.
+	// DarkZones holds the zones from whose entry VMs this VM receives no heartbeats any more.
 	DarkZones []steering.Zone `json:"dark_zones"`
-	// EvacuatedZones get nothing new.
+	// EvacuatedZones holds the zones under evacuation, whose targets get no new requests.
 	EvacuatedZones []steering.Zone `json:"evacuated_zones"`
-	// RequestsRunning and CallerConnections are this VM's own.
+	// RequestsRunning and CallerConnections count the requests in flight and the open connections
+	// of callers on this VM.
 	RequestsRunning   int       `json:"requests_running"`
 	CallerConnections int       `json:"caller_connections"`
 	Services          []Service `json:"services"`
-	// Workspaces are those with an allowance that this VM has met or owns, by name.
+	// Workspaces holds the workspaces with an allowance that this VM owns or has served since it
+	// started, by name.
 	Workspaces []Workspace `json:"workspaces"`
 }
 
-// Workspace is what became of a workspace's requests on one VM since it started.
+// Workspace counts a workspace's requests on one VM since it started.
 type Workspace struct {
 	Name steering.Workspace `json:"name"`
-	// Admitted were let run by its allowance, Beyond refused by it.
+	// Admitted counts the requests that the allowance admitted, Beyond those that it refused.
 	Admitted int64 `json:"admitted"`
 	Beyond   int64 `json:"beyond"`
-	// NotRun counts those admitted that were refused later without having run, by reason.
+	// NotRun counts, by reason, the admitted requests that were refused later without having run.
 	NotRun map[steering.Reason]int64 `json:"not_run,omitempty"`
-	// Owned is set on the VM that owns the workspace.
+	// Owned is set on the VM that owns the workspace's allowance.
 	Owned *Allowance `json:"owned,omitempty"`
 }
 
-// Allowance is what the owner of a workspace knows.
+// Allowance is the state of a workspace's token bucket on the VM that owns it.
 type Allowance struct {
-	// Rate and Burst are as declared; Limit is what the owner lends a second, for the part
-	// of the fleet that it hears.
+	// Rate and Burst are as configured. Limit is the rate per second at which the owner lends, for
+	// the part of the fleet from which it receives heartbeats.
 	Rate  float64 `json:"rate"`
 	Burst float64 `json:"burst"`
 	Limit float64 `json:"limit"`
-	// Left is in the bucket, below 0 for a debt; Lent lies with VMs.
+	// Left is what remains in the bucket, negative if it is overdrawn. Lent is what VMs hold.
 	Left float64 `json:"left"`
 	Lent float64 `json:"lent"`
-	// Demand is what its callers ask over all VMs, in requests per second, on VMs of them.
+	// Demand is how many requests per second the workspace's callers send to all VMs, VMs how many
+	// VMs they send to.
 	Demand float64 `json:"demand"`
 	VMs    int     `json:"vms"`
-	// Low tells that VMs ask before a request runs.
+	// Low is set while the bucket is nearly empty, so that VMs ask the owner before they run a
+	// request.
 	Low bool `json:"low"`
 }
 
-// Service is what the VM goes by for one service.
+// Service is the state of one service on the VM.
 type Service struct {
 	Name steering.Service `json:"name"`
-	// Targets counts all, of which Closed get nothing new, Cold get few requests
-	// and Ejected are passed over.
+	// Targets counts all targets. Of these, Closed ones get no new requests, Cold ones get few, and
+	// Ejected ones are skipped because they fail or do not respond.
 	Targets int               `json:"targets"`
 	Closed  int               `json:"closed"`
 	Cold    int               `json:"cold"`
 	Ejected []steering.Target `json:"ejected"`
-	// KeysKept is the part of its keys that this VM's region does not lend.
+	// KeysKept is the fraction of the service's keys that this VM's region does not lend to other
+	// regions.
 	KeysKept float64 `json:"keys_kept"`
-	// TriesLeft is what is left here of the budget of further tries.
+	// TriesLeft is what remains of this VM's retry budget.
 	TriesLeft float64 `json:"tries_left"`
-	// RequestsPerSecond is what this VM's callers ask, RunMs the time of a warm run.
+	// RequestsPerSecond is the rate of requests from this VM's callers, RunMs the time that one
+	// takes on a warm target.
 	RequestsPerSecond float64 `json:"requests_per_second"`
 	RunMs             float64 `json:"run_ms"`
 }
 
-// Config is which configuration the VM follows.
+// Config describes the configuration in force on the VM and the newest one that it knows of.
 type Config struct {
-	// InForceMs is how long it has been in force here.
+	// InForceMs is how long the configuration has been in force on this VM.
 	InForceMs int64 `json:"in_force_ms"`
-	// Content is a hash of its content: 32 bits, in hexadecimal.
+	// Content is a hash of the configuration's content: 32 bits in hexadecimal.
 	Content string `json:"content"`
-	// Newest is the newest version known to exist, and NewestFrom the VM that told of it
-	// first; empty if it was the store.
+	// Newest is the newest version known to exist, and NewestFrom the VM that reported it first, or
+	// empty if the store did.
 	Newest     uint64      `json:"newest"`
 	NewestFrom steering.VM `json:"newest_from,omitempty"`
-	// BehindMs is how long a newer one has been known.
+	// BehindMs is how long a version newer than the one in force has been known.
 	BehindMs int64 `json:"behind_ms"`
-	// PartsMissing of Parts have not come yet, and Wait says what for.
+	// PartsMissing of Parts of the newer configuration have not been received yet. Wait says what
+	// the VM is waiting for.
 	PartsMissing int    `json:"parts_missing"`
 	Parts        int    `json:"parts"`
 	Wait         string `json:"wait,omitempty"`
-	// Rejected is the newest written one if it cannot be used, as far as this VM read it.
+	// Rejected is the newest configuration in the store if it cannot be used and this VM has read
+	// it.
 	Rejected *Rejected `json:"rejected,omitempty"`
 }
 
 // Rejected is a configuration that cannot be used.
 type Rejected struct {
-	// Version is as written.
+	// Version is the version as stored; it need not be a number.
 	Version string `json:"version"`
 	Reason  string `json:"reason"`
 }
 
-// Peer is what the VM knows of another by its heartbeats.
+// Peer is what the VM knows of another entry VM from its heartbeats.
 type Peer struct {
 	VM     steering.VM     `json:"vm"`
 	Zone   steering.Zone   `json:"zone"`
 	Region steering.Region `json:"region"`
-	// Control is host:port of its control listener.
+	// Control is the host:port of the VM's control listener.
 	Control string `json:"control"`
 	Live    bool   `json:"live"`
 	Ready   bool   `json:"ready"`
 	Leaving bool   `json:"leaving"`
-	// ConfigVersion is in force there as of ToldMs ago, and has been for at least
-	// InForceMs. ToldMs is -1 if it never wrote to this VM.
+	// ConfigVersion was in force on the VM ToldMs ago, and had been for at least InForceMs. ToldMs
+	// is -1 if the reporting VM never received a heartbeat from it.
 	ConfigVersion uint64 `json:"config_version"`
 	Newest        uint64 `json:"newest"`
 	Content       string `json:"content"`
