--- a/node/gateway/feed/share.go
+++ b/node/gateway/feed/exchange.go
@@ -12,7 +12,7 @@
 	m := Digest{Revision: s.revision, Content: s.contentHash, ColdRevision: s.coldRevision, ConfigRevision: s.configRevision, EvacuationRevision: s.evacuationRevision,
 		Config: s.version(), Newest: s.newest, AgeMs: now.Sub(s.readAt).Milliseconds()}
 	if s.readAt.IsZero() || s.inconsistent {
-		return Digest{Config: m.Config, Newest: m.Newest} // the other fields would mislead peers
+		return Digest{Config: m.Config, Newest: m.Newest} // peers cannot rely on the other fields
 	}
 	for zone := range s.evacuated {
 		m.Evacuated = append(m.Evacuated, zone)
@@ -30,7 +30,7 @@
 }
 
 // Merge applies as much of a peer's digest as it can without further data. pull reports whether the
-// peer has newer targets that should be requested with UpdateSince, changed whether the evacuated
+// peer has newer targets, which should be requested from it; changed reports whether the evacuated
 // zones changed. Behind reports whether the peer's digest named a newer configuration: targets and
 // configuration are fetched separately because a large configuration can take long to transfer, and
 // the notice that a target is leaving must not wait for it.
--- a/node/gateway/feed/reader.go
+++ b/node/gateway/feed/reader.go
@@ -33,10 +33,10 @@
 	// reader has crashed, is cut off or is paused, this costs one delay, with no lease that has to
 	// expire first; two VMs that read at the same time do no harm.
 	rankDelay = 200 * time.Millisecond
-	// The first fullDelayRanks ranks are a full rankDelay apart, and the ranks behind them a
-	// highRankDelay. The first ranks are enough to cover the loss of a zone. In a large fleet the
-	// VMs behind them must not all read when a result is late for a moment, which the extra delay
-	// per rank prevents. A VM that receives no heartbeats has rank 0.
+	// The first fullDelayRanks ranks are a full rankDelay apart. They are enough to cover the loss
+	// of a zone. The VMs of the ranks behind them wait for all these delays and then read a
+	// highRankDelay apart, because in a large fleet they must not all read when a result is late
+	// for a moment. A VM that receives no heartbeats has rank 0.
 	fullDelayRanks = 4
 	highRankDelay  = 10 * time.Millisecond
 	// startupWait is how long a starting VM waits for peers to send their state, which saves it
--- a/node/gateway/feed/state_test.go
+++ b/node/gateway/feed/state_test.go
@@ -53,7 +53,7 @@
 // Guards against dropping all targets, and with that refusing all requests, after an outage of the
 // store. Entries expire while targets cannot write, so the first read afterwards finds none.
 // Targets have 2.2 s to write them again; an entry that is still missing then is removed.
-func TestEntriesThatLapsedInAnOutageHaveTimeToComeBack(t *testing.T) {
+func TestExpiredEntriesAreKeptAfterOutage(t *testing.T) {
 	s := feed.NewState(beat, regions)
 	s.SetTargets(start, listed([]platform.Target{target("back", 1, false), target("gone", 1, false), target("leaving", 1, true)}, 10))
 	s.MarkRead(start)
@@ -93,7 +93,7 @@
 // Guards against crashing the targets of a zone when its evacuation ends. They may no
 // longer be warm after being idle, and their entries say so only one heartbeat later, so they must
 // not get full load at once.
-func TestZoneTakenBackIsColdAtFirst(t *testing.T) {
+func TestTargetsAreColdAfterEvacuation(t *testing.T) {
 	s := feed.NewState(beat, regions)
 	s.SetTargets(start, listed([]platform.Target{target("a", 1, false)}, 10))
 	s.SetEvacuations(start, []steering.Zone{"a"}, 11)
@@ -106,7 +106,7 @@
 // Guards against a configuration that stays unknown on all entry VMs for seconds. Many VMs exchange
 // digests of the same read, each some milliseconds in transit; if the younger age were adopted each
 // time, the read would look fresh forever and no VM would make the next one.
-func TestTellingTheSameReadDoesNotMakeItYounger(t *testing.T) {
+func TestExchangedReadKeepsItsAge(t *testing.T) {
 	a, b := feed.NewState(beat, regions), feed.NewState(beat, regions)
 	for _, s := range []*feed.State{a, b} {
 		s.SetTargets(start, listed([]platform.Target{target("a", 1, false)}, 10))
@@ -135,7 +135,7 @@
 // Guards against entry VMs that request all targets from each other every second because their
 // hashes depend on when a VM started: a target became cold once, and a VM that starts later has not
 // seen that.
-func TestVMThatStartsLaterKnowsTheSame(t *testing.T) {
+func TestHashDoesNotDependOnStartTime(t *testing.T) {
 	old, late := feed.NewState(beat, regions), feed.NewState(beat, regions)
 	old.SetTargets(start, listed([]platform.Target{target("x", 1, false)}, 10))
 	cold := target("x", 2, false)
@@ -172,7 +172,7 @@
 // because the hashes are equal, and then sends the first VM an update that lacks the removal. The
 // hash exposes this: the first VM's digest names no revision until an update with all targets has
 // come, while it still names the configuration.
-func TestDifferenceThatMissesATargetIsNoticed(t *testing.T) {
+func TestIncompleteUpdateIsDetected(t *testing.T) {
 	before, between, after := feed.NewState(beat, regions), feed.NewState(beat, regions), feed.NewState(beat, regions)
 	read := func(s *feed.State, revision int64, all ...platform.Target) {
 		s.SetTargets(start, listed(all, revision))
@@ -281,7 +281,7 @@
 // older configuration. Whatever is read and sent in whatever order and however late, each state
 // equals the store at the revision that it names, its configuration version never decreases, and
 // once all VMs have exchanged their states they agree.
-func TestStatesFollowTheStoreByReadingAndTelling(t *testing.T) {
+func TestStatesConvergeToStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &fakeStore{revision: 5, now: map[string]platform.Target{}, at: map[int64]string{5: "{}"}}
 		const vms = 3
--- a/node/gateway/fleet/roster_test.go
+++ b/node/gateway/fleet/roster_test.go
@@ -31,7 +31,7 @@
 	return names
 }
 
-func TestSilentMemberIsGoneAndBackWhenHeard(t *testing.T) {
+func TestMemberIsGoneUntilItsNextHeartbeat(t *testing.T) {
 	r := fleet.NewRoster(member("self", "a"))
 	other := member("other", "b")
 	assert.Assert(t, r.Add(start, other))
@@ -79,7 +79,7 @@
 // ended is named to callers for long, as when each VM sends to every other and reports only itself.
 // What a VM sends must not grow with the number of zones times their size, and the end of one of
 // 180 VMs must be known everywhere in time.
-func TestLargeFleetKnowsWhoLivesWithFewDatagrams(t *testing.T) {
+func TestLargeFleetDetectsFailureWithFewDatagrams(t *testing.T) {
 	const zones, perZone = 5, 36
 	var members []fleet.Member
 	for n := range zones * perZone {
@@ -174,7 +174,7 @@
 //
 // With a store that did not answer that VM alone, a version was in force on the others only after
 // 2.5 s and more: 1.1 s until a read is due, 1 s until it is given up, and 0.7 s of waiting.
-func TestReadThatHangsIsNotWaitedForAnew(t *testing.T) {
+func TestHangingReadDelaysOthersOnce(t *testing.T) {
 	names := []steering.VM{"a", "b"}
 	for _, self := range names {
 		r := fleet.NewRoster(member(self, "x"))
@@ -225,7 +225,7 @@
 // Guards against requests to a leaving target after its bound on small VMs far from the reader.
 // With an order by name alone, a VM with a slow link can be the first to read the store, and all
 // others wait for what it sends.
-func TestMoreAbleVMsReadAndFetchFirst(t *testing.T) {
+func TestVMsWithMoreCapacityReadFirst(t *testing.T) {
 	members := []fleet.Member{member("a", "x"), member("b", "x"), member("c", "y"), member("d", "y")}
 	members[2].Capacity, members[1].Capacity = 2400, 300
 	rank := func(self fleet.Member) int {
