--- a/node/gateway/feed/golden_test.go
+++ b/node/gateway/feed/golden_test.go
@@ -36,7 +36,7 @@
 }
 
 // Guards against updates that old and new entry VMs decode differently: a VM would remove targets
-// that still run, or never learn that one is leaving. They are encoded and decoded as in tell.go.
+// that still run, or never learn that one is leaving. They are encoded and decoded as in peersync.go.
 func TestGoldenUpdates(t *testing.T) {
 	for name, update := range map[string]feed.Update{
 		"full": {Digest: feed.Digest{Revision: 5000, Content: 1<<63 + 1, ColdRevision: 4990, Config: 17, Newest: 22, ConfigRevision: 4980,
--- a/steering/losses/golden_test.go
+++ b/steering/losses/golden_test.go
@@ -16,12 +16,12 @@
 func TestGoldenSums(t *testing.T) {
 	full := losses.Sum{Kind: losses.Kind{Service: "tickets", Repeats: "once", AimMs: 400}, Asked: 1000, Again: 7, InAim: 600,
 		Late: map[losses.Cause]int{
-			losses.Queued: 1, losses.CameLate: 2, losses.Waited: 3, losses.Cold: 4, losses.Away: 5, losses.Other: 6},
+			losses.HeadOfLineBlocked: 1, losses.CallerLate: 2, losses.Waited: 3, losses.Cold: 4, losses.Away: 5, losses.Other: 6},
 		Refused: map[losses.Cause]int{
-			losses.Starting: 11, losses.Behind: 12, losses.Unidentified: 13, losses.OverAllowance: 14, losses.NoHome: 15,
-			losses.NoTarget: 16, losses.Predicted: 17, losses.HeldBack: 18, losses.Budget: 19, losses.Short: 20},
+			losses.VMStarting: 11, losses.ConfigBehind: 12, losses.WorkspaceUnknown: 13, losses.OverAllowance: 14, losses.NoCommonHomeRegion: 15,
+			losses.NoTarget: 16, losses.Predicted: 17, losses.PoisonRequest: 18, losses.RetryBudgetSpent: 19, losses.DeadlineTooShort: 20},
 		Failed: map[losses.Cause]int{
-			losses.Shedding: 31, losses.Failing: 32, losses.Gone: 33, losses.Spoiled: 34, losses.Slow: 35, losses.CallerLeft: 36}}
+			losses.TargetShedding: 31, losses.TargetFailing: 32, losses.Gone: 33, losses.Spoiled: 34, losses.TargetSlow: 35, losses.CallerDisconnected: 36}}
 	sums := []losses.Sum{full, {Kind: losses.Kind{Service: "maps", Repeats: "idempotent"}, Asked: 1}}
 	raw, err := json.Marshal(sums)
 	assert.NilError(t, err)
