--- a/node/gateway/relay/placement.go
+++ b/node/gateway/relay/placement.go
@@ -84,7 +84,7 @@
 		return placement.Failed
 	case e.err == nil:
 		return placement.Broken
-	case errors.Is(e.err, upstream.ErrFull):
+	case errors.Is(e.err, upstream.ErrConnectionLimit):
 		return placement.Abandoned
 	case e.unsent && ctx.Err() == nil:
 		return placement.Unreachable
--- a/node/gateway/upstream/conn.go
+++ b/node/gateway/upstream/conn.go
@@ -16,74 +16,77 @@
 )
 
 const (
-	readBuffer = 4 << 10
-	// maxWhole is the largest answer that is held whole before it is passed on.
-	// A whole one that turns out cut or spoiled can be asked for again unseen.
-	maxWhole = 256 << 10
-	// maxStray is how many answers for other requests are skipped.
-	maxStray = 3
-	// answerWait is how long a failed write waits for an answer that may explain
-	// it, such as a refusal of the body.
-	answerWait = 50 * time.Millisecond
-	// idleUse is the part of a target's stated idle time that is used, and
-	// idleMargin what is left of a longer one, so that a request does not cross the
-	// target's close: many times the longest way and a delayed timer.
-	idleUse    = 0.7
-	idleMargin = 1500 * time.Millisecond
-	// idleUnstated is kept where the target states none.
-	idleUnstated = 4 * time.Second
+	readBufferSize = 4 << 10
+	// maxBufferedBody is the largest response body that is read completely before it is passed on.
+	// If a buffered response turns out truncated or malformed, the request can be retried without
+	// the caller noticing.
+	maxBufferedBody = 256 << 10
+	// maxMismatched is how many responses to other requests are skipped.
+	maxMismatched = 3
+	// earlyResponseWait is how long a failed write waits for a response that may explain it, such
+	// as a refusal of the body.
+	earlyResponseWait = 50 * time.Millisecond
+	// idleTimeoutShare and idleTimeoutMargin determine for how long an idle connection is reused,
+	// given the keep-alive timeout that the target states: that share of it or, if longer, all but
+	// the margin. This avoids sending a request while the target closes the connection; the margin
+	// covers many times the longest network delay, and a delayed timer.
+	idleTimeoutShare  = 0.7
+	idleTimeoutMargin = 1500 * time.Millisecond
+	// defaultIdleTimeout applies if the target states no keep-alive timeout.
+	defaultIdleTimeout = 4 * time.Second
 )
 
 // exchange is a request in flight on a connection.
 type exchange struct {
-	request *http.Request // method only, for the codec
+	request *http.Request // holds only the method, which http.ReadResponse needs
 	id      string
 	done    chan result
 }
 
 type result struct {
-	answer *Answer
-	err    error
+	response *Answer
+	err      error
 }
 
-// conn is one connection to a target.
+// conn is a connection to a target.
 type conn struct {
 	raw  net.Conn
 	in   *bufio.Reader
-	pool *hostPool
-	// idOf returns the request that an answer belongs to.
-	idOf func(http.Header) string
+	pool *targetPool
+	// requestIDOf returns the ID of the request to which a response belongs.
+	requestIDOf func(http.Header) string
 
 	mu      sync.Mutex
 	current *exchange
 	closed  bool
-	// unsent is set while the request is still being written.
-	unsent bool
-	// spent connections are closed after the current exchange.
-	spent   bool
-	used    time.Time
-	idleFor time.Duration
+	// writing is set while the request is still being written.
+	writing bool
+	// closeAfter is set if the connection must be closed after the current exchange.
+	closeAfter  bool
+	lastUsed    time.Time
+	idleTimeout time.Duration
 }
 
-func newConn(raw net.Conn, pool *hostPool, idOf func(http.Header) string) *conn {
-	return &conn{raw: raw, in: bufio.NewReaderSize(raw, readBuffer), pool: pool, idOf: idOf, idleFor: idleUnstated}
+func newConn(raw net.Conn, pool *targetPool, requestIDOf func(http.Header) string) *conn {
+	return &conn{raw: raw, in: bufio.NewReaderSize(raw, readBufferSize), pool: pool, requestIDOf: requestIDOf, idleTimeout: defaultIdleTimeout}
 }
 
-// start hands the connection to an exchange; false if it is closed.
+// start assigns the connection to an exchange. It returns false if the connection is closed or in
+// use.
 func (c *conn) start(e *exchange) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed || c.current != nil {
 		return false
 	}
-	c.current, c.unsent, c.spent = e, true, false
+	c.current, c.writing, c.closeAfter = e, true, false
 	return true
 }
 
-// wrote tells that the whole request was written.
-func (c *conn) wrote() {
+// requestWritten records that the whole request was written.
+func (c *conn) requestWritten() {
 	c.mu.Lock()
-	c.unsent = false
+	c.writing = false
 	c.mu.Unlock()
 }
 
@@ -91,19 +94,19 @@
 	c.mu.Lock()
 	c.closed = true
 	c.mu.Unlock()
-	_ = c.raw.Close() // nothing is left to lose on it
+	_ = c.raw.Close() // an error makes no difference, as the connection is not used any more
 }
 
-// read is the connection's reader for life.
-func (c *conn) read() {
-	for c.readOne() {
+// readLoop reads responses until the connection ends.
+func (c *conn) readLoop() {
+	for c.readNext() {
 	}
 	c.close()
-	c.pool.forget(c)
+	c.pool.remove(c)
 }
 
-// readOne waits for bytes, and reports whether the connection is to go on.
-func (c *conn) readOne() bool {
+// readNext waits for the next response, and reports whether the connection stays open.
+func (c *conn) readNext() bool {
 	_, err := c.in.Peek(1)
 	c.mu.Lock()
 	e := c.current
@@ -112,45 +115,46 @@
 	}
 	c.mu.Unlock()
 	if e == nil {
-		return false // closed by the target, or bytes that nobody asked for
+		return false // closed by the target, or bytes that belong to no request
 	}
 	if err != nil {
 		e.done <- result{err: err}
 		return false
 	}
-	answer, last, err := c.readAnswer(e)
+	response, last, err := c.readResponse(e)
 	if err != nil {
 		e.done <- result{err: err}
 		return false
 	}
-	if answer.Rest != nil {
-		return c.passOn(e, answer, last)
+	if response.Rest != nil {
+		return c.streamResponse(e, response, last)
 	}
-	again := c.finish(answer, last)
-	e.done <- result{answer: answer}
-	return again
+	keep := c.finish(response, last)
+	e.done <- result{response: response}
+	return keep
 }
 
-// passOn gives out an answer that is read while it is passed on.
-func (c *conn) passOn(e *exchange, answer *Answer, last bool) bool {
+// streamResponse passes on a response whose body is read while it is passed on to the caller.
+func (c *conn) streamResponse(e *exchange, response *Answer, last bool) bool {
 	ended := make(chan bool, 1)
-	answer.Rest = &streamed{ReadCloser: answer.Rest, ended: ended, stop: c.close}
-	e.done <- result{answer: answer}
+	response.Rest = &streamedBody{ReadCloser: response.Rest, ended: ended, abort: c.close}
+	e.done <- result{response: response}
 	if whole := <-ended; !whole {
 		return false
 	}
-	return c.finish(answer, last)
+	return c.finish(response, last)
 }
 
-// streamed tells when a body has been read to its end, or was given up.
-type streamed struct {
+// streamedBody reports on ended, once, whether its body was read to its end. Closing it earlier
+// aborts the exchange.
+type streamedBody struct {
 	io.ReadCloser
 	ended chan bool
-	stop  func()
+	abort func()
 	once  sync.Once
 }
 
-func (s *streamed) Read(p []byte) (int, error) {
+func (s *streamedBody) Read(p []byte) (int, error) {
 	n, err := s.ReadCloser.Read(p)
 	if err != nil {
 		s.once.Do(func() { s.ended <- err == io.EOF })
@@ -158,98 +162,98 @@
 	return n, err
 }
 
-func (s *streamed) Close() error {
+func (s *streamedBody) Close() error {
 	s.once.Do(func() {
-		s.stop()
+		s.abort()
 		s.ended <- false
 	})
 	return nil
 }
 
-// readAnswer reads the answer to e, past interim answers and answers to other
-// requests. last tells that the connection ends with it.
-func (c *conn) readAnswer(e *exchange) (answer *Answer, last bool, err error) {
-	stray := 0
+// readResponse reads the response to e. It skips interim responses and up to maxMismatched
+// responses to other requests. last reports that the connection must be closed after it.
+func (c *conn) readResponse(e *exchange) (response *Answer, last bool, err error) {
+	mismatched := 0
 	for {
-		response, err := http.ReadResponse(c.in, e.request)
+		httpResponse, err := http.ReadResponse(c.in, e.request)
 		if err != nil {
-			return nil, true, errors.Wrap(err, "read answer")
+			return nil, true, errors.Wrap(err, "read response")
 		}
-		if response.StatusCode < http.StatusOK {
+		if httpResponse.StatusCode < http.StatusOK {
 			continue
 		}
 		c.stopWriting()
-		body, whole, err := readWhole(response.Body)
+		body, whole, err := readBody(httpResponse.Body)
 		if err != nil {
-			return nil, true, errors.Wrap(err, "read answer's body")
+			return nil, true, errors.Wrap(err, "read response body")
 		}
-		id := c.idOf(response.Header)
-		if planted.Defect != planted.Crossed && id != e.id && (id != "" || response.StatusCode < http.StatusMultipleChoices) {
-			if stray++; stray > maxStray || !whole {
-				return nil, true, errors.Errorf("answer belongs to request %q", id)
+		id := c.requestIDOf(httpResponse.Header)
+		if planted.Defect != planted.Crossed && id != e.id && (id != "" || httpResponse.StatusCode < http.StatusMultipleChoices) {
+			if mismatched++; mismatched > maxMismatched || !whole {
+				return nil, true, errors.Errorf("response belongs to request %q", id)
 			}
 			last = true
 			continue
 		}
-		answer = &Answer{Status: response.StatusCode, Header: response.Header, Body: body, Length: response.ContentLength}
+		response = &Answer{Status: httpResponse.StatusCode, Header: httpResponse.Header, Body: body, Length: httpResponse.ContentLength}
 		if !whole {
-			answer.Rest = response.Body
+			response.Rest = httpResponse.Body
 		}
-		c.learnIdle(response.Header)
-		return answer, last || response.Close, nil
+		c.setIdleTimeout(httpResponse.Header)
+		return response, last || httpResponse.Close, nil
 	}
 }
 
-// readWhole reads a body up to maxWhole; whole tells that this was all of it.
-func readWhole(body io.Reader) ([]byte, bool, error) {
-	held, err := io.ReadAll(io.LimitReader(body, maxWhole+1))
+// readBody reads a body up to maxBufferedBody, and reports whether that was all of it.
+func readBody(body io.Reader) ([]byte, bool, error) {
+	data, err := io.ReadAll(io.LimitReader(body, maxBufferedBody+1))
 	if err != nil {
 		return nil, false, err
 	}
-	return held, len(held) <= maxWhole, nil
+	return data, len(data) <= maxBufferedBody, nil
 }
 
-// stopWriting ends a request that is still being written: the target has
-// answered already, and would take the rest of the body for another request if
-// the connection were used again.
+// stopWriting aborts a request that is still being written. The target has responded already, and
+// would take the rest of the body for another request if the connection were reused.
 func (c *conn) stopWriting() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.unsent {
-		c.spent = true
-		_ = c.raw.SetWriteDeadline(time.Unix(1, 0)) // wakes the writer; the connection ends anyway
+	if c.writing {
+		c.closeAfter = true
+		_ = c.raw.SetWriteDeadline(time.Unix(1, 0)) // unblocks the writer; the connection is closed anyway
 	}
 }
 
-// learnIdle takes the idle time that a target states, in whole seconds.
-func (c *conn) learnIdle(h http.Header) {
+// setIdleTimeout derives the idle timeout from the keep-alive timeout that the target states, in
+// whole seconds.
+func (c *conn) setIdleTimeout(h http.Header) {
 	for field := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		seconds, err := strconv.Atoi(value)
 		if strings.EqualFold(name, "timeout") && err == nil {
 			stated := time.Duration(seconds) * time.Second
-			c.idleFor = max(time.Duration(idleUse*float64(stated)), stated-idleMargin)
+			c.idleTimeout = max(time.Duration(idleTimeoutShare*float64(stated)), stated-idleTimeoutMargin)
 		}
 	}
 }
 
 // finish ends an exchange, and reports whether the connection stays open.
-func (c *conn) finish(answer *Answer, last bool) bool {
+func (c *conn) finish(response *Answer, last bool) bool {
 	c.mu.Lock()
-	keep := !last && !c.spent && !c.unsent && !c.closed && c.in.Buffered() == 0 && c.idleFor > 0
+	keep := !last && !c.closeAfter && !c.writing && !c.closed && c.in.Buffered() == 0 && c.idleTimeout > 0
 	c.current = nil
-	c.used = time.Now()
+	c.lastUsed = time.Now()
 	c.closed = c.closed || !keep
 	c.mu.Unlock()
 	if keep {
-		c.pool.idle(c)
+		c.pool.putIdle(c)
 	}
 	return keep
 }
 
-// fit reports whether an idle connection may be used.
-func (c *conn) fit(now time.Time) bool {
+// usable reports whether an idle connection may be reused.
+func (c *conn) usable(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.closed && now.Sub(c.used) < c.idleFor
+	return !c.closed && now.Sub(c.lastUsed) < c.idleTimeout
 }
--- a/node/gateway/upstream/doc.go
+++ b/node/gateway/upstream/doc.go
@@ -1,16 +1,13 @@
-// Package upstream exchanges requests with targets over connections that it
-// keeps.
+// Package upstream exchanges requests and responses with targets over pooled connections.
 //
-// The HTTP library's own client is not used here, since it hides what the
-// promises need: whether any byte of a request left (a purchase may go
-// elsewhere only if none did), which request an answer belongs to, bytes that
-// arrive after a complete answer, and an answer that comes before the body is
-// sent. Its codec is: requests are written and answers read with net/http's
-// types.
+// It does not use the HTTP library's client, which hides what the relay's guarantees need: whether
+// any byte of a request was sent (a purchase may be sent to another target only if none was), to
+// which request a response belongs, bytes that arrive after a complete response, and a response
+// that arrives before the body is sent. Requests are written and responses are read with the types
+// and the codec of net/http.
 //
-// A connection has one reader for life. While idle, the reader notices at once
-// that the target closed it or sent bytes that belong to no request, so that
-// no request is sent on a connection that is already gone. After an answer for
-// another request the reader goes on to the next one, and the connection is
-// closed behind it.
+// Each connection has one reader goroutine for its lifetime. While the connection is idle, the
+// reader notices at once if the target closes it or sends bytes that belong to no request, so that
+// no request is sent on a connection that is already closed. After a response to another request,
+// the reader goes on to the next response, and the connection is closed after that one.
 package upstream
--- a/node/gateway/upstream/exchange.go
+++ b/node/gateway/upstream/exchange.go
@@ -13,23 +13,23 @@
 	"heatherlock/steering"
 )
 
-// Request is a request for a target.
+// Request is a request to a target.
 type Request struct {
 	Method string
-	// Path is the request target exactly as the caller sent it.
+	// Path is the request target (path and query) exactly as the caller sent it.
 	Path   string
 	Host   string
-	Header http.Header // end-to-end fields only
-	// Body is the body, or its beginning when Rest holds more.
+	Header http.Header // end-to-end header fields only
+	// Body is the whole body, or its beginning if Rest holds more.
 	Body []byte
 	Rest io.Reader
-	// Length is the body's length; negative sends it in chunks.
+	// Length is the length of the body; a negative length sends it in chunks.
 	Length int64
-	// ID must be echoed by the answer.
+	// ID is the request ID, which the response must repeat.
 	ID string
 }
 
-// Answer is a target's answer.
+// Answer is a target's response.
 type Answer struct {
 	Status int
 	Header http.Header
@@ -40,20 +40,20 @@
 	Length int64
 }
 
-// Stage says how far an exchange got.
+// Stage describes how far an exchange got.
 type Stage uint8
 
-// Stages.
+// Stages of an exchange.
 const (
-	// NotConnected: no connection stood; nothing was sent.
+	// NotConnected: no connection was established, and nothing was sent.
 	NotConnected Stage = iota
-	// NotSent: no byte of the request left.
+	// NotSent: no byte of the request was sent.
 	NotSent
 	// Sent: the target may have run the request.
 	Sent
 )
 
-// Error is an exchange without an answer.
+// Error is the error of an exchange without a response.
 type Error struct {
 	Stage Stage
 	Err   error
@@ -73,27 +73,27 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Call is where an exchange goes and what bounds it.
+// Call holds the destination and the limits of an exchange.
 type Call struct {
 	Target     steering.Target
 	Generation steering.Generation
 	Address    string
-	// MaxConnections bounds the connections to the target from here.
+	// MaxConnections limits the connections to the target from this entry VM; 0 means no limit.
 	MaxConnections int
-	// DialTimeout bounds a connection attempt.
+	// DialTimeout limits a connection attempt.
 	DialTimeout time.Duration
-	// Began is called before the first byte is written.
-	Began func()
-	// Opened, when set, is given a connection that was opened for the call, and returns
-	// the one to use.
+	// BeforeSend, if set, is called before the first byte is written.
+	BeforeSend func()
+	// Opened, if set, is given each connection that is opened for the call, and returns the one to
+	// use.
 	Opened func(net.Conn) net.Conn
 }
 
-// Do sends a request and returns the answer. The error is an *Error.
+// Do sends a request and returns the response. A non-nil error is an *Error.
 func (p *Pool) Do(ctx context.Context, call Call, r *Request) (*Answer, error) {
-	h := p.host(call.Target, call.Generation)
+	h := p.poolOf(call.Target, call.Generation)
 	e := &exchange{request: &http.Request{Method: r.Method}, id: r.ID, done: make(chan result, 1)}
-	c := h.take(time.Now())
+	c := h.takeIdle(time.Now())
 	if c == nil || !c.start(e) {
 		var err error
 		if c, err = p.connect(ctx, h, call); err != nil {
@@ -103,30 +103,30 @@
 			return nil, &Error{Stage: NotConnected, Err: io.ErrClosedPipe}
 		}
 	}
-	if call.Began != nil {
-		call.Began()
+	if call.BeforeSend != nil {
+		call.BeforeSend()
 	}
 	return c.exchange(ctx, e, r)
 }
 
-func (p *Pool) connect(ctx context.Context, h *hostPool, call Call) (*conn, error) {
+func (p *Pool) connect(ctx context.Context, h *targetPool, call Call) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, call.DialTimeout)
 	defer cancel()
 	return p.open(ctx, h, call)
 }
 
-// exchange writes the request and waits for the answer. When ctx ends first the
-// connection is closed, so that the target stops work on the request.
+// exchange writes the request and waits for the response. If ctx ends first, the connection is
+// closed, so that the target stops work on the request.
 func (c *conn) exchange(ctx context.Context, e *exchange, r *Request) (*Answer, error) {
 	stop := context.AfterFunc(ctx, c.close)
 	defer stop()
 	counted := &countingWriter{to: c.raw}
 	err := write(counted, r)
 	if err == nil {
-		c.wrote()
+		c.requestWritten()
 	}
 	if err != nil {
-		return c.afterFailedWrite(e, counted, err)
+		return c.handleWriteError(e, counted, err)
 	}
 	got := <-e.done
 	if got.err != nil {
@@ -135,17 +135,18 @@
 		}
 		return nil, &Error{Stage: Sent, Err: got.err}
 	}
-	return got.answer, nil
+	return got.response, nil
 }
 
-// afterFailedWrite looks for an answer that came before the request was sent.
-func (c *conn) afterFailedWrite(e *exchange, counted *countingWriter, err error) (*Answer, error) {
-	timer := time.NewTimer(answerWait)
+// handleWriteError returns the response if one arrived before the request was sent completely, and
+// else the error of the failed write.
+func (c *conn) handleWriteError(e *exchange, counted *countingWriter, err error) (*Answer, error) {
+	timer := time.NewTimer(earlyResponseWait)
 	defer timer.Stop()
 	select {
 	case got := <-e.done:
 		if got.err == nil {
-			return got.answer, nil
+			return got.response, nil
 		}
 	case <-timer.C:
 	}
@@ -157,7 +158,7 @@
 	return nil, &Error{Stage: stage, Err: err}
 }
 
-// countingWriter counts the bytes that left.
+// countingWriter counts the bytes that were sent.
 type countingWriter struct {
 	to io.Writer
 	n  int64
@@ -169,12 +170,12 @@
 	return n, err
 }
 
-// writeBuffer holds a head and a small body, so that both leave in one packet.
+// writeBuffer is large enough for the head and a small body, so that both are sent in one packet.
 const writeBuffer = 4 << 10
 
 func write(to io.Writer, r *Request) error {
 	w := bufio.NewWriterSize(to, writeBuffer)
-	_, _ = w.WriteString(r.Method + " " + r.Path + " HTTP/1.1\r\nHost: " + r.Host + "\r\n") // kept by w until Flush
+	_, _ = w.WriteString(r.Method + " " + r.Path + " HTTP/1.1\r\nHost: " + r.Host + "\r\n") // w keeps an error until Flush
 	if err := r.Header.Write(w); err != nil {
 		return err
 	}
--- a/node/gateway/upstream/pool.go
+++ b/node/gateway/upstream/pool.go
@@ -12,16 +12,16 @@
 	"heatherlock/steering"
 )
 
-// ErrFull tells that the connections allowed to a target are all in use.
-var ErrFull = errors.New("upstream: all connections to the target are in use")
+// ErrConnectionLimit reports that all connections that are allowed to a target are in use.
+var ErrConnectionLimit = errors.New("upstream: all connections to the target are in use")
 
-// DialFunc opens a connection.
+// DialFunc opens a connection to address.
 type DialFunc func(ctx context.Context, address string) (net.Conn, error)
 
-// keepAlive finds out that an idle connection has gone silent.
+// keepAlive enables probes that detect idle connections whose other end no longer responds.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 2}
 
-// Dial opens TCP connections.
+// Dial opens a TCP connection with keep-alive probes.
 func Dial(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{KeepAliveConfig: keepAlive}
 	return dialer.DialContext(ctx, "tcp", address)
@@ -29,57 +29,57 @@
 
 // Pool keeps the connections to all targets. It is safe for concurrent use.
 type Pool struct {
-	dial DialFunc
-	idOf func(http.Header) string
-	// Opened, when set, is called for each connection opened.
+	dial        DialFunc
+	requestIDOf func(http.Header) string
+	// Opened, if set, is called after each connection is opened.
 	Opened func()
 
-	mu    sync.Mutex
-	hosts map[steering.Target]*hostPool
+	mu      sync.Mutex
+	targets map[steering.Target]*targetPool
 }
 
-// NewPool returns an empty pool; idOf returns the id of the request that an
-// answer says it belongs to.
-func NewPool(dial DialFunc, idOf func(http.Header) string) *Pool {
-	return &Pool{dial: dial, idOf: idOf, hosts: make(map[steering.Target]*hostPool)}
+// NewPool returns an empty pool. requestIDOf returns the ID of the request to which a response
+// belongs, given the header of the response.
+func NewPool(dial DialFunc, requestIDOf func(http.Header) string) *Pool {
+	return &Pool{dial: dial, requestIDOf: requestIDOf, targets: make(map[steering.Target]*targetPool)}
 }
 
-// hostPool keeps the connections to one target, so that none is ever used for
-// another target that took over the address.
-type hostPool struct {
-	// generation is the target's start as last told; guarded by the pool's lock.
+// targetPool keeps the connections to one target, so that none is used for another target that took
+// over the address.
+type targetPool struct {
+	// generation is the last known generation of the target. It is guarded by the Pool's mu.
 	generation steering.Generation
 
 	mu   sync.Mutex
-	free []*conn
+	idle []*conn
 	open int
 }
 
-func (p *Pool) host(target steering.Target, generation steering.Generation) *hostPool {
+func (p *Pool) poolOf(target steering.Target, generation steering.Generation) *targetPool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.hosts[target]
+	h := p.targets[target]
 	if h == nil {
-		h = &hostPool{generation: generation}
-		p.hosts[target] = h
+		h = &targetPool{generation: generation}
+		p.targets[target] = h
 	}
 	return h
 }
 
-// Retain closes the idle connections of targets that are not known, or that have
-// started again.
+// Retain closes the idle connections of targets that are unknown or have restarted. generationOf
+// returns the generation of a target, and whether the target is known.
 //
-// What goes wrong otherwise: a target that restarts behind a cut never closes the
-// connections of its former start, a request sent on one may hang or be reset, and one
-// that must run once is then lost. A request in flight is left alone, since the
-// connection may already lead to the new start; a dead one is found by its probes.
+// A target that restarts behind a network partition never closes the connections of its previous
+// generation. A request sent on one of these may hang or be reset, and a request that must run at
+// most once is then lost. Requests in flight are left alone, since their connections may already
+// lead to the new generation; a dead connection is detected by keep-alive probes.
 func (p *Pool) Retain(generationOf func(steering.Target) (steering.Generation, bool)) {
-	var stale []*hostPool
+	var stale []*targetPool
 	p.mu.Lock()
-	for name, h := range p.hosts {
+	for name, h := range p.targets {
 		generation, known := generationOf(name)
 		if !known {
-			delete(p.hosts, name)
+			delete(p.targets, name)
 		}
 		if !known || generation != h.generation {
 			stale = append(stale, h)
@@ -92,61 +92,61 @@
 	}
 }
 
-func (h *hostPool) closeIdle() {
+func (h *targetPool) closeIdle() {
 	h.mu.Lock()
-	free := h.free
-	h.free = nil
+	idle := h.idle
+	h.idle = nil
 	h.mu.Unlock()
-	for _, c := range free {
+	for _, c := range idle {
 		c.close()
 	}
 }
 
-// take returns an idle connection: the one used last, so that surplus ones age
-// and close.
-func (h *hostPool) take(now time.Time) *conn {
+// takeIdle returns the idle connection that was used last, or nil. Surplus connections thus stay
+// idle until they time out.
+func (h *targetPool) takeIdle(now time.Time) *conn {
 	for {
 		h.mu.Lock()
-		n := len(h.free)
+		n := len(h.idle)
 		if n == 0 {
 			h.mu.Unlock()
 			return nil
 		}
-		c := h.free[n-1]
-		h.free = h.free[:n-1]
+		c := h.idle[n-1]
+		h.idle = h.idle[:n-1]
 		h.mu.Unlock()
-		if c.fit(now) {
+		if c.usable(now) {
 			return c
 		}
 		c.close()
 	}
 }
 
-func (h *hostPool) idle(c *conn) {
+func (h *targetPool) putIdle(c *conn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.free = append(h.free, c)
+	h.idle = append(h.idle, c)
 }
 
-// forget removes a closed connection.
-func (h *hostPool) forget(c *conn) {
+// remove removes a closed connection from the pool.
+func (h *targetPool) remove(c *conn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.open--
-	for i, other := range h.free {
+	for i, other := range h.idle {
 		if other == c {
-			h.free = append(h.free[:i], h.free[i+1:]...)
+			h.idle = append(h.idle[:i], h.idle[i+1:]...)
 			return
 		}
 	}
 }
 
-// open dials a connection, of which at most the call's limit may stand.
-func (p *Pool) open(ctx context.Context, h *hostPool, call Call) (*conn, error) {
+// open dials a connection, unless the call's MaxConnections are open already.
+func (p *Pool) open(ctx context.Context, h *targetPool, call Call) (*conn, error) {
 	h.mu.Lock()
 	if call.MaxConnections > 0 && h.open >= call.MaxConnections {
 		h.mu.Unlock()
-		return nil, ErrFull
+		return nil, ErrConnectionLimit
 	}
 	h.open++
 	h.mu.Unlock()
@@ -163,7 +163,7 @@
 	if call.Opened != nil {
 		raw = call.Opened(raw)
 	}
-	c := newConn(raw, h, p.idOf)
-	go c.read()
+	c := newConn(raw, h, p.requestIDOf)
+	go c.readLoop()
 	return c, nil
 }
--- a/node/gateway/upstream/pool_test.go
+++ b/node/gateway/upstream/pool_test.go
@@ -14,11 +14,11 @@
 	"heatherlock/steering"
 )
 
-// Symptom: a purchase is lost though its target is well. Sequence: the target restarts
-// behind a cut, so that its connections are never closed; the next request goes out on
-// one of them. Cause: keeping connections by the target's name alone. A request in
-// flight must not be cut by the news, since it may have reached the new start already.
-func TestIdleConnectionsEndWithTheirStartAndOthersStay(t *testing.T) {
+// Guards against a purchase that is lost although its target is healthy: the target restarts behind
+// a network partition, so that its old connections are never closed, and the next request is sent
+// on one of them. A request in flight must not be aborted, since it may have reached the new
+// generation already.
+func TestRetainClosesIdleConnectionsOfOldGenerations(t *testing.T) {
 	e, err := endpoint.Start(endpoint.Config{ID: "x", Slots: 4, Queue: 4, Work: 100 * time.Millisecond, WarmShare: 1})
 	assert.NilError(t, err)
 	t.Cleanup(e.Stop)
@@ -30,25 +30,25 @@
 			&upstream.Request{Method: http.MethodGet, Path: "/", Host: "h", Header: http.Header{"X-Request-Id": {id}}, ID: id})
 		return err
 	}
-	known := func(generation steering.Generation) func(steering.Target) (steering.Generation, bool) {
+	generations := func(generation steering.Generation) func(steering.Target) (steering.Generation, bool) {
 		return func(steering.Target) (steering.Generation, bool) { return generation, true }
 	}
 	assert.NilError(t, ask(1, "a"))
 	assert.NilError(t, ask(1, "b"))
 	assert.Equal(t, e.Connections(), 1)
-	pool.Retain(known(1))
+	pool.Retain(generations(1))
 	assert.NilError(t, ask(1, "c"))
 	assert.Equal(t, e.Connections(), 1, "nothing restarted")
-	pool.Retain(known(2))
+	pool.Retain(generations(2))
 	assert.NilError(t, ask(2, "d"))
-	assert.Equal(t, e.Connections(), 2, "no idle connection of the former start is used")
+	assert.Equal(t, e.Connections(), 2, "no idle connection of the previous generation is used")
 
 	inFlight := make(chan error, 1)
 	go func() { inFlight <- ask(2, "e") }()
 	time.Sleep(30 * time.Millisecond)
-	pool.Retain(known(3))
-	assert.NilError(t, <-inFlight, "a request in flight is left alone")
+	pool.Retain(generations(3))
+	assert.NilError(t, <-inFlight, "a request in flight is not aborted")
 	pool.Retain(func(steering.Target) (steering.Generation, bool) { return 0, false })
 	assert.NilError(t, ask(3, "f"))
-	assert.Equal(t, e.Connections(), 3, "a target that was forgotten begins with a new connection")
+	assert.Equal(t, e.Connections(), 3, "a target that was removed gets a new connection")
 }
