--- a/node/gateway/allowances/counts.go
+++ b/node/gateway/allowances/counts.go
@@ -12,36 +12,38 @@
 )
 
 const (
-	// mostCounted bounds the workspaces with counts of their own; the rest is summed up.
-	mostCounted = 4096
-	// mostShown is how many workspaces have metrics of their own, and are named in logs.
-	mostShown = 10
-	// rest names all others.
-	rest = "(rest)"
+	// maxCounted bounds the workspaces that are counted individually; the others are counted
+	// together.
+	maxCounted = 4096
+	// maxReported is how many workspaces have metrics of their own and are named in logs.
+	maxReported = 10
+	// otherWorkspaces is the name under which all others are counted.
+	otherWorkspaces = "(rest)"
 )
 
-// Count is what became of a workspace's requests on one VM.
+// Count counts a workspace's requests on one VM by what became of them. Beyond counts those that
+// exceeded the allowance, and NotRun the admitted ones that were refused later without running.
 type Count struct {
 	Admitted int64 `json:"admitted"`
 	Beyond   int64 `json:"beyond"`
 	NotRun   int64 `json:"not_run,omitempty"`
 }
 
-// counts holds the counts of workspaces with an allowance, since the VM started.
+// counts holds the counts of workspaces with an allowance since the VM started.
 type counts struct {
-	all     map[steering.Workspace]*Count
-	reasons map[steering.Workspace]map[steering.Reason]int64
-	shown   map[steering.Workspace]Count // as of the last Take
+	all       map[steering.Workspace]*Count
+	reasons   map[steering.Workspace]map[steering.Reason]int64
+	lastTaken map[steering.Workspace]Count // the counts at the last Take
 }
 
 func newCounts() *counts {
-	return &counts{all: make(map[steering.Workspace]*Count), reasons: make(map[steering.Workspace]map[steering.Reason]int64), shown: make(map[steering.Workspace]Count)}
+	return &counts{all: make(map[steering.Workspace]*Count), reasons: make(map[steering.Workspace]map[steering.Reason]int64), lastTaken: make(map[steering.Workspace]Count)}
 }
 
-// of returns the count of a workspace.
-func (c *counts) of(name steering.Workspace) (steering.Workspace, *Count) {
-	if c.all[name] == nil && len(c.all) >= mostCounted {
-		name = rest
+// lookUp returns the count of a workspace and the name under which it is kept.
+func (c *counts) lookUp(name steering.Workspace) (steering.Workspace, *Count) {
+	if c.all[name] == nil && len(c.all) >= maxCounted {
+		name = otherWorkspaces
 	}
 	if c.all[name] == nil {
 		c.all[name] = &Count{}
@@ -50,7 +52,7 @@
 }
 
 func (c *counts) add(name steering.Workspace, admitted bool) {
-	_, n := c.of(name)
+	_, n := c.lookUp(name)
 	if admitted {
 		n.Admitted++
 		return
@@ -58,9 +60,9 @@
 	n.Beyond++
 }
 
-// notRun counts an admitted request that was refused without having run.
-func (c *counts) notRun(name steering.Workspace, reason steering.Reason) {
-	name, n := c.of(name)
+// addNotRun counts an admitted request that was refused without running.
+func (c *counts) addNotRun(name steering.Workspace, reason steering.Reason) {
+	name, n := c.lookUp(name)
 	n.NotRun++
 	if c.reasons[name] == nil {
 		c.reasons[name] = make(map[steering.Reason]int64)
@@ -68,7 +70,8 @@
 	c.reasons[name][reason]++
 }
 
-// Rows returns the workspaces with an allowance that this VM has met or owns, by name.
+// Rows returns the status of the workspaces with an allowance that this VM has counted or owns,
+// sorted by name.
 func (s *Service) Rows() []status.Workspace {
 	now := time.Now()
 	s.mu.Lock()
@@ -95,31 +98,31 @@
 	return all
 }
 
-// busiest returns the names of the workspaces, those with most requests first.
+// busiest returns the names of the workspaces, sorted by their number of requests, highest first.
 func (c *counts) busiest() []steering.Workspace {
 	names := make([]steering.Workspace, 0, len(c.all))
 	for name := range c.all {
 		names = append(names, name)
 	}
-	asked := func(name steering.Workspace) int64 { n := c.all[name]; return n.Admitted + n.Beyond }
-	slices.SortFunc(names, func(a, b steering.Workspace) int { return cmp.Or(cmp.Compare(asked(b), asked(a)), cmp.Compare(a, b)) })
+	total := func(name steering.Workspace) int64 { n := c.all[name]; return n.Admitted + n.Beyond }
+	slices.SortFunc(names, func(a, b steering.Workspace) int { return cmp.Or(cmp.Compare(total(b), total(a)), cmp.Compare(a, b)) })
 	return names
 }
 
-// Take returns what became of requests since the last call: of the busiest workspaces each
-// for itself, of all others in sum.
+// Take returns the counts since the last call: one for each of the busiest workspaces, and the sum
+// of all others.
 func (s *Service) Take() map[steering.Workspace]Count {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	taken := make(map[steering.Workspace]Count)
 	for rank, name := range s.counts.busiest() {
-		n, before := *s.counts.all[name], s.counts.shown[name]
-		s.counts.shown[name] = n
+		n, before := *s.counts.all[name], s.counts.lastTaken[name]
+		s.counts.lastTaken[name] = n
 		if n == before {
 			continue
 		}
-		if rank >= mostShown {
-			name = rest
+		if rank >= maxReported {
+			name = otherWorkspaces
 		}
 		sum := taken[name]
 		taken[name] = Count{Admitted: sum.Admitted + n.Admitted - before.Admitted, Beyond: sum.Beyond + n.Beyond - before.Beyond,
--- a/node/gateway/allowances/doc.go
+++ b/node/gateway/allowances/doc.go
@@ -1,8 +1,9 @@
-// Package allowances holds the workspaces of callers to their allowances on one entry VM:
-// it asks for credits, reports their use by datagrams, and answers for the workspaces
-// that this VM owns. The decisions are in steering/allowance.
+// Package allowances enforces the request allowances of workspaces on one entry VM. A Service
+// obtains credits from the entry VM that owns a workspace, reports their use to it in UDP
+// datagrams, and replies to the reports on the workspaces that this VM owns. The decisions are made
+// by package steering/allowance.
 //
-// A datagram that is lost costs the requests that wait for its answer up to
-// allowance.AskFor; nothing else depends on it. Datagrams hold no keys and no names of
-// workspaces.
+// If a datagram is lost, the requests that wait for the reply wait up to the owner timeout of
+// package steering/allowance; nothing else depends on a single datagram. Datagrams contain no API
+// keys and no names of workspaces.
 package allowances
--- a/node/gateway/allowances/exchange.go
+++ b/node/gateway/allowances/exchange.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// largestDatagram bounds what is read at once.
-	largestDatagram = 64 << 10
-	// reportsAtOnce bounds the reports in one datagram, so that it fits in one packet.
-	reportsAtOnce = 40
+	// maxDatagramBytes is the size of the receive buffer.
+	maxDatagramBytes = 64 << 10
+	// maxReportsPerDatagram bounds the reports in one datagram, so that it fits into one packet.
+	maxReportsPerDatagram = 40
 )
 
-// datagram is what entry VMs tell each other of credits. A report names its sender; an
-// answer goes to the address that the report came from.
+// datagram carries reports on the use of credits to an owner, or its replies. A datagram with
+// reports names its sender. Replies are sent to the address from which the reports came.
 type datagram struct {
 	_           struct{} `cbor:",toarray"`
 	From        steering.VM
@@ -29,22 +29,22 @@
 	Replies     []allowance.Reply
 }
 
-// reportOn reports what is due until ctx ends.
-func (s *Service) reportOn(ctx context.Context) {
-	ticker := time.NewTicker(reportTick)
+// reportLoop sends due reports periodically until ctx ends.
+func (s *Service) reportLoop(ctx context.Context) {
+	ticker := time.NewTicker(reportCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			s.reportDue(time.Now())
+			s.sendDueReports(time.Now())
 		}
 	}
 }
 
-// reportDue reports all that is due, in one datagram an owner.
-func (s *Service) reportDue(now time.Time) {
+// sendDueReports sends all reports that are due, batched by owner.
+func (s *Service) sendDueReports(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	byOwner := make(map[steering.VM][]allowance.Report)
@@ -56,76 +56,78 @@
 		if !a.Due(now) {
 			continue
 		}
-		if report, to, ok := s.prepare(now, a); ok {
+		if report, to, ok := s.prepareReport(now, a); ok {
 			byOwner[to] = append(byOwner[to], report)
 		}
 	}
 	for owner, reports := range byOwner {
-		for from := 0; from < len(reports); from += reportsAtOnce {
-			s.send(s.peers[owner], datagram{From: s.cfg.Self, Incarnation: s.incarnation, Reports: reports[from:min(from+reportsAtOnce, len(reports))]})
+		for from := 0; from < len(reports); from += maxReportsPerDatagram {
+			s.send(s.peers[owner], datagram{From: s.cfg.Self, Incarnation: s.incarnation, Reports: reports[from:min(from+maxReportsPerDatagram, len(reports))]})
 		}
 	}
 }
 
-// report reports on one workspace if that is due.
+// report sends the report on one workspace to its owner if it is due.
 func (s *Service) report(now time.Time, a *account) {
 	if !a.Due(now) {
 		return
 	}
-	if report, to, ok := s.prepare(now, a); ok {
+	if report, to, ok := s.prepareReport(now, a); ok {
 		s.send(s.peers[to], datagram{From: s.cfg.Self, Incarnation: s.incarnation, Reports: []allowance.Report{report}})
 	}
 }
 
-// prepare returns the report on a workspace and its owner. A report to this VM itself is
-// answered at once, and ok is false.
-func (s *Service) prepare(now time.Time, a *account) (report allowance.Report, to steering.VM, ok bool) {
-	if a.view != s.views {
-		owner, _ := allowance.OwnerOf(a.id, s.live) // without anybody to ask the report is not sent
+// prepareReport returns the report on a workspace and the owner to which it must be sent. ok is
+// false if there is nothing to send: a report to this VM itself is handled directly, and without a
+// known owner nothing can be sent.
+func (s *Service) prepareReport(now time.Time, a *account) (report allowance.Report, to steering.VM, ok bool) {
+	if a.ownerVersion != s.fleetVersion {
+		owner, _ := allowance.OwnerOf(a.id, s.live) // without any live VM the report is not sent
 		if owner != a.owner {
 			a.NewOwner()
 		}
-		a.owner, a.view = owner, s.views
+		a.owner, a.ownerVersion = owner, s.fleetVersion
 	}
 	report = a.Report(now)
 	report.Workspace = a.id
 	if a.owner == s.cfg.Self {
-		if reply, known := s.answer(now, s.cfg.Self, s.incarnation, report); known {
-			s.take(now, reply)
+		if reply, known := s.handleReport(now, s.cfg.Self, s.incarnation, report); known {
+			s.applyReply(now, reply)
 		}
 		return report, "", false
 	}
 	return report, a.owner, s.peers[a.owner].address != nil
 }
 
-// answer answers a report on a workspace that this VM owns. It owns what it is asked for:
-// whoever asks hears others than this VM does. A workspace that is not known here or has no
-// limit has no answer, nor has a report that came late.
-func (s *Service) answer(now time.Time, from steering.VM, incarnation uint32, r allowance.Report) (allowance.Reply, bool) {
+// handleReport processes a report on a workspace, and returns the reply. This VM acts as the owner
+// of every workspace that it receives reports on, since the sender may see other live VMs than this
+// VM does and thus determine another owner. There is no reply for a workspace that is unknown or
+// unlimited here, or to a report that is not newer than the last one from its sender.
+func (s *Service) handleReport(now time.Time, from steering.VM, incarnation uint32, r allowance.Report) (allowance.Reply, bool) {
 	w := s.byID[r.Workspace]
 	if w == nil {
 		return allowance.Reply{}, false
 	}
-	reply, news, ok := s.ledger.Report(now, from, incarnation, limitOf(w), r)
-	if news && s.cfg.Low != nil {
-		s.tight[r.Workspace] = now.Add(allowance.TightFor)
-		_ = s.cfg.Log.Log("msg", "allowance nearly used up", "workspace", w.Name, "rate", w.Rate) // the writer counts what it drops
+	reply, becameLow, ok := s.ledger.Report(now, from, incarnation, limitOf(w), r)
+	if becameLow && s.cfg.Low != nil {
+		s.lowUntil[r.Workspace] = now.Add(allowance.TightFor)
+		_ = s.cfg.Log.Log("msg", "allowance nearly used up", "workspace", w.Name, "rate", w.Rate) // the log writer counts dropped lines
 		go s.cfg.Low()
 	}
 	return reply, ok
 }
 
-// take takes in an owner's answer.
-func (s *Service) take(now time.Time, r allowance.Reply) {
+// applyReply applies an owner's reply to the account, and wakes the requests that wait for it.
+func (s *Service) applyReply(now time.Time, r allowance.Reply) {
 	if a := s.accounts[r.Workspace]; a != nil {
 		a.Replied(now, r)
-		a.wake()
+		a.notifyWaiters()
 	}
 }
 
-// read takes in datagrams until ctx ends.
-func (s *Service) read(ctx context.Context) {
-	buffer := make([]byte, largestDatagram)
+// readLoop receives datagrams until ctx ends.
+func (s *Service) readLoop(ctx context.Context) {
+	buffer := make([]byte, maxDatagramBytes)
 	for ctx.Err() == nil {
 		n, sender, err := s.conn.ReadFrom(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -139,19 +141,19 @@
 			s.cfg.Scope.Counter("gateway_allowance_bad_datagrams").Inc(1)
 			continue
 		}
-		s.heard(time.Now(), d, sender)
+		s.handleDatagram(time.Now(), d, sender)
 	}
 }
 
-func (s *Service) heard(now time.Time, d datagram, sender net.Addr) {
+func (s *Service) handleDatagram(now time.Time, d datagram, sender net.Addr) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, reply := range d.Replies {
-		s.take(now, reply)
+		s.applyReply(now, reply)
 	}
 	var replies []allowance.Reply
 	for _, report := range d.Reports {
-		if reply, known := s.answer(now, d.From, d.Incarnation, report); known {
+		if reply, known := s.handleReport(now, d.From, d.Incarnation, report); known {
 			replies = append(replies, reply)
 		}
 	}
@@ -163,12 +165,12 @@
 func (s *Service) send(to peer, d datagram) {
 	raw, err := cbor.Marshal(d)
 	if err != nil {
-		_ = s.cfg.Log.Log("msg", "report on allowances not encoded", "err", err) // the writer counts what it drops
+		_ = s.cfg.Log.Log("msg", "cannot encode allowance datagram", "err", err) // the log writer counts dropped lines
 		return
 	}
 	if s.cfg.Sent != nil {
 		s.cfg.Sent(to.name, len(raw))
 	}
-	// A datagram that cannot be sent counts as lost: the next report makes it good.
+	// A datagram that cannot be sent is treated as lost, which the next report makes up for.
 	_, _ = s.conn.WriteTo(raw, to.address)
 }
--- a/node/gateway/allowances/golden_internal_test.go
+++ b/node/gateway/allowances/golden_internal_test.go
@@ -17,7 +17,7 @@
 	"heatherlock/steering/allowance"
 )
 
-// hexText is binary data as text that can be read in a diff.
+// hexText returns binary data as text that is readable in a diff.
 func hexText(raw []byte) string {
 	var text strings.Builder
 	for line := range slices.Chunk(raw, 50) {
@@ -26,7 +26,7 @@
 	return text.String()
 }
 
-// fromHex returns the binary data in a golden file.
+// fromHex returns the binary data of a golden file.
 func fromHex(t *testing.T, name string) []byte {
 	t.Helper()
 	raw, err := hex.DecodeString(strings.Join(strings.Fields(string(golden.Get(t, name))), ""))
@@ -34,7 +34,7 @@
 	return raw
 }
 
-// written keeps the last datagram that is written to it.
+// written is a connection that keeps the last datagram written to it.
 type written struct {
 	net.PacketConn
 	raw []byte
@@ -45,8 +45,8 @@
 	return len(raw), nil
 }
 
-// Guards against reports and answers that old and new entry VMs read differently: an owner
-// would lend credits that nobody takes, and workspaces would be refused what they may run.
+// Guards against reports and replies that old and new entry VMs decode differently: an owner would
+// lend credits that no VM uses, and requests within the allowance would be refused.
 func TestGoldenDatagrams(t *testing.T) {
 	report := allowance.Report{Workspace: 1<<63 + 1, Number: 1<<31 + 2, Used: 1<<40 + 3, Known: 1<<39 + 4, Held: 5.5, Waiting: 6, Demand: 7.25}
 	reply := allowance.Reply{Workspace: 1<<62 + 8, Number: 1<<30 + 9, Used: 1<<38 + 10, Credits: 11.5, Tight: true, Share: 0.125, WaitMs: 1000}
@@ -64,16 +64,16 @@
 			assert.Equal(t, sent, len(conn.raw))
 			golden.Assert(t, hexText(conn.raw), file)
 			var got datagram
-			assert.NilError(t, cbor.Unmarshal(fromHex(t, file), &got)) // as in read
+			assert.NilError(t, cbor.Unmarshal(fromHex(t, file), &got)) // as in readLoop
 			assert.Assert(t, reflect.DeepEqual(got, d), "%+v", got)
 		})
 	}
 	assert.Equal(t, allowance.IDOf("w1"), allowance.ID(4629433493941539353), "VMs of all versions name a workspace by the same ID")
 }
 
-// Guards against counts of workspaces that the tools of operators no longer find in a log.
+// Guards against an encoding of counts that operators' tools no longer find in a log.
 func TestGoldenCounts(t *testing.T) {
-	counts := map[steering.Workspace]Count{"w1": {Admitted: 1, Beyond: 2, NotRun: 3}, rest: {Admitted: 4}}
+	counts := map[steering.Workspace]Count{"w1": {Admitted: 1, Beyond: 2, NotRun: 3}, otherWorkspaces: {Admitted: 4}}
 	raw, err := json.Marshal(counts)
 	assert.NilError(t, err)
 	golden.Assert(t, string(raw)+"\n", "golden/counts.json")
--- a/node/gateway/allowances/service.go
+++ b/node/gateway/allowances/service.go
@@ -15,84 +15,86 @@
 	"heatherlock/steering/identity"
 )
 
-// reportTick is the pause between two looks for what is due to be reported.
-const reportTick = 100 * time.Millisecond
+// reportCheckInterval is the interval at which the service checks for due reports.
+const reportCheckInterval = 100 * time.Millisecond
 
 // Peer is an entry VM that may own workspaces.
 type Peer struct {
 	Name steering.VM
-	// Address is host:port of its datagram socket for allowances.
+	// Address is the host:port of its UDP socket for allowances.
 	Address string
-	// Weight is how much it bears, against others.
+	// Weight is its capacity relative to that of other entry VMs.
 	Weight float64
 }
 
-// Config holds what a Service needs.
+// Config holds the dependencies and settings of a Service.
 type Config struct {
 	Self  steering.VM
 	Slack allowance.Slack
 	Log   log.Logger
 	Scope tally.Scope
-	// Low is called when the bucket of a workspace that this VM owns has become low: all
-	// others are to hear of it by the next heartbeat.
+	// Low, if set, is called when the bucket of a workspace that this VM owns becomes low while its
+	// callers send more than its rate. All other VMs must be informed by the next heartbeat.
 	Low func()
-	// Sent, when set, is told of each datagram sent.
+	// Sent, if set, is called for each datagram with its recipient and size.
 	Sent func(to steering.VM, bytes int)
 }
 
-// Service decides which requests of workspaces with an allowance may run. It is safe for
-// concurrent use.
+// Service decides which requests of workspaces with an allowance may run. It is safe for concurrent
+// use.
 type Service struct {
 	cfg         Config
 	conn        net.PacketConn
 	incarnation uint32
 
-	mu       sync.Mutex
-	byID     map[allowance.ID]*identity.Workspace
-	accounts map[allowance.ID]*account
-	ledger   *allowance.Ledger
-	live     []allowance.Candidate
-	peers    map[steering.VM]peer
-	members  int
-	views    int // counts the changes of who lives
-	tight    map[allowance.ID]time.Time
-	counts   *counts
+	mu           sync.Mutex
+	byID         map[allowance.ID]*identity.Workspace
+	accounts     map[allowance.ID]*account
+	ledger       *allowance.Ledger
+	live         []allowance.Candidate
+	peers        map[steering.VM]peer
+	members      int
+	fleetVersion int // incremented when the live VMs or their weights change
+	lowUntil     map[allowance.ID]time.Time
+	counts       *counts
 }
 
-// peer is a Peer whose address was resolved.
+// peer is a Peer with its resolved address.
 type peer struct {
 	name    steering.VM
 	address *net.UDPAddr
 }
 
-// account is this VM's side of a workspace.
+// account is this VM's account of a workspace: the credits that it holds, and the owner that lends
+// them.
 type account struct {
 	*allowance.Account
-	id      allowance.ID
-	replied chan struct{} // closed with the next answer; nil if nobody waits
-	owner   steering.VM
-	view    int // of which owner is the owner
+	id           allowance.ID
+	replied      chan struct{} // closed at the next reply; nil if no request waits
+	owner        steering.VM
+	ownerVersion int // the fleetVersion for which owner was determined
 }
 
-// New returns a service that exchanges datagrams on conn.
+// New returns a service that exchanges datagrams on conn. Run must be called to start it.
 func New(cfg Config, conn net.PacketConn) *Service {
 	return &Service{cfg: cfg, conn: conn, incarnation: rand.Uint32(), accounts: make(map[allowance.ID]*account),
 		ledger: allowance.NewLedger(cfg.Slack), peers: make(map[steering.VM]peer), members: 1,
-		tight: make(map[allowance.ID]time.Time), counts: newCounts()}
+		lowUntil: make(map[allowance.ID]time.Time), counts: newCounts()}
 }
 
 // Run exchanges datagrams until ctx ends, and then closes the connection.
 func (s *Service) Run(ctx context.Context) {
 	defer s.conn.Close()
-	stop := context.AfterFunc(ctx, func() { _ = s.conn.SetReadDeadline(time.Unix(1, 0)) }) // ends the reader
+	stop := context.AfterFunc(ctx, func() { _ = s.conn.SetReadDeadline(time.Unix(1, 0)) }) // unblocks readLoop
 	defer stop()
 	var all sync.WaitGroup
-	all.Go(func() { s.read(ctx) })
-	all.Go(func() { s.reportOn(ctx) })
+	all.Go(func() { s.readLoop(ctx) })
+	all.Go(func() { s.reportLoop(ctx) })
 	all.Wait()
 }
 
-// Configure puts the workspaces of a configuration in force; nil means that there are none.
+// Configure puts the workspaces of a configuration in force. A nil directory means that there are
+// none.
 func (s *Service) Configure(d *identity.Directory) {
 	byID := make(map[allowance.ID]*identity.Workspace)
 	for _, w := range d.All() {
@@ -107,7 +109,7 @@
 	for id, a := range s.accounts {
 		w := byID[id]
 		if w == nil {
-			a.wake()
+			a.notifyWaiters()
 			delete(s.accounts, id)
 			continue
 		}
@@ -115,14 +117,14 @@
 	}
 }
 
-// SetFleet tells who lives, this VM included, and how many entry VMs there are.
+// SetFleet sets the live entry VMs, including this one, and the number of entry VMs in the fleet.
 func (s *Service) SetFleet(live []Peer, members int) {
 	peers := make(map[steering.VM]peer, len(live))
 	candidates := make([]allowance.Candidate, 0, len(live))
 	for _, p := range live {
 		address, err := net.ResolveUDPAddr("udp4", p.Address)
 		if err != nil {
-			_ = s.cfg.Log.Log("msg", "entry VM cannot be asked for credits", "peer", p.Name, "err", err) // the writer counts what it drops
+			_ = s.cfg.Log.Log("msg", "cannot resolve the allowance address of an entry VM", "peer", p.Name, "err", err) // the log writer counts dropped lines
 			continue
 		}
 		peers[p.Name] = peer{p.Name, address}
@@ -132,8 +134,8 @@
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !sameVMs(s.live, candidates) {
-		s.views++
+	if !sameCandidates(s.live, candidates) {
+		s.fleetVersion++
 	}
 	s.live, s.peers, s.members = candidates, peers, members
 	s.ledger.SetPart(now, float64(max(len(live), 1))/float64(members))
@@ -142,7 +144,7 @@
 	}
 }
 
-func sameVMs(a, b []allowance.Candidate) bool {
+func sameCandidates(a, b []allowance.Candidate) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -154,9 +156,10 @@
 	return true
 }
 
-// Admit decides whether a request of a workspace may run. If not, retryAfter is when to
-// come back. spread is a number from 0 to 1 of the request.
-func (s *Service) Admit(ctx context.Context, w *identity.Workspace, spread float64) (retryAfter time.Duration, ok bool) {
+// Admit decides whether a request of a workspace may run. If it may not, retryAfter is when the
+// caller should retry. jitter is a number from 0 to 1 derived from the request; it spreads retries
+// over time.
+func (s *Service) Admit(ctx context.Context, w *identity.Workspace, jitter float64) (retryAfter time.Duration, ok bool) {
 	if !w.Limited() {
 		return 0, true
 	}
@@ -171,22 +174,22 @@
 		if a.Silent(now) {
 			limit = now
 		}
-		verdict = s.ask(ctx, a, limit)
+		verdict = s.askOwner(ctx, a, limit)
 	}
 	s.counts.add(w.Name, verdict == allowance.Admitted)
 	if verdict == allowance.Admitted {
 		return 0, true
 	}
-	return a.RetryAfter(time.Now(), spread), false
+	return a.RetryAfter(time.Now(), jitter), false
 }
 
-// ask waits for the owner's answer. The service's lock is held when it is called and when
-// it returns, but not while it waits.
-func (s *Service) ask(ctx context.Context, a *account, limit time.Time) allowance.Verdict {
+// askOwner reports to the owner and waits until its reply decides the request, at most until limit.
+// The caller holds s.mu, which is released while askOwner waits.
+func (s *Service) askOwner(ctx context.Context, a *account, limit time.Time) allowance.Verdict {
 	a.Wait()
 	defer a.Waited()
 	for {
-		replied := a.next()
+		replied := a.nextReply()
 		s.report(time.Now(), a)
 		now := time.Now()
 		verdict := a.Admit(now)
@@ -202,24 +205,24 @@
 			return allowance.Refused
 		}
 		s.mu.Unlock()
-		pause(ctx, min(limit.Sub(now), allowance.AskAgain), replied)
+		waitFor(ctx, min(limit.Sub(now), allowance.AskAgain), replied)
 		s.mu.Lock()
 	}
 }
 
-// pause waits for a time, or until something happened.
-func pause(ctx context.Context, d time.Duration, happened <-chan struct{}) {
+// waitFor waits for d, until event is closed, or until ctx ends.
+func waitFor(ctx context.Context, d time.Duration, event <-chan struct{}) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
-	case <-happened:
+	case <-event:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// Return gives back the credit of a request that was admitted and refused later, for a
-// reason, without having run.
+// Return gives back the credit of an admitted request that was refused for the given reason without
+// running.
 func (s *Service) Return(w *identity.Workspace, reason steering.Reason) {
 	if !w.Limited() {
 		return
@@ -227,10 +230,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.account(time.Now(), w).Return()
-	s.counts.notRun(w.Name, reason)
+	s.counts.addNotRun(w.Name, reason)
 }
 
-// Ran counts one more run of a request that was admitted.
+// Ran counts an additional run of an admitted request.
 func (s *Service) Ran(w *identity.Workspace) {
 	if !w.Limited() {
 		return
@@ -240,13 +243,13 @@
 	s.account(time.Now(), w).Ran()
 }
 
-// account returns this VM's side of a workspace.
+// account returns this VM's account of a workspace, and creates it if needed.
 func (s *Service) account(now time.Time, w *identity.Workspace) *account {
 	id := allowance.IDOf(w.Name)
 	a := s.accounts[id]
 	if a == nil {
-		a = &account{Account: allowance.NewAccount(now, limitOf(w), s.members), id: id, view: -1}
-		a.Tight(s.tight[id])
+		a = &account{Account: allowance.NewAccount(now, limitOf(w), s.members), id: id, ownerVersion: -1}
+		a.Tight(s.lowUntil[id])
 		s.accounts[id] = a
 	}
 	return a
@@ -256,55 +259,56 @@
 	return allowance.Limit{Rate: w.Rate, Burst: w.Burst}
 }
 
-// next returns a channel that closes with the next answer.
-func (a *account) next() <-chan struct{} {
+// nextReply returns a channel that is closed at the next reply.
+func (a *account) nextReply() <-chan struct{} {
 	if a.replied == nil {
 		a.replied = make(chan struct{})
 	}
 	return a.replied
 }
 
-func (a *account) wake() {
+func (a *account) notifyWaiters() {
 	if a.replied != nil {
 		close(a.replied)
 		a.replied = nil
 	}
 }
 
-// TightToTell returns the workspaces whose buckets are low, as owned here or heard of.
+// TightToTell returns notices about the workspaces whose buckets are low, for a heartbeat. They
+// come from this VM's own ledger and from other VMs' heartbeats.
 func (s *Service) TightToTell() []allowance.TightNews {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, id := range s.ledger.Flooded(now) {
-		s.tight[id] = now.Add(allowance.TightFor)
+		s.lowUntil[id] = now.Add(allowance.TightFor)
 	}
-	var news []allowance.TightNews
-	for id, until := range s.tight {
+	var notices []allowance.TightNews
+	for id, until := range s.lowUntil {
 		left := until.Sub(now)
 		if left <= 0 {
-			delete(s.tight, id)
+			delete(s.lowUntil, id)
 			continue
 		}
-		if len(news) < mostNews {
-			news = append(news, allowance.TightNews{Workspace: id, LeftMs: uint16(left.Milliseconds())})
+		if len(notices) < maxNotices {
+			notices = append(notices, allowance.TightNews{Workspace: id, LeftMs: uint16(left.Milliseconds())})
 		}
 	}
-	return news
+	return notices
 }
 
-// mostNews bounds the news in one heartbeat: 400 bytes.
-const mostNews = 32
+// maxNotices bounds the low-bucket notices in a heartbeat, to 400 bytes.
+const maxNotices = 32
 
-// LearnTight takes in what a heartbeat told.
-func (s *Service) LearnTight(news []allowance.TightNews) {
+// LearnTight applies the low-bucket notices of a heartbeat.
+func (s *Service) LearnTight(notices []allowance.TightNews) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, n := range news {
+	for _, n := range notices {
 		until := now.Add(min(time.Duration(n.LeftMs)*time.Millisecond, allowance.TightFor))
-		if until.After(s.tight[n.Workspace]) {
-			s.tight[n.Workspace] = until
+		if until.After(s.lowUntil[n.Workspace]) {
+			s.lowUntil[n.Workspace] = until
 		}
 		if a := s.accounts[n.Workspace]; a != nil {
 			a.Tight(until)
--- a/node/gateway/allowances/service_test.go
+++ b/node/gateway/allowances/service_test.go
@@ -20,7 +20,7 @@
 	"heatherlock/steering/identity"
 )
 
-// group is a few entry VMs that exchange datagrams over loopback.
+// group is a number of entry VMs that exchange datagrams over loopback.
 type group struct {
 	all   []*allowances.Service
 	peers []allowances.Peer
@@ -55,7 +55,7 @@
 	return &identity.Workspace{Name: steering.Workspace(name), Rate: rate, Burst: burst}
 }
 
-// flood asks on all VMs as fast as they answer for a time, and returns how many ran.
+// flood sends requests to all VMs for d, one at a time on each, and returns how many were admitted.
 func (g *group) flood(t *testing.T, w *identity.Workspace, d time.Duration) int {
 	var ran atomic.Int64
 	var all sync.WaitGroup
@@ -74,7 +74,7 @@
 	return int(ran.Load())
 }
 
-// Guards against a limit for each VM instead of one for all.
+// Guards against applying the limit on each VM instead of across all VMs.
 func TestOneLimitHoldsOverAllVMs(t *testing.T) {
 	w := limited("flooding", 200, 40)
 	g := newGroup(t, 6, w)
@@ -95,8 +95,8 @@
 	assert.Equal(t, len(g.all[0].Rows()), 0)
 }
 
-// Guards against a workspace that loses its allowance to requests that targets refused.
-func TestWhatDidNotRunIsGivenBack(t *testing.T) {
+// Guards against a workspace that uses up its allowance with requests that targets refused.
+func TestCreditIsReturnedForRequestsThatDidNotRun(t *testing.T) {
 	w := limited("refused", 1, 5)
 	g := newGroup(t, 2, w)
 	for n := range 40 {
@@ -107,9 +107,9 @@
 	}
 }
 
-// Guards against a workspace without service while its owner is gone and not yet missed,
-// and against one that has its whole limit on each VM then.
-func TestVMWhoseOwnerIsSilentGoesOnWithItsPart(t *testing.T) {
+// Guards against refusing all requests of a workspace whose owner has crashed while this is not
+// detected yet, and against admitting the whole limit on each VM in that time.
+func TestVMWithUnresponsiveOwnerAdmitsItsShare(t *testing.T) {
 	w := limited("orphan", 100, 100)
 	g := newGroup(t, 5, w)
 	for n, stop := range g.stops {
@@ -120,18 +120,18 @@
 	time.Sleep(50 * time.Millisecond)
 	ran, took := 0, time.Duration(0)
 	for end := time.Now().Add(1500 * time.Millisecond); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
-		began := time.Now()
+		started := time.Now()
 		if _, ok := g.all[0].Admit(t.Context(), w, 0); ok {
 			ran++
 		}
-		took = max(took, time.Since(began))
+		took = max(took, time.Since(started))
 	}
 	owner, _ := allowance.OwnerOf(allowance.IDOf(w.Name), candidates(g.peers))
 	if owner == g.peers[0].Name {
-		t.Skip("this VM owns it")
+		t.Skip("this VM owns the workspace")
 	}
 	assert.Assert(t, ran >= 15 && ran <= 65, "%d ran", ran)
-	assert.Assert(t, took < 400*time.Millisecond, "a request waited %v", took)
+	assert.Assert(t, took < 400*time.Millisecond, "a request waited for %v", took)
 }
 
 func candidates(peers []allowances.Peer) []allowance.Candidate {
@@ -142,8 +142,8 @@
 	return all
 }
 
-// Guards against callers that come back together, and in vain.
-func TestRetryAfterSpreadsThoseWhoComeBack(t *testing.T) {
+// Guards against callers that all retry at the same time, and in vain.
+func TestRetryAfterSpreadsRetries(t *testing.T) {
 	w := limited("flooding", 20, 2)
 	g := newGroup(t, 1, w)
 	times := map[time.Duration]int{}
@@ -153,11 +153,11 @@
 			times[after.Round(50*time.Millisecond)]++
 		}
 	}
-	assert.Assert(t, len(times) > 10, "all are told to come back at one of %d times", len(times))
+	assert.Assert(t, len(times) > 10, "all Retry-After values are among %d", len(times))
 }
 
-// Guards against a VM that takes nonsense for credits.
-func TestDatagramsThatAreNoneAreCounted(t *testing.T) {
+// Guards against a VM that decodes a malformed datagram as credits.
+func TestMalformedDatagramsAreCounted(t *testing.T) {
 	w := limited("any", 1, 1)
 	conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -177,5 +177,5 @@
 			}
 		}
 	}
-	t.Fatal("not counted")
+	t.Fatal("the malformed datagram was not counted")
 }
--- a/node/gateway/relay/relay.go
+++ b/node/gateway/relay/relay.go
@@ -76,8 +76,8 @@
 // Allowances enforces the request allowances of workspaces across all entry VMs.
 type Allowances interface {
 	// Admit decides whether a request may run. If it may not, retryAfter is when the caller should
-	// retry. spread is a number from 0 to 1 derived from the request; it spreads retries over time.
-	Admit(ctx context.Context, w *identity.Workspace, spread float64) (retryAfter time.Duration, ok bool)
+	// retry. jitter is a number from 0 to 1 derived from the request; it spreads retries over time.
+	Admit(ctx context.Context, w *identity.Workspace, jitter float64) (retryAfter time.Duration, ok bool)
 	// Return gives back the credit of an admitted request that was refused for the given reason
 	// without running.
 	Return(w *identity.Workspace, reason steering.Reason)
