--- a/node/admit/acquire.go
+++ b/node/admit/acquire.go
@@ -12,11 +12,11 @@
 	"heatherlock/steering/routing"
 )
 
-// defaultDeadline stands in for a request without a deadline.
+// defaultDeadline applies to requests without a deadline.
 const defaultDeadline = 10 * time.Second
 
-// Acquire implements seam.Admitter. Work from another zone first takes its
-// part of the link into the place, when that has a limit.
+// Acquire implements seam.Admitter. If the link into the place has a limit, a
+// request from another zone first acquires a slot of the link.
 func (a *Admit) Acquire(ctx context.Context, r seam.AdmitRequest) (seam.Grant, error) {
 	if r.Deadline.IsZero() {
 		r.Deadline = time.Now().Add(defaultDeadline)
@@ -32,7 +32,7 @@
 	got, refusal := a.acquire(ctx, poolKey{r.Place, r.Service}, r)
 	if refusal != nil {
 		if link != nil {
-			link.Done(notSent())
+			link.Done(unusedOutcome())
 		}
 		return nil, a.metrics.refused(refusal)
 	}
@@ -41,8 +41,8 @@
 	return got, nil
 }
 
-// notSent is the outcome of a grant that was not used.
-func notSent() seam.Outcome {
+// unusedOutcome returns the outcome of a grant that was not used.
+func unusedOutcome() seam.Outcome {
 	return seam.Outcome{Kind: seam.OutcomeUnused, ReportedInFlight: pool.NoReport, ReportedSlots: pool.NoReport}
 }
 
@@ -56,62 +56,64 @@
 	return ok && p.LinkInFlight > 0
 }
 
-// acquire gets a slot of one pool from whoever counts it.
+// acquire gets a slot of one pool from the pool's owner. It retries up to
+// maxAcquireAttempts times while the owner changes.
 func (a *Admit) acquire(ctx context.Context, key poolKey, r seam.AdmitRequest) (*grant, *steering.Refusal) {
-	h := a.pool(key)
-	if h == nil {
+	p := a.pool(key)
+	if p == nil {
 		return nil, steering.Refuse(steering.ReasonNoTarget, 0, fmt.Sprintf("service %s at place %s", key.service, key.place))
 	}
-	request := a.ask(key, r)
-	a.held.asking(key, request.id)
-	defer a.held.answered(key, request.id)
-	var vouched steering.VM
-	for range acquireTries {
-		owner, known := a.whomToAsk(key, vouched)
+	request := a.slotRequest(key, r)
+	a.held.addRequest(key, request.id)
+	defer a.held.removeRequest(key, request.id)
+	var redirect steering.VM
+	for range maxAcquireAttempts {
+		owner, known := a.currentOwner(key, redirect)
 		if !known {
 			break
 		}
-		var got answer
+		var got result
 		if owner.VM == a.self.vm {
-			got = a.acquireHere(ctx, h, request)
+			got = a.acquireLocal(ctx, p, request)
 		} else {
-			got = a.acquireFrom(ctx, owner, vouched, key, request)
+			got = a.acquireRemote(ctx, owner, redirect, key, request)
 		}
 		switch got.kind {
-		case answerGranted:
-			return a.hold(key, got.slot, request), nil
-		case answerRefused:
+		case resultGranted:
+			return a.registerGrant(key, got.slot, request), nil
+		case resultRefused:
 			return nil, got.refusal
-		case answerUnreachable:
-			vouched = "" // the next in order counts the pool now
+		case resultUnreachable:
+			redirect = "" // the next VM in hash order owns the pool now
 			continue
 		}
-		if got.owner != "" && got.owner != vouched && got.owner != a.self.vm {
-			vouched = got.owner
+		if got.owner != "" && got.owner != redirect && got.owner != a.self.vm {
+			redirect = got.owner
 			continue
 		}
-		vouched = ""
-		if !sleep(ctx, settleRetry) {
-			return nil, cancelled(ctx).refusal
+		redirect = ""
+		if !sleep(ctx, retryInterval) {
+			return nil, cancelledResult(ctx).refusal
 		}
 	}
 	return nil, steering.Refuse(steering.ReasonPeerDown, peerRetryAfter, fmt.Sprintf("owner of service %s at place %s", key.service, key.place))
 }
 
-// whomToAsk returns the pool's owner, or the entry VM that the owner in this
-// view vouched for: views differ while the zone's members change, and a second
-// owner would count the same slots again.
-func (a *Admit) whomToAsk(key poolKey, vouched steering.VM) (seam.Member, bool) {
-	if vouched != "" {
-		if m, known := a.member(vouched); known && !a.reach.isDown(vouched) {
+// currentOwner returns the entry VM to ask for a slot: the one that the owner in
+// this view redirected to, if it is reachable, and else the owner in this view.
+// Membership views differ while the zone's members change; without following
+// the redirect, a second owner would grant the same slots again.
+func (a *Admit) currentOwner(key poolKey, redirect steering.VM) (seam.Member, bool) {
+	if redirect != "" {
+		if m, known := a.member(redirect); known && !a.reachability.isDown(redirect) {
 			return m, true
 		}
 	}
 	return a.owner(key)
 }
 
-func (a *Admit) ask(key poolKey, r seam.AdmitRequest) ask {
-	request := ask{
+func (a *Admit) slotRequest(key poolKey, r seam.AdmitRequest) slotRequest {
+	request := slotRequest{
 		id:       fmt.Sprintf("%s#%d", r.ID, a.serial.Add(1)),
 		holder:   a.self,
 		class:    a.class(r.Service),
@@ -134,41 +136,41 @@
 	return classOf(a.snapshot, service)
 }
 
-// acquireHere asks this entry VM's own count, which it first has to take when
-// its view has just named it.
-func (a *Admit) acquireHere(ctx context.Context, h *hosted, request ask) answer {
-	a.noticePause()
-	a.followUnlessOwner(h)
-	return h.acquire(ctx, request)
+// acquireLocal acquires a slot from this entry VM's own pool. If the membership
+// view has only just named this VM as the owner, it takes over the pool first.
+func (a *Admit) acquireLocal(ctx context.Context, p *poolState, request slotRequest) result {
+	a.detectPause()
+	a.updateRoleUnlessOwner(p)
+	return p.acquire(ctx, request)
 }
 
-// acquireFrom asks another entry VM.
-func (a *Admit) acquireFrom(ctx context.Context, owner seam.Member, vouched steering.VM, key poolKey, request ask) answer {
-	a.metrics.asked.Inc(1)
-	wait := min(a.cfg.MaxWait+a.cfg.AskSlack, time.Until(request.deadline))
+// acquireRemote acquires a slot from another entry VM, the owner of the pool.
+func (a *Admit) acquireRemote(ctx context.Context, owner seam.Member, redirect steering.VM, key poolKey, request slotRequest) result {
+	a.metrics.ownerCalls.Inc(1)
+	wait := min(a.cfg.MaxWait+a.cfg.ReplySlack, time.Until(request.deadline))
 	callCtx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	open := a.asks.take(owner, cancel)
-	if open == nil {
-		return answer{kind: answerRefused, refusal: steering.Refuse(steering.ReasonQueueFull, peerRetryAfter, fmt.Sprintf("calls to %s, which counts the slots", owner.VM))}
+	call := a.acquireCalls.add(owner, cancel)
+	if call == nil {
+		return result{kind: resultRefused, refusal: steering.Refuse(steering.ReasonQueueFull, peerRetryAfter, fmt.Sprintf("calls to %s, which counts the slots", owner.VM))}
 	}
-	defer a.asks.give(open)
-	reply, err := a.cfg.AcquirePeers.To(owner.PeerAddress).Acquire(callCtx, acquireRequest(key, request, a.reach.unreachable()))
+	defer a.acquireCalls.remove(call)
+	reply, err := a.cfg.AcquirePeers.To(owner.PeerAddress).Acquire(callCtx, acquireRequest(key, request, a.reachability.unreachable()))
 	if err == nil {
-		return a.readReply(owner, vouched, key, reply)
+		return a.handleReply(owner, redirect, key, reply)
 	}
 	if ctx.Err() != nil {
-		return cancelled(ctx)
+		return cancelledResult(ctx)
 	}
 	if !time.Now().Before(request.deadline) {
-		return answer{kind: answerRefused, refusal: tooLate()}
+		return result{kind: resultRefused, refusal: deadlineRefusal()}
 	}
 	a.metrics.ownerUnreachable.Inc(1)
-	a.failed(owner)
-	return answer{kind: answerUnreachable}
+	a.markUnreachable(owner)
+	return result{kind: resultUnreachable}
 }
 
-func acquireRequest(key poolKey, request ask, unreachable []string) *peerpb.AcquireRequest {
+func acquireRequest(key poolKey, request slotRequest, unreachable []string) *peerpb.AcquireRequest {
 	message := &peerpb.AcquireRequest{
 		FromVm:          string(request.holder.vm),
 		FromIncarnation: string(request.holder.incarnation),
@@ -187,29 +189,30 @@
 	return message
 }
 
-// readReply takes an owner's reply.
+// handleReply turns the reply of an owner into a result.
 //
-// A reply may come from an entry VM that was paused with the grant decided and
-// is no longer the owner. Such a grant was not counted by the new owner; using
-// it would push the target over its slots. It is given back unused.
-func (a *Admit) readReply(owner seam.Member, vouched steering.VM, key poolKey, reply *peerpb.AcquireReply) answer {
+// The reply may come from an entry VM that was paused after it decided the grant
+// and no longer owns the pool. The new owner doesn't account for such a grant, so
+// using it would push the target over its slots. It is released unused.
+func (a *Admit) handleReply(owner seam.Member, redirect steering.VM, key poolKey, reply *peerpb.AcquireReply) result {
 	if reply.NotOwner {
-		return answer{kind: answerMoved, owner: steering.VM(reply.OwnerVm)}
+		return result{kind: resultNotOwner, owner: steering.VM(reply.OwnerVm)}
 	}
-	a.facts.note(key, int(reply.Free), time.Now())
+	a.headroomCache.put(key, int(reply.Free), time.Now())
 	if reply.Refusal != nil {
-		return answer{kind: answerRefused, refusal: refusalOf(reply.Refusal)}
+		return result{kind: resultRefused, refusal: refusalOf(reply.Refusal)}
 	}
-	if owner.VM != vouched && !a.stillOwner(key, owner.VM, steering.Incarnation(reply.OwnerIncarnation)) {
+	if owner.VM != redirect && !a.stillOwner(key, owner.VM, steering.Incarnation(reply.OwnerIncarnation)) {
 		a.metrics.staleGrants.Inc(1)
 		unused := slot{grant: reply.Grant, target: routing.Target{Name: steering.Target(reply.Target)}}
-		a.back.send(owner.VM, grantEnd(key, unused, notSent()))
-		return answer{kind: answerMoved}
+		a.releases.send(owner.VM, grantEnd(key, unused, unusedOutcome()))
+		return result{kind: resultNotOwner}
 	}
-	return answer{kind: answerGranted, slot: slot{grant: reply.Grant, owner: owner.VM, target: a.target(key, reply)}}
+	return result{kind: resultGranted, slot: slot{grant: reply.Grant, owner: owner.VM, target: a.target(key, reply)}}
 }
 
-// stillOwner says whether the view lets an entry VM grant slots of a pool now.
+// stillOwner reports whether the membership view names this process of an entry
+// VM as the owner of a pool. Any incarnation is accepted while it isn't known.
 func (a *Admit) stillOwner(key poolKey, vm steering.VM, incarnation steering.Incarnation) bool {
 	owner, known := a.owner(key)
 	if !known || owner.VM != vm {
@@ -218,7 +221,8 @@
 	return owner.Incarnation == "" || owner.Incarnation == incarnation
 }
 
-// target completes a granted target from this entry VM's own configuration.
+// target returns the granted target from this entry VM's own configuration, or
+// from the reply alone if the configuration doesn't have it.
 func (a *Admit) target(key poolKey, reply *peerpb.AcquireReply) routing.Target {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -242,7 +246,7 @@
 	}
 }
 
-// sleep waits and returns false when ctx ended first.
+// sleep waits for d. It returns false if ctx ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/node/admit/admit.go
+++ b/node/admit/admit.go
@@ -16,45 +16,46 @@
 	"heatherlock/steering/routing"
 )
 
-// Admit grants the target slots of this entry VM's zone.
+// Admit grants the target slots of this entry VM's zone. It is safe for
+// concurrent use.
 type Admit struct {
-	cfg     Config
-	self    holder
-	zone    steering.Zone
-	serial  atomic.Uint64
-	ticked  atomic.Int64 // UnixNano of the last upkeep
-	metrics metrics
-	held    *registry
-	back    *releaser
-	facts   facts
-	reach   reach
-	owners  owners
-	asks    asks
+	cfg           Config
+	self          holder
+	zone          steering.Zone
+	serial        atomic.Uint64
+	lastUpkeep    atomic.Int64 // UnixNano of the last upkeep round
+	metrics       metrics
+	held          *heldGrants
+	releases      *releaser
+	headroomCache headroomCache
+	reachability  reachability
+	ownerCache    ownerCache
+	acquireCalls  acquireCalls
 
-	mu       sync.Mutex
-	snapshot *routing.Snapshot
-	stops    drain.Set
-	hosted   map[poolKey]*hosted
-	run      context.Context // ends with Run
-	work     sync.WaitGroup
+	mu           sync.Mutex
+	snapshot     *routing.Snapshot
+	plannedStops drain.Set
+	poolState    map[poolKey]*poolState
+	runCtx       context.Context // context of Run; parent of background work
+	work         sync.WaitGroup
 }
 
-// New returns an Admit that follows the configuration from now on; Run does
-// its upkeep.
+// New returns an Admit that applies every configuration snapshot from now on.
+// Run has to be called for its periodic upkeep.
 func New(cfg Config) *Admit {
 	cfg = cfg.withDefaults()
 	self := cfg.Members.Self()
 	a := &Admit{
-		cfg:     cfg,
-		self:    holder{self.VM, self.Incarnation},
-		zone:    self.Zone,
-		metrics: newMetrics(cfg.Scope),
-		held:    newRegistry(),
-		hosted:  map[poolKey]*hosted{},
-		run:     context.Background(),
+		cfg:       cfg,
+		self:      holder{self.VM, self.Incarnation},
+		zone:      self.Zone,
+		metrics:   newMetrics(cfg.Scope),
+		held:      newHeldGrants(),
+		poolState: map[poolKey]*poolState{},
+		runCtx:    context.Background(),
 	}
-	a.back = newReleaser(a)
-	a.ticked.Store(time.Now().UnixNano())
+	a.releases = newReleaser(a)
+	a.lastUpkeep.Store(time.Now().UnixNano())
 	if s := cfg.Configs.Snapshot(); s != nil {
 		a.configure(s)
 	}
@@ -62,13 +63,14 @@
 	return a
 }
 
-// Run keeps roles, stops and old grants up to date until ctx ends.
+// Run updates pool ownership, applies planned stops and reconciles old grants
+// until ctx ends. It waits for background work before it returns.
 func (a *Admit) Run(ctx context.Context) error {
 	a.mu.Lock()
-	a.run = ctx
+	a.runCtx = ctx
 	a.mu.Unlock()
 	defer a.work.Wait()
-	upkeep := time.NewTicker(a.cfg.Upkeep)
+	upkeep := time.NewTicker(a.cfg.UpkeepInterval)
 	defer upkeep.Stop()
 	lastReconcile := time.Now()
 	a.upkeep()
@@ -79,99 +81,106 @@
 		case <-upkeep.C:
 		}
 		a.upkeep()
-		if time.Since(lastReconcile) >= reconcileEvery {
+		if time.Since(lastReconcile) >= reconcileInterval {
 			lastReconcile = time.Now()
-			a.probeDown(ctx)
+			a.probeUnreachable(ctx)
 			a.reconcile(ctx)
 		}
 	}
 }
 
-// upkeep brings roles and stops in line with view, snapshot and time.
+// upkeep updates roles from the membership view and applies planned stops that
+// are due. It runs every Config.UpkeepInterval.
 func (a *Admit) upkeep() {
-	a.noticePause()
-	a.restop()
-	mates := a.mates()
-	for _, h := range a.pools() {
-		a.follow(h)
-		a.greet(h, mates)
-		h.tick()
+	a.detectPause()
+	a.applyDueStops()
+	zonePeers := a.zonePeers()
+	for _, p := range a.pools() {
+		a.updateRole(p)
+		a.surveyNewMembers(p, zonePeers)
+		p.tick()
 	}
-	a.probeSlow()
-	a.noticePause() // this very round may have been interrupted
-	a.ticked.Store(time.Now().UnixNano())
+	a.probeSlowOwners()
+	a.detectPause() // the process may have been paused during this round
+	a.lastUpkeep.Store(time.Now().UnixNano())
 }
 
-// noticePause takes every pool afresh after this process was paused.
+// detectPause repeats the takeover of every owned pool after this process was
+// paused.
 //
-// While it was paused, its view went stale and another entry VM may have
-// begun to count its pools; granting on would offer targets twice their slots.
-// A late upkeep shows the pause, before any request of the paused process is
-// granted.
-func (a *Admit) noticePause() {
-	late := time.Since(time.Unix(0, a.ticked.Load()))
+// During the pause, the membership view went stale and another entry VM may have
+// become the owner of its pools; granting more slots would offer targets twice
+// their slots. The pause shows as an upkeep round that is late by
+// Config.PauseLimit. Requests are granted only after this check, so the process
+// grants none on stale state.
+func (a *Admit) detectPause() {
+	late := time.Since(time.Unix(0, a.lastUpkeep.Load()))
 	if late < a.cfg.PauseLimit {
 		return
 	}
-	a.ticked.Store(time.Now().UnixNano())
+	a.lastUpkeep.Store(time.Now().UnixNano())
 	a.metrics.pauses.Inc(1)
-	for _, h := range a.pools() {
-		if r, _ := h.state(); r == roleOwner {
-			a.take(h)
+	for _, p := range a.pools() {
+		if r, _ := p.state(); r == roleOwner {
+			a.takeOver(p)
 		}
 	}
 }
 
-func (a *Admit) pools() []*hosted {
+func (a *Admit) pools() []*poolState {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	all := make([]*hosted, 0, len(a.hosted))
-	for _, h := range a.hosted {
-		all = append(all, h)
+	all := make([]*poolState, 0, len(a.poolState))
+	for _, p := range a.poolState {
+		all = append(all, p)
 	}
 	return all
 }
 
-// followUnlessOwner spares the owner a look at the view for each request: the
-// next round of upkeep looks anyway.
-func (a *Admit) followUnlessOwner(h *hosted) {
-	if current, _ := h.state(); current != roleOwner {
-		a.follow(h)
+// updateRoleUnlessOwner updates the role in a pool that this entry VM doesn't
+// own. An owner skips the membership check that every request would cost: the
+// next upkeep round does it anyway.
+func (a *Admit) updateRoleUnlessOwner(p *poolState) {
+	if current, _ := p.state(); current != roleOwner {
+		a.updateRole(p)
 	}
 }
 
-// follow makes this entry VM's role in a pool what its view says.
-func (a *Admit) follow(h *hosted) {
-	owner, known := a.lookUpOwner(h.key)
+// updateRole takes over a pool or hands it over if the membership view names
+// another owner than before.
+func (a *Admit) updateRole(p *poolState) {
+	owner, known := a.lookUpOwner(p.key)
 	mine := known && owner.VM == a.self.vm
-	current, _ := h.state()
+	current, _ := p.state()
 	switch {
-	case mine && current == roleOther:
-		a.take(h)
-	case !mine && current != roleOther:
+	case mine && current == roleNotOwner:
+		a.takeOver(p)
+	case !mine && current != roleNotOwner:
 		a.metrics.handovers.Inc(1)
-		h.leave()
-		a.tellLeft(h.key, owner)
+		p.relinquish()
+		a.notifyHandover(p.key, owner)
 	}
 }
 
-// tellLeft tells a pool's owner that this entry VM counted the pool until now.
+// notifyHandover notifies the owner of a pool that this entry VM granted the
+// pool's slots until now.
 //
-// An owner that is silent for a moment is passed over, and when it answers again
-// it has counted on without knowing what was granted in its place; targets
-// would be offered that much beyond their slots. Told, it takes the pool afresh.
-func (a *Admit) tellLeft(key poolKey, owner seam.Member) {
+// An owner that doesn't respond for a moment is skipped. When it responds again,
+// it still acts as the owner and doesn't know what the interim owner granted;
+// it would offer targets that much work beyond their slots. After the
+// notification it repeats the takeover of the pool.
+func (a *Admit) notifyHandover(key poolKey, owner seam.Member) {
 	if owner.PeerAddress == "" || owner.VM == a.self.vm {
 		return
 	}
-	a.goWork(func(ctx context.Context) {
-		for range releaseTries {
+	a.runInBackground(func(ctx context.Context) {
+		for range maxReleaseAttempts {
 			callCtx, cancel := context.WithTimeout(ctx, a.cfg.PeerTimeout)
 			_, err := a.cfg.Peers.To(owner.PeerAddress).Holdings(callCtx, &peerpb.HoldingsRequest{
 				Place: string(key.place), Service: string(key.service), FromVm: string(a.self.vm), Left: true,
 			})
 			cancel()
-			if err == nil || !sleep(ctx, settleRetry) {
+			if err == nil || !sleep(ctx, retryInterval) {
 				return
 			}
 		}
@@ -183,7 +192,8 @@
 	return a.owner(poolKey{place, service})
 }
 
-// configure follows a new snapshot.
+// configure applies a new snapshot. It ignores one that is older than the
+// current one.
 func (a *Admit) configure(s *routing.Snapshot) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -192,71 +202,72 @@
 	}
 	old := a.snapshot
 	a.snapshot = s
-	a.stops = drain.Stopped(s, time.Now())
+	a.plannedStops = drain.Stopped(s, time.Now())
 	pools := a.applyConfig()
-	for key := range receiving(old, s, pools) {
-		a.hosted[key].receive()
+	for key := range poolsReceivingShifts(old, s, pools) {
+		a.poolState[key].startPlaceRamp()
 	}
 }
 
-// restop applies planned stops whose time has come.
-func (a *Admit) restop() {
+// applyDueStops applies planned stops whose start time has passed.
+func (a *Admit) applyDueStops() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	next := a.stops.Next()
+	next := a.plannedStops.Next()
 	if next.IsZero() || time.Now().Before(next) {
 		return
 	}
-	a.stops = drain.Stopped(a.snapshot, time.Now())
+	a.plannedStops = drain.Stopped(a.snapshot, time.Now())
 	a.applyConfig()
 }
 
-// applyConfig declares targets to the pools and returns what it declared. The
-// caller holds mu.
-func (a *Admit) applyConfig() map[poolKey]wanted {
+// applyConfig passes the configured targets to the pools and returns the
+// configuration of each pool. The caller holds mu.
+func (a *Admit) applyConfig() map[poolKey]poolConfig {
 	pools := poolsOf(a.snapshot, a.zone)
-	stops := a.stops
+	plannedStops := a.plannedStops
 	stopped := func(t steering.Target) bool {
-		_, is := stops.Target(t)
+		_, is := plannedStops.Target(t)
 		return is
 	}
 	for key, w := range pools {
-		if _, ok := a.hosted[key]; !ok {
-			a.hosted[key] = newHosted(key, time.Now(), &a.cfg, a.self.vm, &a.metrics, a.newName)
+		if _, ok := a.poolState[key]; !ok {
+			a.poolState[key] = newPoolState(key, time.Now(), &a.cfg, a.self.vm, &a.metrics, a.newGrantName)
 		}
-		a.hosted[key].configure(w, stopped)
+		a.poolState[key].configure(w, stopped)
 	}
-	for key, h := range a.hosted {
+	for key, p := range a.poolState {
 		if _, ok := pools[key]; !ok {
-			h.configure(wanted{key: key}, stopped)
+			p.configure(poolConfig{key: key}, stopped)
 		}
 	}
 	return pools
 }
 
-// newName returns a name that no entry VM gives twice.
-func (a *Admit) newName() string {
+// newGrantName returns a grant name that is unique across entry VMs and process
+// restarts.
+func (a *Admit) newGrantName() string {
 	return fmt.Sprintf("%s/%d", a.self.incarnation, a.serial.Add(1))
 }
 
-func (a *Admit) pool(key poolKey) *hosted {
+func (a *Admit) pool(key poolKey) *poolState {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.hosted[key]
+	return a.poolState[key]
 }
 
-// Pools returns the headroom of the pools that this entry VM counts.
+// Pools returns the headroom of the pools that this entry VM owns.
 func (a *Admit) Pools() []*peerpb.PoolFact {
 	var all []*peerpb.PoolFact
-	for _, h := range a.pools() {
-		if h.key.isLink() {
+	for _, p := range a.pools() {
+		if p.key.isLink() {
 			continue
 		}
-		s, draining, ok := h.stats(nil)
+		s, draining, ok := p.stats(nil)
 		if !ok {
 			continue
 		}
-		all = append(all, poolFact(h.key, s, draining))
+		all = append(all, poolFact(p.key, s, draining))
 	}
 	return all
 }
@@ -276,55 +287,56 @@
 	return fact
 }
 
-// ObservePools takes what other members of the zone say of the pools they
-// count.
-func (a *Admit) ObservePools(told []*peerpb.PoolFact) {
-	for _, fact := range told {
+// ObservePools records the headroom that other members of the zone report for
+// the pools they own.
+func (a *Admit) ObservePools(reported []*peerpb.PoolFact) {
+	for _, fact := range reported {
 		key := poolKey{steering.Place(fact.Place), steering.Service(fact.Service)}
 		age := time.Duration(fact.AgeMs) * time.Millisecond
-		a.facts.note(key, int(fact.Free), time.Now().Add(-age))
+		a.headroomCache.put(key, int(fact.Free), time.Now().Add(-age))
 	}
 }
 
 // Headroom implements seam.Admitter.
 func (a *Admit) Headroom(place steering.Place, service steering.Service) (free int, age time.Duration) {
 	key := poolKey{place, service}
-	if h := a.pool(key); h != nil {
-		if s, _, ok := h.stats(nil); ok {
+	if p := a.pool(key); p != nil {
+		if s, _, ok := p.stats(nil); ok {
 			return s.Free, 0
 		}
 	}
-	return a.facts.headroom(key, time.Now())
+	return a.headroomCache.get(key, time.Now())
 }
 
-// facts remembers the headroom that others told.
-type facts struct {
+// headroomCache holds the headroom that other entry VMs reported for their pools.
+type headroomCache struct {
 	mu    sync.Mutex
-	known map[poolKey]fact
+	known map[poolKey]headroomReport
 }
 
-type fact struct {
+type headroomReport struct {
 	free int
 	at   time.Time
 }
 
-func (f *facts) note(key poolKey, free int, at time.Time) {
+func (f *headroomCache) put(key poolKey, free int, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.known == nil {
-		f.known = map[poolKey]fact{}
+		f.known = map[poolKey]headroomReport{}
 	}
 	if f.known[key].at.Before(at) {
-		f.known[key] = fact{free, at}
+		f.known[key] = headroomReport{free, at}
 	}
 }
 
-// headroom returns no free slots of unbounded age when nothing recent is known.
-func (f *facts) headroom(key poolKey, now time.Time) (int, time.Duration) {
+// get returns the reported free slots and the age of the report. If there is no
+// report within headroomTTL, it returns zero slots and the maximum age.
+func (f *headroomCache) get(key poolKey, now time.Time) (int, time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	known, ok := f.known[key]
-	if !ok || now.Sub(known.at) > factFor {
+	if !ok || now.Sub(known.at) > headroomTTL {
 		return 0, math.MaxInt64
 	}
 	return known.free, now.Sub(known.at)
--- a/node/admit/admit_test.go
+++ b/node/admit/admit_test.go
@@ -18,11 +18,13 @@
 	service  = 50 * time.Millisecond
 )
 
-// settle is longer than any bound on healing except a dead member's grants.
-const settle = 4 * time.Second
+// recoveryTime is longer than every bound on recovery, except the one for the
+// grants of a crashed member.
+const recoveryTime = 4 * time.Second
 
-// Promise: with views that agree, targets never get more than their slots from
-// any number of entry VMs, and the slots are put to use.
+// Guards against oversubscribed or idle targets: while the membership views agree,
+// any number of entry VMs together never sends a target more requests than it has
+// slots, and serves more than 80% of the possible requests.
 func TestSlotsAreNotExceeded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := newZone(t, 4, targets, slots)
@@ -39,11 +41,11 @@
 	})
 }
 
-// Symptom: after an entry VM dies, the targets it sent to are offered more
-// than their slots, or their slots stay unused for long. Sequence: the owner
-// dies while it and others hold grants; its requests run on at the targets; the
-// next entry VM counts the pool. Cause: the count died with the owner.
-func TestOwnerDiesHoldingGrants(t *testing.T) {
+// Guards against targets being offered more than their slots, or slots staying
+// unused, after the owner crashes while it and others hold grants. Its requests
+// continue at the targets, and its slot accounting is lost; the next owner has to
+// rebuild it.
+func TestOwnerCrashHoldingGrants(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := newZone(t, 4, targets, slots)
 		defer z.close()
@@ -57,7 +59,7 @@
 		assert.Equal(t, z.sheds(), 0)
 		owner.stop()
 		z.isolate(owner.name, true)
-		time.Sleep(settle)
+		time.Sleep(recoveryTime)
 		z.setState(owner.name, seam.MemberGone)
 		before := z.servedSoFar()
 		time.Sleep(10 * time.Second)
@@ -70,11 +72,10 @@
 	})
 }
 
-// Symptom: a VM that was suspended for seconds offers targets work that they
-// have no slots for. Sequence: the owner is paused, another takes over, the
-// first wakes with its old count and old view. Cause: it granted on without
-// noticing that time had passed.
-func TestPausedOwnerDoesNotGrantOnStaleKnowledge(t *testing.T) {
+// Guards against an owner that resumes after a pause of seconds, in which another
+// VM took over, and continues to grant slots from its old accounting and old view
+// because it did not detect the pause.
+func TestPausedOwnerDoesNotGrantOnStaleState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := newZone(t, 3, targets, slots)
 		defer z.close()
@@ -84,26 +85,26 @@
 			z.callers(e, 20, service, 30*time.Second)
 		}
 		time.Sleep(5 * time.Second)
-		frozen := z.pause(owner)
+		resumed := z.pause(owner)
 		time.Sleep(3 * time.Second)
 		z.setState(owner.name, seam.MemberSuspect)
 		time.Sleep(5 * time.Second)
 		before := z.sheds()
-		z.resume(owner, frozen)
-		z.callers(owner, 20, service, 5*time.Second) // its own callers come at once
+		z.resume(owner, resumed)
+		z.callers(owner, 20, service, 5*time.Second) // its own callers send immediately
 		time.Sleep(time.Second)
 		assert.Equal(t, owner.count("pauses"), int64(1))
-		assert.Equal(t, z.sheds()-before, 0, "sheds after the old owner woke")
+		assert.Equal(t, z.sheds()-before, 0, "sheds after the old owner resumed")
 		z.setState(owner.name, seam.MemberLive)
 		time.Sleep(10 * time.Second)
 		assert.Assert(t, z.sheds()-before <= targets, "%d sheds while ownership moved back", z.sheds()-before)
 	})
 }
 
-// Symptom: free slots shrink although targets idle. Sequence: releases get
-// lost on their way to the owner. Cause: nobody compared what the owner counts
-// with what the holder has.
-func TestLostReleasesHeal(t *testing.T) {
+// Guards against free slots shrinking while targets are idle: releases are lost on
+// the way to the owner, and the owner never compares its accounting with what the
+// holders hold.
+func TestLostReleasesAreRecovered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := newZone(t, 3, targets, slots)
 		defer z.close()
@@ -117,16 +118,15 @@
 		}
 		time.Sleep(3 * time.Second)
 		assert.Assert(t, z.free(owner) < capacity)
-		time.Sleep(2 * settle)
+		time.Sleep(2 * recoveryTime)
 		assert.Equal(t, z.free(owner), capacity)
 		assert.Assert(t, owner.count("releases_healed") > 0)
 	})
 }
 
-// Symptom: targets shed for seconds after a membership change. Sequence: one
-// entry VM's view lags, so two count the same pool. Cause: the live list lags.
-// The excess has to be bounded by the target's own shedding, served work must
-// go on, and it must end with the lag.
+// Guards against targets shedding for seconds after a membership change: the view of
+// an entry VM lags, so two VMs own the same pool. Serving has to continue meanwhile,
+// the targets' own shedding bounds the excess, and it has to end when the views agree.
 func TestTwoOwnersWhileViewsDiffer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := newZone(t, 4, targets, slots)
@@ -137,7 +137,7 @@
 			z.callers(e, 10, service, 30*time.Second)
 		}
 		time.Sleep(3 * time.Second)
-		for _, e := range z.others(owner)[1:] { // two of four no longer believe in the owner
+		for _, e := range z.others(owner)[1:] { // two of four suspect the owner
 			e.view.set(owner.name, seam.MemberSuspect)
 		}
 		before := z.servedSoFar()
@@ -145,16 +145,17 @@
 		possible := int(5 * time.Second / service * capacity)
 		assert.Assert(t, z.servedSoFar()-before > possible*8/10, "served %d of %d possible", z.servedSoFar()-before, possible)
 		z.setState(owner.name, seam.MemberLive)
-		time.Sleep(settle)
+		time.Sleep(recoveryTime)
 		after := z.sheds()
 		time.Sleep(5 * time.Second)
 		assert.Assert(t, z.sheds()-after <= targets, "%d sheds after the views agree", z.sheds()-after)
 	})
 }
 
-// Symptom: the slots of a dead entry VM's requests stay taken, or are given
-// out while the targets still run them. Cause: a dead holder releases nothing.
-func TestHolderDies(t *testing.T) {
+// Guards against the slots of a crashed entry VM's requests staying in use, or
+// being granted while the targets still run those requests. A crashed holder
+// releases nothing.
+func TestHolderCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := newZone(t, 3, targets, slots)
 		defer z.close()
@@ -176,10 +177,10 @@
 	})
 }
 
-// Symptom: every request for a pool waits until its deadline. Sequence: the
-// owner hangs without closing connections; views still name it. Cause: nothing
-// bounded the wait for its answer.
-func TestHungOwnerIsPassedOver(t *testing.T) {
+// Guards against every request for a pool waiting until its deadline: the owner
+// hangs without closing connections while the views still name it, and nothing
+// bounds the wait for its reply.
+func TestHungOwnerIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := newZone(t, 4, targets, slots)
 		defer z.close()
@@ -189,7 +190,7 @@
 			z.callers(e, 4, service, 20*time.Second)
 		}
 		time.Sleep(time.Second)
-		frozen := z.pause(owner)
+		resumed := z.pause(owner)
 		before := z.servedSoFar()
 		time.Sleep(time.Second)
 		assert.Assert(t, z.servedSoFar()-before > 100, "served %d in the second in which the owner hung", z.servedSoFar()-before)
@@ -198,30 +199,30 @@
 		time.Sleep(5 * time.Second)
 		possible := int(5 * time.Second / service * 12)
 		assert.Assert(t, z.servedSoFar()-before > possible*7/10, "served %d of %d possible", z.servedSoFar()-before, possible)
-		z.resume(owner, frozen)
-		time.Sleep(settle)
+		z.resume(owner, resumed)
+		time.Sleep(recoveryTime)
 		assert.Assert(t, z.sheds() <= targets, "%d sheds", z.sheds())
 		assert.Equal(t, z.refusedFor(steering.ReasonPeerDown), 0)
 	})
 }
 
 func (z *zone) pause(e *entryVM) chan struct{} {
-	frozen := make(chan struct{})
+	resumed := make(chan struct{})
 	e.view.mu.Lock()
-	e.view.frozen = frozen
+	e.view.resumed = resumed
 	e.view.mu.Unlock()
 	z.mu.Lock()
-	z.paused[e.name] = frozen
+	z.paused[e.name] = resumed
 	z.mu.Unlock()
-	return frozen
+	return resumed
 }
 
-func (z *zone) resume(e *entryVM, frozen chan struct{}) {
+func (z *zone) resume(e *entryVM, resumed chan struct{}) {
 	e.view.mu.Lock()
-	e.view.frozen = nil
+	e.view.resumed = nil
 	e.view.mu.Unlock()
 	z.mu.Lock()
 	delete(z.paused, e.name)
 	z.mu.Unlock()
-	close(frozen)
+	close(resumed)
 }
--- a/node/admit/bench_test.go
+++ b/node/admit/bench_test.go
@@ -12,9 +12,9 @@
 	"heatherlock/steering"
 )
 
-// BenchmarkAcquireHere is the cost of a grant from the own count, with the
-// locks and the view around it.
-func BenchmarkAcquireHere(b *testing.B) {
+// BenchmarkAcquireLocal measures a grant from a pool that the entry VM owns,
+// including locks and membership look-ups.
+func BenchmarkAcquireLocal(b *testing.B) {
 	for _, vms := range []int{2, 22} {
 		b.Run(fmt.Sprint(vms), func(b *testing.B) {
 			z := newZone(b, vms, targets, slots)
@@ -25,7 +25,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			grant.Done(notSent())
+			grant.Done(unusedOutcome())
 			b.ReportAllocs()
 			for b.Loop() {
 				grant, err := owner.admit.Acquire(b.Context(), request)
@@ -38,7 +38,7 @@
 	}
 }
 
-// loopback reaches entry VMs over HTTP on this machine.
+// loopback returns clients that call entry VMs over HTTP on the loopback interface.
 type loopback struct {
 	clients *peer.Clients
 	byVM    map[string]string
@@ -46,32 +46,33 @@
 
 func (l *loopback) To(vm string) peerpb.Peer { return l.clients.To(l.byVM[vm]) }
 
-// onlyPools serves the calls that concern pools.
-type onlyPools struct {
+// poolServer serves only the pool methods of peerpb.Peer.
+type poolServer struct {
 	peerpb.Peer
 	*Server
 }
 
-func (s onlyPools) Acquire(ctx context.Context, r *peerpb.AcquireRequest) (*peerpb.AcquireReply, error) {
+func (s poolServer) Acquire(ctx context.Context, r *peerpb.AcquireRequest) (*peerpb.AcquireReply, error) {
 	return s.Server.Acquire(ctx, r)
 }
 
-func (s onlyPools) Release(ctx context.Context, r *peerpb.ReleaseRequest) (*peerpb.ReleaseReply, error) {
+func (s poolServer) Release(ctx context.Context, r *peerpb.ReleaseRequest) (*peerpb.ReleaseReply, error) {
 	return s.Server.Release(ctx, r)
 }
 
-func (s onlyPools) Holdings(ctx context.Context, r *peerpb.HoldingsRequest) (*peerpb.HoldingsReply, error) {
+func (s poolServer) Holdings(ctx context.Context, r *peerpb.HoldingsRequest) (*peerpb.HoldingsReply, error) {
 	return s.Server.Holdings(ctx, r)
 }
 
-// BenchmarkAcquireFromOwner is the time of a grant from another entry VM over
-// HTTP on loopback; the release goes back beside the next grant.
-func BenchmarkAcquireFromOwner(b *testing.B) {
+// BenchmarkAcquireRemote measures a grant from another entry VM over HTTP on the
+// loopback interface. The release of each grant is sent concurrently with the next
+// Acquire call.
+func BenchmarkAcquireRemote(b *testing.B) {
 	z := newZone(b, 2, targets, slots)
 	defer z.close()
 	net := &loopback{clients: peer.NewClients(nil), byVM: map[string]string{}}
 	for _, e := range z.vms {
-		server := httptest.NewServer(peerpb.NewPeerServer(onlyPools{Server: e.admit.Server()}))
+		server := httptest.NewServer(peerpb.NewPeerServer(poolServer{Server: e.admit.Server()}))
 		defer server.Close()
 		net.byVM[string(e.name)] = server.Listener.Addr().String()
 	}
--- a/node/admit/config.go
+++ b/node/admit/config.go
@@ -11,90 +11,99 @@
 	"heatherlock/steering/pool"
 )
 
-// Peers reaches other entry VMs. Calls of Acquire wait in the owner's queue,
-// so they should not share a small set of connections with short calls.
+// Peers returns clients for calls to other entry VMs. Acquire calls wait in the
+// owner's queue, so they should not share a small connection pool with short
+// calls.
 type Peers interface {
 	To(address string) peerpb.Peer
 }
 
-// Config holds the parts and bounds of an Admit. Members, Configs, Peers and
-// Loads are required; a zero duration takes the default named beside it.
+// Config holds the dependencies and limits of an Admit. Members, Configs, Peers
+// and Loads are required. The zero value of any other field selects the default
+// in the comment beside it.
 type Config struct {
 	Members seam.Members
 	Configs seam.Configs
 	Peers   Peers
-	// AcquirePeers reaches other entry VMs for calls of Acquire. It needs
-	// MaxAsks connections to each.
+	// AcquirePeers returns clients for Acquire calls. It needs MaxAsks
+	// connections to each entry VM.
 	AcquirePeers Peers // Peers
 	Loads        LoadReader
 	Scope        tally.Scope // none
 	Log          log.Logger  // none
 	Pool         pool.Config
 
-	// Upkeep is how often the view, stops and old grants are looked at.
-	Upkeep time.Duration // 50 ms
-	// PauseLimit is how late upkeep may be before this entry VM takes itself
-	// for one that was paused.
+	// UpkeepInterval is the time between two checks of the membership view,
+	// planned stops and waiting requests.
+	UpkeepInterval time.Duration // 50 ms
+	// PauseLimit is how late an upkeep round may be before this process
+	// concludes that it was paused.
 	PauseLimit time.Duration // 1 s
-	// MaxWait bounds the wait in an owner's queue of a request that no other
-	// place takes. Others wait for at most about one service time.
+	// MaxWait bounds the queue time of a request that no other place accepts.
+	// Other requests wait for at most about one service time.
 	MaxWait time.Duration // 500 ms
-	// ForeignMaxWait bounds it for work from other zones.
+	// ForeignMaxWait bounds the queue time of requests from other zones.
 	ForeignMaxWait time.Duration // 100 ms
-	// AskSlack is how long a reply of the owner may take beyond that wait.
-	AskSlack time.Duration // 300 ms
-	// ProbeAfter is when an owner whose reply is not there yet is probed.
+	// ReplySlack is how long the owner's reply may take beyond MaxWait.
+	ReplySlack time.Duration // 300 ms
+	// ProbeAfter is how long an Acquire call may wait for its reply before the
+	// owner is probed.
 	ProbeAfter time.Duration // 100 ms
-	// PeerTimeout bounds short calls to entry VMs and load reads.
+	// PeerTimeout bounds short calls to entry VMs and reads of load endpoints.
 	PeerTimeout time.Duration // 200 ms
-	// AgreeFor bounds how long a new owner waits for others to see it the
-	// same way.
-	AgreeFor time.Duration // 2 s
-	// CheckAfter is the age at which a grant's holder is first asked whether
-	// it still holds it.
+	// AgreementTimeout bounds how long a new owner waits for the other members
+	// of the zone to agree that it owns the pool.
+	AgreementTimeout time.Duration // 2 s
+	// CheckAfter is the age of a grant at which its holder is first asked
+	// whether it still holds the grant.
 	CheckAfter time.Duration // 2 s
 }
 
-// MaxAsks bounds the calls of Acquire that wait at one other entry VM.
+// MaxAsks is the maximum number of Acquire calls that wait at one other entry VM.
 //
-// A call that waits for a connection looks like an owner that does not answer,
-// and passing over an owner that counts would have its slots counted twice.
+// A call that waits for a free connection looks like an owner that doesn't
+// respond. If a healthy owner were skipped for that reason, a second VM would
+// grant the same slots.
 const MaxAsks = 64
 
 const (
-	defaultUpkeep         = 50 * time.Millisecond
-	defaultPauseLimit     = time.Second
-	defaultMaxWait        = 500 * time.Millisecond
-	defaultForeignMaxWait = 100 * time.Millisecond
-	defaultAskSlack       = 300 * time.Millisecond
-	defaultProbeAfter     = 100 * time.Millisecond
-	defaultPeerTimeout    = 200 * time.Millisecond
-	defaultAgreeFor       = 2 * time.Second
-	defaultCheckAfter     = 2 * time.Second
+	defaultUpkeepInterval   = 50 * time.Millisecond
+	defaultPauseLimit       = time.Second
+	defaultMaxWait          = 500 * time.Millisecond
+	defaultForeignMaxWait   = 100 * time.Millisecond
+	defaultReplySlack       = 300 * time.Millisecond
+	defaultProbeAfter       = 100 * time.Millisecond
+	defaultPeerTimeout      = 200 * time.Millisecond
+	defaultAgreementTimeout = 2 * time.Second
+	defaultCheckAfter       = 2 * time.Second
 
-	// defaultWaitPart bounds the wait in a queue by the mean service time. See
-	// docs/measurements/balance.md: longer waits serve hardly more.
+	// defaultWaitPart limits the queue time to one mean service time. Longer
+	// waits serve hardly more requests; see docs/measurements/balance.md.
 	defaultWaitPart = 1
 
-	// agreeRetry is the pause between two rounds of asking who owns a pool.
-	agreeRetry = 100 * time.Millisecond
-	// settleRetry is the pause before asking again after a changed owner.
-	settleRetry = 50 * time.Millisecond
-	// acquireTries bounds how often one request follows a moving pool.
-	acquireTries = 8
-	// reconcileEvery is how often old grants are looked at.
-	reconcileEvery = 500 * time.Millisecond
-	// maxCheckAfter bounds the doubling wait between two checks of a grant.
+	// surveyRetryInterval is the pause between two surveys of a pool.
+	surveyRetryInterval = 100 * time.Millisecond
+	// retryInterval is the pause before a slot request is retried after the owner
+	// changed, and before a failed call to a peer is retried.
+	retryInterval = 50 * time.Millisecond
+	// maxAcquireAttempts bounds the attempts of one request while the owner of
+	// its pool changes.
+	maxAcquireAttempts = 8
+	// reconcileInterval is the time between two reconciliations of old grants.
+	reconcileInterval = 500 * time.Millisecond
+	// maxCheckAfter bounds the time between two checks of a grant, which doubles
+	// with each check.
 	maxCheckAfter = 30 * time.Second
-	// releaseTries bounds how often a release is sent; reconciling heals the
-	// rest.
-	releaseTries = 3
-	// peerRetryAfter is when to come back after no owner could be reached.
+	// maxReleaseAttempts bounds the attempts to deliver a release. Reconciling
+	// old grants with their holders frees the slots whose release was lost.
+	maxReleaseAttempts = 3
+	// peerRetryAfter is the retry delay returned to callers when no owner could
+	// be reached or too many calls wait there.
 	peerRetryAfter = 200 * time.Millisecond
-	// factFor is how long a told headroom is worth anything.
-	factFor = 10 * time.Second
-	// parallelReads bounds load reads at once.
-	parallelReads = 8
+	// headroomTTL is the age up to which reported headroom is used.
+	headroomTTL = 10 * time.Second
+	// maxParallelLoadReads bounds concurrent reads of load endpoints.
+	maxParallelLoadReads = 8
 )
 
 func (c Config) withDefaults() Config {
@@ -107,14 +116,14 @@
 	if c.Log == nil {
 		c.Log = log.NewNopLogger()
 	}
-	orDefault(&c.Upkeep, defaultUpkeep)
+	orDefault(&c.UpkeepInterval, defaultUpkeepInterval)
 	orDefault(&c.PauseLimit, defaultPauseLimit)
 	orDefault(&c.MaxWait, defaultMaxWait)
 	orDefault(&c.ForeignMaxWait, defaultForeignMaxWait)
-	orDefault(&c.AskSlack, defaultAskSlack)
+	orDefault(&c.ReplySlack, defaultReplySlack)
 	orDefault(&c.ProbeAfter, defaultProbeAfter)
 	orDefault(&c.PeerTimeout, defaultPeerTimeout)
-	orDefault(&c.AgreeFor, defaultAgreeFor)
+	orDefault(&c.AgreementTimeout, defaultAgreementTimeout)
 	orDefault(&c.CheckAfter, defaultCheckAfter)
 	if c.Pool.WaitPart == 0 {
 		c.Pool.WaitPart = defaultWaitPart
--- a/node/admit/key.go
+++ b/node/admit/key.go
@@ -7,8 +7,8 @@
 	"heatherlock/steering/routing"
 )
 
-// poolKey names a pool: the targets of a service at a place, or, with no
-// service, the link into the place.
+// poolKey identifies a pool: the targets of a service at a place or, if service
+// is empty, the link into the place.
 type poolKey struct {
 	place   steering.Place
 	service steering.Service
@@ -18,21 +18,21 @@
 
 func (k poolKey) isLink() bool { return k.service == "" }
 
-// linkTarget is the one target of a link's pool.
+// linkTarget returns the single target of the pool that stands for a link.
 func linkTarget(p *routing.Place) routing.Target {
 	return routing.Target{Name: steering.Target("link/" + string(p.Name)), Place: p.Name, Slots: p.LinkInFlight}
 }
 
-// wanted is what one pool needs.
-type wanted struct {
+// poolConfig is the configuration of one pool.
+type poolConfig struct {
 	key     poolKey
-	class   routing.Criticality // of the service; a link takes it from each request
+	class   routing.Criticality // criticality of the service; unused for a link, see classOf
 	targets []routing.Target
 }
 
-// poolsOf lists the pools of a zone, links included.
-func poolsOf(s *routing.Snapshot, zone steering.Zone) map[poolKey]wanted {
-	pools := map[poolKey]wanted{}
+// poolsOf returns the pools of a zone, including limited links.
+func poolsOf(s *routing.Snapshot, zone steering.Zone) map[poolKey]poolConfig {
+	pools := map[poolKey]poolConfig{}
 	for _, place := range s.Places {
 		if place.Zone != zone {
 			continue
@@ -47,7 +47,7 @@
 		}
 		if place.LinkInFlight > 0 {
 			key := linkOf(place.Name)
-			pools[key] = wanted{key: key, targets: []routing.Target{linkTarget(place)}}
+			pools[key] = poolConfig{key: key, targets: []routing.Target{linkTarget(place)}}
 		}
 	}
 	return pools
@@ -60,8 +60,8 @@
 	return routing.Normal
 }
 
-// ask is one request for a slot, local or from another entry VM.
-type ask struct {
+// slotRequest is a request for one slot, local or from another entry VM.
+type slotRequest struct {
 	id       string // unique within the holder's incarnation
 	holder   holder
 	class    routing.Criticality
@@ -71,15 +71,15 @@
 	avoid    []steering.Target
 }
 
-// holder is who holds a grant.
+// holder is the entry VM process that holds a grant.
 type holder struct {
 	vm          steering.VM
 	incarnation steering.Incarnation
 }
 
-// slot is a granted slot as its holder knows it.
+// slot is a granted slot as recorded by its holder.
 type slot struct {
 	grant  string
-	owner  steering.VM // that granted it
+	owner  steering.VM // entry VM that granted it
 	target routing.Target
 }
--- a/node/admit/load.go
+++ b/node/admit/load.go
@@ -9,32 +9,32 @@
 	"github.com/go-faster/errors"
 )
 
-// Load is a target's own word on what it runs.
+// Load is the load that a target reports at its load endpoint.
 type Load struct {
 	InFlight int  `json:"inFlight"`
 	Slots    int  `json:"slots"`
 	Draining bool `json:"draining"`
 }
 
-// LoadReader asks a target for its load.
+// LoadReader reads the load of targets.
 type LoadReader interface {
 	// ReadLoad reads the load of the target at address, host:port.
 	ReadLoad(ctx context.Context, address string) (Load, error)
 }
 
-// HTTPLoads reads loads from the targets' load endpoint.
+// HTTPLoads reads loads from the /load endpoints of the targets.
 type HTTPLoads struct {
-	Client *http.Client // http.DefaultClient when nil
+	Client *http.Client // http.DefaultClient if nil
 }
 
-// maxLoadBytes bounds the answer of a load endpoint.
+// maxLoadBytes bounds the response body of a load endpoint.
 const maxLoadBytes = 4096
 
 // ReadLoad implements LoadReader.
 func (h HTTPLoads) ReadLoad(ctx context.Context, address string) (Load, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/load", nil)
 	if err != nil {
-		return Load{}, errors.Wrap(err, "admit: load request")
+		return Load{}, errors.Wrap(err, "admit: create load request")
 	}
 	client := h.Client
 	if client == nil {
--- a/node/admit/load_test.go
+++ b/node/admit/load_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A load endpoint is another program's output: whatever it says, reading it
-// gives figures that make sense or an error.
+// FuzzDecodeLoad checks that any response of a load endpoint, which is another
+// program's output, decodes to non-negative figures or an error.
 func FuzzDecodeLoad(f *testing.F) {
 	f.Add([]byte(`{"inFlight":1,"slots":4,"draining":false}`))
 	f.Add([]byte(`{"inFlight":-1}`))
--- a/node/admit/newcomer_test.go
+++ b/node/admit/new_member_test.go
@@ -10,13 +10,11 @@
 	"heatherlock/node/seam"
 )
 
-// Symptom: right after entry VMs start, or a cut inside a zone heals, targets
-// are offered one request more than their slots. Sequence: two entry VMs of a
-// zone do not know each other yet, and each counts the pool; one grants work
-// that runs on; then they learn of each other, and the owner by their common
-// view goes on granting. Cause: an owner that asks what others hold only when
-// it begins to count, not when a member appears later.
-func TestOwnerAsksThoseItLearnsOfLater(t *testing.T) {
+// Guards against targets being offered one request more than their slots right after
+// entry VMs start or a partition inside a zone ends. Two VMs don't know each other yet
+// and both own the pool; once they do, the remaining owner has to ask the other one for
+// the grants of its long requests, although its own takeover ended before.
+func TestOwnerSurveysMembersThatJoinLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := newZone(t, 2, 1, slots)
 		defer z.close()
@@ -36,10 +34,10 @@
 		z.callers(owner, 2*slots, service, 5*time.Second)
 		time.Sleep(6 * time.Second)
 		assert.Equal(t, z.sheds(), 0)
-		time.Sleep(settle)
+		time.Sleep(recoveryTime)
 		assert.Equal(t, z.free(owner), slots)
 		taken := owner.count("takeovers")
 		time.Sleep(time.Minute)
-		assert.Equal(t, owner.count("takeovers"), taken, "taken again without cause")
+		assert.Equal(t, owner.count("takeovers"), taken, "takeover repeated without cause")
 	})
 }
--- a/node/admit/owner.go
+++ b/node/admit/owner.go
@@ -9,59 +9,60 @@
 	"heatherlock/steering/ownership"
 )
 
-// owners remembers who owns each pool for as long as one round of upkeep.
-// Asking the view and hashing its members for every request cost more than
-// the grant itself; the view lags by more than that round.
-type owners struct {
+// ownerCache caches the owner of each pool for one upkeep interval. Reading the
+// membership view and hashing its members for every request cost more than the
+// grant itself. The staleness does no harm, because the view itself lags by more
+// than this interval.
+type ownerCache struct {
 	mu    sync.RWMutex
-	known map[poolKey]knownOwner
+	known map[poolKey]cachedOwner
 }
 
-type knownOwner struct {
+type cachedOwner struct {
 	member seam.Member
 	found  bool
 	at     time.Time
 }
 
-func (o *owners) get(key poolKey, notBefore time.Time) (knownOwner, bool) {
+func (o *ownerCache) get(key poolKey, notBefore time.Time) (cachedOwner, bool) {
 	o.mu.RLock()
 	defer o.mu.RUnlock()
 	k, ok := o.known[key]
 	return k, ok && !k.at.Before(notBefore)
 }
 
-func (o *owners) put(key poolKey, k knownOwner) {
+func (o *ownerCache) put(key poolKey, k cachedOwner) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.known == nil {
-		o.known = map[poolKey]knownOwner{}
+		o.known = map[poolKey]cachedOwner{}
 	}
 	o.known[key] = k
 }
 
-// forget makes the next question ask the view again.
-func (o *owners) forget() {
+// invalidate clears the cache, so that the next look-up reads the membership view.
+func (o *ownerCache) invalidate() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	clear(o.known)
 }
 
-// owner returns the owner of a pool as this entry VM saw it a moment ago.
+// owner returns the owner of a pool, from the cache if possible.
 func (a *Admit) owner(key poolKey) (seam.Member, bool) {
-	if k, ok := a.owners.get(key, time.Now().Add(-a.cfg.Upkeep)); ok {
+	if k, ok := a.ownerCache.get(key, time.Now().Add(-a.cfg.UpkeepInterval)); ok {
 		return k.member, k.found
 	}
 	return a.lookUpOwner(key)
 }
 
-// lookUpOwner returns the strongest claim on a pool among the members in the
-// view that answer this entry VM.
+// lookUpOwner computes the owner of a pool by rendezvous hashing over the members
+// in the view that are reachable from this entry VM, and caches it.
 func (a *Admit) lookUpOwner(key poolKey) (seam.Member, bool) {
-	k := knownOwner{at: time.Now()}
+	k := cachedOwner{at: time.Now()}
 	members := a.cfg.Members.InZone(a.zone)
 	names := make([]steering.VM, 0, len(members))
 	for _, m := range members {
-		if !a.reach.isDown(m.VM) {
+		if !a.reachability.isDown(m.VM) {
 			names = append(names, m.VM)
 		}
 	}
@@ -71,6 +72,6 @@
 			k.member, k.found = m, true
 		}
 	}
-	a.owners.put(key, k)
+	a.ownerCache.put(key, k)
 	return k.member, k.found
 }
--- a/node/admit/reconcile.go
+++ b/node/admit/reconcile.go
@@ -13,114 +13,119 @@
 	"heatherlock/steering/pool"
 )
 
-// reconcile looks at the grants that are long out, and at targets that may
-// still run work that nobody waits for.
+// reconcile compares old grants with their holders, ends the grants of crashed
+// holders, and reads the loads of targets that may still run requests that nobody
+// waits for.
 func (a *Admit) reconcile(ctx context.Context) {
-	for _, h := range a.pools() {
-		a.endOrphans(h)
-		for holder, asked := range h.due(time.Now()) {
-			a.work.Go(func() { a.check(ctx, h, holder, asked) })
+	for _, p := range a.pools() {
+		a.endOrphans(p)
+		for holder, grants := range p.dueChecks(time.Now()) {
+			a.work.Go(func() { a.checkHolder(ctx, p, holder, grants) })
 		}
-		if uncertain := h.uncertain(); len(uncertain) > 0 {
-			a.work.Go(func() { h.report(a.readLoads(ctx, uncertain)) })
+		if targetsToQuery := p.targetsToQuery(); len(targetsToQuery) > 0 {
+			a.work.Go(func() { p.applyLoads(a.readLoads(ctx, targetsToQuery)) })
 		}
 	}
 }
 
-// endOrphans gives back what dead members held. The target may still run it,
-// so the pool keeps the slot until the target says otherwise or time passed.
-func (a *Admit) endOrphans(h *hosted) {
+// endOrphans ends the grants of crashed members. The target may still run their
+// requests, so the pool keeps the slot until the target reports otherwise or a
+// timeout passes.
+func (a *Admit) endOrphans(p *poolState) {
 	alive := map[holder]bool{a.self: true}
 	for _, m := range a.cfg.Members.All() {
 		if m.State != seam.MemberGone {
 			alive[holder{m.VM, m.Incarnation}] = true
 		}
 	}
-	n := h.endOrphans(func(who holder) bool {
-		return alive[who] || alive[holder{vm: who.vm}] // not heard from yet
+	n := p.endOrphans(func(who holder) bool {
+		return alive[who] || alive[holder{vm: who.vm}] // incarnation not known yet
 	})
 	a.metrics.orphans.Inc(int64(n))
 }
 
-// check asks a holder about grants that are long out.
+// checkHolder asks a holder which of its old grants it still holds, and ends the
+// others.
 //
-// A release that gets lost would leave its slot taken for ever: the pool's free
-// slots would shrink while its targets idle. The holder knows what it holds and
-// what it still waits for; everything else has ended.
-func (a *Admit) check(ctx context.Context, h *hosted, who holder, grants []string) {
-	reply, err := a.holdingsOf(ctx, who.vm, h.key)
+// Otherwise a lost release would keep its slot in use forever: the pool would run
+// out of free slots while its targets are idle. The holder knows the grants it
+// holds and the slot requests it waits for; all other grants have ended.
+func (a *Admit) checkHolder(ctx context.Context, p *poolState, who holder, grants []string) {
+	reply, err := a.holdingsOf(ctx, who.vm, p.key)
 	if err != nil || steering.Incarnation(reply.Incarnation) != who.incarnation {
-		return // endOrphans decides once the view says that it is gone
+		return // endOrphans ends the grants once the view shows the member as gone
 	}
-	n := h.endMissing(grants, reply)
-	a.metrics.releasesHealed.Inc(int64(n))
+	n := p.endMissing(grants, reply)
+	a.metrics.releasesRecovered.Inc(int64(n))
 }
 
-// holdingsOf asks a member, or this entry VM itself, what it holds.
+// holdingsOf returns what a member, or this entry VM itself, holds of a pool.
 func (a *Admit) holdingsOf(ctx context.Context, vm steering.VM, key poolKey) (*peerpb.HoldingsReply, error) {
 	if vm == a.self.vm {
 		return a.Server().Holdings(ctx, &peerpb.HoldingsRequest{Place: string(key.place), Service: string(key.service)})
 	}
 	m, known := a.member(vm)
 	if !known {
-		return nil, errors.Errorf("admit: %s is not in the view; wait for it to be heard from", vm)
+		return nil, errors.Errorf("admit: entry VM %s is not in the membership view; wait for its first heartbeat", vm)
 	}
 	return a.askHoldings(ctx, m, key)
 }
 
-// due returns the grants that have to be checked, by holder.
-func (h *hosted) due(now time.Time) map[holder][]string {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.role != roleOwner {
+// dueChecks returns the grants whose holders have to be asked now, by holder, and
+// schedules their next check.
+func (p *poolState) dueChecks(now time.Time) map[holder][]string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.role != roleOwner {
 		return nil
 	}
-	due := map[holder][]string{}
-	for grant, known := range h.issued {
+	dueChecks := map[holder][]string{}
+	for grant, known := range p.issued {
 		if now.Before(known.checkAt) {
 			continue
 		}
 		known.checkAfter = min(2*known.checkAfter, maxCheckAfter)
 		known.checkAt = now.Add(known.checkAfter)
-		due[known.holder] = append(due[known.holder], grant)
+		dueChecks[known.holder] = append(dueChecks[known.holder], grant)
 	}
-	return due
+	return dueChecks
 }
 
-// endMissing ends those of the grants that their holder neither holds nor
-// still asks for, and returns their number.
-func (h *hosted) endMissing(grants []string, reply *peerpb.HoldingsReply) int {
+// endMissing ends those of the grants that their holder neither holds nor still
+// waits for, and returns their number.
+func (p *poolState) endMissing(grants []string, reply *peerpb.HoldingsReply) int {
 	held := map[string]bool{}
 	for _, in := range reply.Held {
 		held[in.Grant] = true
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	n := 0
 	for _, grant := range grants {
-		known, ok := h.issued[grant]
-		if !ok || held[grant] || slices.Contains(reply.Asking, known.ask) {
+		known, ok := p.issued[grant]
+		if !ok || held[grant] || slices.Contains(reply.Asking, known.slotRequest) {
 			continue
 		}
-		h.end(grant, unsent())
+		p.end(grant, unusedPoolOutcome())
 		n++
 	}
 	return n
 }
 
-// endOrphans ends the grants of holders that are no more.
-func (h *hosted) endOrphans(alive func(holder) bool) int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.role != roleOwner {
+// endOrphans ends the grants of holders that are not alive, and returns their
+// number.
+func (p *poolState) endOrphans(alive func(holder) bool) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.role != roleOwner {
 		return 0
 	}
 	n := 0
-	for grant, known := range h.issued {
+	for grant, known := range p.issued {
 		if alive(known.holder) {
 			continue
 		}
-		h.end(grant, pool.Outcome{End: pool.EndOrphaned, ReportedInFlight: pool.NoReport, ReportedSlots: pool.NoReport})
+		p.end(grant, pool.Outcome{End: pool.EndOrphaned, ReportedInFlight: pool.NoReport, ReportedSlots: pool.NoReport})
 		n++
 	}
 	return n
--- a/node/admit/release.go
+++ b/node/admit/release.go
@@ -10,8 +10,8 @@
 	"heatherlock/steering/pool"
 )
 
-// releaser sends the ends of grants to the entry VMs that count them: at once
-// when no call is under way to that entry VM, and else together with the next.
+// releaser reports the ends of grants to the owners of their pools: immediately
+// if no call to the owner is running, otherwise in one batch after that call.
 type releaser struct {
 	admit *Admit
 
@@ -24,23 +24,23 @@
 	return &releaser{admit: a, pending: map[steering.VM][]*peerpb.GrantEnd{}, sending: map[steering.VM]bool{}}
 }
 
-// end gives a slot back to whoever counts its pool now: the entry VM that
-// granted it and, when the view names another one by now, that one too, which
-// may have taken the grant over. Who does not know the grant ignores its end.
+// end reports the end of a grant to the entry VM that granted it. If the view now
+// names another owner, which may have adopted the grant, end reports to that one
+// as well. An entry VM that doesn't know the grant ignores its end.
 func (r *releaser) end(g *grant, o seam.Outcome) {
-	r.tell(g.slot.owner, g, o)
+	r.notify(g.slot.owner, g, o)
 	if owner, known := r.admit.owner(g.key); known && owner.VM != g.slot.owner {
-		r.tell(owner.VM, g, o)
+		r.notify(owner.VM, g, o)
 	}
 }
 
-func (r *releaser) tell(to steering.VM, g *grant, o seam.Outcome) {
+func (r *releaser) notify(to steering.VM, g *grant, o seam.Outcome) {
 	if to != r.admit.self.vm {
 		r.send(to, grantEnd(g.key, g.slot, o))
 		return
 	}
-	if h := r.admit.pool(g.key); h != nil {
-		h.release(g.slot.grant, o)
+	if p := r.admit.pool(g.key); p != nil {
+		p.release(g.slot.grant, o)
 	}
 }
 
@@ -65,10 +65,10 @@
 		return
 	}
 	r.sending[to] = true
-	r.admit.goWork(func(ctx context.Context) { r.flush(ctx, to) })
+	r.admit.runInBackground(func(ctx context.Context) { r.flush(ctx, to) })
 }
 
-// flush sends until nothing is left.
+// flush sends batches until no ends are pending.
 func (r *releaser) flush(ctx context.Context, to steering.VM) {
 	for {
 		r.mu.Lock()
@@ -84,15 +84,16 @@
 	}
 }
 
-// deliver sends one batch. What cannot be delivered is dropped: the owner asks
-// about old grants, and a new one learns only what is still held.
+// deliver sends one batch, with retries. A batch that can't be delivered is
+// dropped: the owner asks holders about old grants, and a new owner only adopts
+// grants that are still held.
 func (r *releaser) deliver(ctx context.Context, to steering.VM, batch []*peerpb.GrantEnd) {
 	message := &peerpb.ReleaseRequest{
 		FromVm:          string(r.admit.self.vm),
 		FromIncarnation: string(r.admit.self.incarnation),
 		Ended:           batch,
 	}
-	for range releaseTries {
+	for range maxReleaseAttempts {
 		m, known := r.admit.member(to)
 		if !known {
 			break
@@ -103,22 +104,23 @@
 		if err == nil {
 			return
 		}
-		if !sleep(ctx, settleRetry) {
+		if !sleep(ctx, retryInterval) {
 			break
 		}
 	}
 	r.admit.metrics.releasesLost.Inc(int64(len(batch)))
 }
 
-// outcome translates how a request ended into what the pool has to know.
-func outcome(o seam.Outcome) pool.Outcome {
-	return pool.Outcome{End: endOf(o.Kind), ReportedInFlight: o.ReportedInFlight, ReportedSlots: o.ReportedSlots}
+// poolOutcome converts the outcome of a request to the pool's outcome of a grant.
+func poolOutcome(o seam.Outcome) pool.Outcome {
+	return pool.Outcome{End: slotEnd(o.Kind), ReportedInFlight: o.ReportedInFlight, ReportedSlots: o.ReportedSlots}
 }
 
-// goWork runs f in the background of Run, until Run's context ends.
-func (a *Admit) goWork(f func(context.Context)) {
+// runInBackground runs f in a goroutine that Run waits for, with the context of
+// Run.
+func (a *Admit) runInBackground(f func(context.Context)) {
 	a.mu.Lock()
-	ctx := a.run
+	ctx := a.runCtx
 	a.mu.Unlock()
 	a.work.Go(func() { f(ctx) })
 }
--- a/node/admit/role.go
+++ b/node/admit/role.go
@@ -8,125 +8,131 @@
 	"heatherlock/steering"
 )
 
-// setRole changes this entry VM's part in the pool. The caller holds mu.
-func (h *hosted) setRole(r role) {
-	h.role = r
-	h.term++
-	clear(h.early)
-	close(h.changed)
-	h.changed = make(chan struct{})
+// setRole changes this entry VM's role in the pool and begins a new term. The
+// caller holds mu.
+func (p *poolState) setRole(r role) {
+	p.role = r
+	p.term++
+	clear(p.releasedEarly)
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
-// startTaking stops granting until open is called with the term returned.
-// Waiting asks are sent elsewhere; what was granted is remembered for those
-// whose holders cannot tell.
-func (h *hosted) startTaking() (term int) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.before == nil {
-		h.before = map[string]*issued{}
+// startTakeover stops granting until startGranting is called with the returned
+// term. Waiting slot requests end with resultNotOwner, so that they are retried.
+// Grants of this entry VM are kept in previousGrants, for holders that can't
+// report them.
+func (p *poolState) startTakeover() (term int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.previousGrants == nil {
+		p.previousGrants = map[string]*issued{}
 	}
-	maps.Copy(h.before, h.issued)
-	h.letGo()
-	h.setRole(roleTaking)
-	return h.term
+	maps.Copy(p.previousGrants, p.issued)
+	p.dropGrants()
+	p.setRole(roleTakingOver)
+	return p.term
 }
 
-// leave stops counting the pool.
-func (h *hosted) leave() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.role == roleOther {
+// relinquish gives up the ownership of the pool.
+func (p *poolState) relinquish() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.role == roleNotOwner {
 		return
 	}
-	h.letGo()
-	h.before = nil
-	h.setRole(roleOther)
+	p.dropGrants()
+	p.previousGrants = nil
+	p.setRole(roleNotOwner)
 }
 
-// letGo forgets grants and sends waiting asks elsewhere. The caller holds mu.
-func (h *hosted) letGo() {
-	for ticket := range h.waiting {
-		h.pool.Cancel(ticket)
-		h.reply(ticket, answer{kind: answerMoved})
+// dropGrants removes all grants and ends waiting slot requests with
+// resultNotOwner, so that they are retried. The caller holds mu.
+func (p *poolState) dropGrants() {
+	for ticket := range p.waiting {
+		p.pool.Cancel(ticket)
+		p.reply(ticket, result{kind: resultNotOwner})
 	}
-	for grant, known := range h.issued {
-		delete(h.issued, grant)
-		h.pool.Release(time.Now(), known.id, unsent())
+	for grant, known := range p.issued {
+		delete(p.issued, grant)
+		p.pool.Release(time.Now(), known.id, unusedPoolOutcome())
 	}
 }
 
-// holding is a slot in use that a member told about.
+// holding is a slot in use, as reported by the member that holds it.
 type holding struct {
-	grant  string
-	ask    string
-	target steering.Target
-	holder holder
+	grant       string
+	slotRequest string
+	target      steering.Target
+	holder      holder
 }
 
-// open starts counting with what is in use: what other members told, and what
-// own returns of this entry VM's own holdings. It does nothing when the role
-// changed since the term began.
+// startGranting ends a takeover. It adopts the slots in use, which are those
+// that other members reported and those that own returns for this entry VM, and
+// starts granting. It returns false and does nothing if the role has changed since
+// the term began.
 //
-// A grant may end between the moment its holder told of it and this call. It
-// would then stay counted for ever. Such ends are remembered, and own holdings
-// are read here, where none can end unseen.
-func (h *hosted) open(term int, told survey, own func() ownHoldings, loads map[steering.Target]Load) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.term != term || h.role != roleTaking {
+// A grant may end between its holder's report and this call. If it were adopted,
+// its slot would stay in use forever. The ends are therefore recorded during the
+// takeover, and this VM's own holdings are read under the lock, so that none can
+// end unnoticed.
+func (p *poolState) startGranting(term int, reported survey, own func() ownHoldings, loads map[steering.Target]Load) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.term != term || p.role != roleTakingOver {
 		return false
 	}
 	now := time.Now()
 	mine := own()
-	told.asking[h.self] = mine.asking
-	for _, in := range append(told.held, mine.held...) {
-		if !h.early[in.grant] {
-			h.adopt(now, in)
+	reported.pending[p.self] = mine.pending
+	for _, in := range append(reported.held, mine.held...) {
+		if !p.releasedEarly[in.grant] {
+			p.adopt(now, in)
 		}
 	}
-	h.adoptUntold(now, told)
+	p.adoptUnreported(now, reported)
 	for target, load := range loads {
-		h.reported(now, target, load)
+		p.applyLoad(now, target, load)
 	}
-	h.asked = told.asked
-	h.setRole(roleOwner)
+	p.surveyed = reported.surveyed
+	p.setRole(roleOwner)
 	return true
 }
 
-// adoptUntold counts what this entry VM itself granted before it took the pool
-// afresh, to holders that did not answer, or whose reply is still on its way to
-// them. They cannot tell of it, and its slots would be given out twice. The
-// caller holds mu.
-func (h *hosted) adoptUntold(now time.Time, told survey) {
-	for grant, known := range h.before {
-		asking, answered := told.asking[known.holder.vm]
-		if h.early[grant] || answered && !slices.Contains(asking, known.ask) {
+// adoptUnreported adopts the grants that this entry VM itself made before a
+// repeated takeover and that their holders can't report: the holder did not
+// respond, or the reply with the grant has not reached it yet. Otherwise their
+// slots would be granted twice. The caller holds mu.
+func (p *poolState) adoptUnreported(now time.Time, reported survey) {
+	for grant, known := range p.previousGrants {
+		pending, answered := reported.pending[known.holder.vm]
+		if p.releasedEarly[grant] || answered && !slices.Contains(pending, known.slotRequest) {
 			continue
 		}
-		h.adopt(now, holding{grant: grant, ask: known.ask, target: known.target, holder: known.holder})
+		p.adopt(now, holding{grant: grant, slotRequest: known.slotRequest, target: known.target, holder: known.holder})
 	}
-	h.before = nil
+	p.previousGrants = nil
 }
 
-// adopt counts a slot that an earlier owner granted. The caller holds mu.
-func (h *hosted) adopt(now time.Time, in holding) {
-	if _, known := h.issued[in.grant]; known {
+// adopt records a slot in use that was granted by an earlier owner or in an
+// earlier term. The caller holds mu.
+func (p *poolState) adopt(now time.Time, in holding) {
+	if _, known := p.issued[in.grant]; known {
 		return
 	}
-	id, ok := h.pool.Hold(now, in.target)
+	id, ok := p.pool.Hold(now, in.target)
 	if !ok {
 		return
 	}
-	h.issued[in.grant] = &issued{
-		id: id, ask: in.ask, holder: in.holder, target: in.target,
-		checkAt: now.Add(h.checkAfter), checkAfter: h.checkAfter,
+	p.issued[in.grant] = &issued{
+		id: id, slotRequest: in.slotRequest, holder: in.holder, target: in.target,
+		checkAt: now.Add(p.checkAfter), checkAfter: p.checkAfter,
 	}
 }
 
-// state returns the role and its term.
-func (h *hosted) state() (role, int) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.role, h.term
+// state returns the role and the current term.
+func (p *poolState) state() (role, int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.role, p.term
 }
--- a/node/admit/server.go
+++ b/node/admit/server.go
@@ -10,33 +10,34 @@
 	"heatherlock/steering/routing"
 )
 
-// Server answers the calls of other entry VMs that concern pools: Acquire,
-// Release and Holdings of peerpb.Peer.
+// Server serves the pool methods of peerpb.Peer to other entry VMs: Acquire,
+// Release and Holdings.
 type Server struct {
 	admit *Admit
 }
 
-// Server returns the part that the peer listener serves.
+// Server returns the server of the pool methods, for the peer listener.
 func (a *Admit) Server() *Server { return &Server{a} }
 
-// Acquire waits for a slot in a pool that this entry VM counts.
+// Acquire waits for a slot in a pool that this entry VM owns. If it doesn't own
+// the pool, the reply names the owner in this VM's view.
 func (s *Server) Acquire(ctx context.Context, r *peerpb.AcquireRequest) (*peerpb.AcquireReply, error) {
 	a := s.admit
-	a.metrics.askedByOthers.Inc(1)
+	a.metrics.memberCalls.Inc(1)
 	key := poolKey{steering.Place(r.Place), steering.Service(r.Service)}
-	h := a.pool(key)
-	if h == nil {
-		return a.reply(answer{kind: answerMoved}, nil), nil
+	p := a.pool(key)
+	if p == nil {
+		return a.reply(result{kind: resultNotOwner}, nil), nil
 	}
-	a.noticePause()
-	a.confirmDown(ctx, r.Unreachable)
-	a.followUnlessOwner(h)
-	got := h.acquire(ctx, askOf(r))
-	return a.reply(got, h), nil
+	a.detectPause()
+	a.probeReportedUnreachable(ctx, r.Unreachable)
+	a.updateRoleUnlessOwner(p)
+	got := p.acquire(ctx, slotRequestOf(r))
+	return a.reply(got, p), nil
 }
 
-func askOf(r *peerpb.AcquireRequest) ask {
-	request := ask{
+func slotRequestOf(r *peerpb.AcquireRequest) slotRequest {
+	request := slotRequest{
 		id:       r.RequestId,
 		holder:   holder{steering.VM(r.FromVm), steering.Incarnation(r.FromIncarnation)},
 		class:    routing.Criticality(min(r.Criticality, uint32(routing.Sheddable))),
@@ -50,14 +51,14 @@
 	return request
 }
 
-func (a *Admit) reply(got answer, h *hosted) *peerpb.AcquireReply {
+func (a *Admit) reply(got result, p *poolState) *peerpb.AcquireReply {
 	reply := &peerpb.AcquireReply{OwnerIncarnation: string(a.self.incarnation)}
 	switch got.kind {
-	case answerGranted:
+	case resultGranted:
 		reply.Target = string(got.slot.target.Name)
 		reply.Address = got.slot.target.Address
 		reply.Grant = got.slot.grant
-	case answerRefused:
+	case resultRefused:
 		reply.Refusal = &peerpb.RefusalInfo{
 			Reason:       string(got.refusal.Reason),
 			Ran:          uint32(got.refusal.Ran),
@@ -67,27 +68,27 @@
 	default:
 		reply.NotOwner = true
 	}
-	if h == nil {
+	if p == nil {
 		return reply
 	}
-	if owner, known := a.owner(h.key); known && reply.NotOwner {
+	if owner, known := a.owner(p.key); known && reply.NotOwner {
 		reply.OwnerVm = string(owner.VM)
 	}
 	if !reply.NotOwner {
-		reply.Free = int32(h.free())
+		reply.Free = int32(p.free())
 	}
 	return reply
 }
 
-// Release takes the ends of grants that this entry VM counts. Unknown ones are
+// Release ends grants of pools that this entry VM owns. Unknown grants are
 // ignored: a release may arrive twice, or after another entry VM took over.
 func (s *Server) Release(_ context.Context, r *peerpb.ReleaseRequest) (*peerpb.ReleaseReply, error) {
 	for _, end := range r.Ended {
-		h := s.admit.pool(poolKey{steering.Place(end.Place), steering.Service(end.Service)})
-		if h == nil {
+		p := s.admit.pool(poolKey{steering.Place(end.Place), steering.Service(end.Service)})
+		if p == nil {
 			continue
 		}
-		h.release(end.Grant, seam.Outcome{
+		p.release(end.Grant, seam.Outcome{
 			Kind:             seam.OutcomeKind(end.Kind),
 			Latency:          time.Duration(end.LatencyUs) * time.Microsecond,
 			ReportedInFlight: int(end.ReportedInFlight),
@@ -97,31 +98,31 @@
 	return &peerpb.ReleaseReply{}, nil
 }
 
-// Holdings lists what this entry VM holds of a pool and whom it takes for the
-// owner. A call without a place is a probe.
+// Holdings returns the grants that this entry VM holds of a pool, the IDs of its
+// open slot requests, and the owner in its view. A call without a place is a probe.
 func (s *Server) Holdings(ctx context.Context, r *peerpb.HoldingsRequest) (*peerpb.HoldingsReply, error) {
 	a := s.admit
 	reply := &peerpb.HoldingsReply{Incarnation: string(a.self.incarnation)}
 	if r.Place == "" {
 		return reply, nil
 	}
-	a.confirmDown(ctx, r.Unreachable)
+	a.probeReportedUnreachable(ctx, r.Unreachable)
 	key := poolKey{steering.Place(r.Place), steering.Service(r.Service)}
-	if h := a.pool(key); h != nil {
-		a.follow(h)
-		current, _ := h.state()
+	if p := a.pool(key); p != nil {
+		a.updateRole(p)
+		current, _ := p.state()
 		if r.Left && current == roleOwner {
-			a.take(h)
+			a.takeOver(p)
 		}
 		reply.Granting = current == roleOwner
 	}
 	if owner, known := a.owner(key); known {
 		reply.OwnerVm = string(owner.VM)
 	}
-	grants, asks := a.held.of(key)
-	reply.Asking = asks
+	grants, requests := a.held.list(key)
+	reply.Asking = requests
 	for _, g := range grants {
-		reply.Held = append(reply.Held, &peerpb.Holding{Grant: g.slot.grant, Target: string(g.slot.target.Name), RequestId: g.ask})
+		reply.Held = append(reply.Held, &peerpb.Holding{Grant: g.slot.grant, Target: string(g.slot.target.Name), RequestId: g.slotRequest})
 	}
 	return reply, nil
 }
--- a/node/admit/judge_test.go
+++ b/node/admit/target_health_test.go
@@ -15,10 +15,10 @@
 	"heatherlock/steering/routing"
 )
 
-// Symptom: a healthy target gets no work. Sequence: its grants were given back
-// unused, because a cap refused the request or the grant came from an entry VM
-// that was no longer the owner. Cause: "not sent" was taken for "unreachable".
-func TestUnusedGrantsSayNothingOfTheTarget(t *testing.T) {
+// Guards against a healthy target being ejected because its grants were released
+// unused, which happens when a cap refuses the request or the grant comes from a
+// former owner. An unused grant must not count as an unreachable target.
+func TestUnusedGrantsDoNotAffectTargetHealth(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := newZone(t, 2, targets, slots)
 		defer z.close()
@@ -26,17 +26,16 @@
 		for range 50 {
 			grant, err := z.vms[0].admit.Acquire(t.Context(), seam.AdmitRequest{Service: testService, Place: testPlace})
 			assert.NilError(t, err)
-			grant.Done(notSent())
+			grant.Done(unusedOutcome())
 		}
 		time.Sleep(time.Second)
 		assert.Equal(t, z.free(z.owner()), capacity)
 	})
 }
 
-// Symptom: callers get errors for as long as a target is down. Sequence: a
-// target's process dies and comes back after a while. Cause: nothing took it
-// out, or nothing let it back in.
-func TestDeadTargetIsPassedOverAndComesBack(t *testing.T) {
+// Guards against a crashed target that isn't ejected, so that callers get errors
+// for as long as it is down, or that isn't used again after it recovers.
+func TestCrashedTargetIsEjectedAndRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := newZone(t, 3, targets, slots)
 		defer z.close()
@@ -44,24 +43,24 @@
 		for _, e := range z.vms {
 			z.callers(e, 6, service, time.Minute)
 		}
-		dead, liar := z.targets["target-0"], z.targets["target-1"]
-		dead.setDown(true)
-		liar.setDown(true)
-		liar.setLies()
+		downTarget, loadOnly := z.targets["target-0"], z.targets["target-1"]
+		downTarget.setDown(true)
+		loadOnly.setDown(true)
+		loadOnly.setAnswersLoadWhileDown()
 		time.Sleep(20 * time.Second)
-		before, missed := dead.counts()
-		assert.Assert(t, missed <= 30, "%d tries on a dead target", missed)
-		_, missed = liar.counts()
-		assert.Assert(t, missed <= 30, "%d tries on a dead target whose load endpoint answers", missed)
-		dead.setDown(false)
+		before, attemptsWhileDown := downTarget.counts()
+		assert.Assert(t, attemptsWhileDown <= 30, "%d attempts on a crashed target", attemptsWhileDown)
+		_, attemptsWhileDown = loadOnly.counts()
+		assert.Assert(t, attemptsWhileDown <= 30, "%d attempts on a crashed target whose load endpoint responds", attemptsWhileDown)
+		downTarget.setDown(false)
 		time.Sleep(30 * time.Second)
-		after, _ := dead.counts()
-		assert.Assert(t, after-before > 500, "%d requests after it came back", after-before)
+		after, _ := downTarget.counts()
+		assert.Assert(t, after-before > 500, "%d requests after the target recovered", after-before)
 	})
 }
 
-// Symptom: work from other zones fills the link into a place. Sequence: it
-// arrives at several entry VMs at once. Cause: each counted for itself.
+// Guards against requests from other zones exceeding the limit of the link into a
+// place because each of several entry VMs applies the limit on its own.
 func TestLinkLimitHoldsOverAllEntryVMs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const limit = 3
@@ -110,9 +109,9 @@
 	})
 }
 
-// Symptom: a back end with cold caches gets its whole load at once. Sequence:
-// two shifts bring work into one place within seconds. Cause: no ramp, or one
-// for each shift.
+// Guards against a backend with cold caches receiving its full load at once when
+// two shifts move work to one place within seconds: without a ramp, or with one
+// ramp for each shift.
 func TestShiftsIntoOnePlaceShareItsRamp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := newZone(t, 2, targets, slots)
--- a/node/admit/zone_test.go
+++ b/node/admit/zone_test.go
@@ -19,24 +19,24 @@
 )
 
 const (
-	testZone    = steering.Zone("norte-a")
-	testPlace   = steering.Place("norte-1")
-	testService = steering.Service("tickets")
-	oneWay      = time.Millisecond
+	testZone      = steering.Zone("norte-a")
+	testPlace     = steering.Place("norte-1")
+	testService   = steering.Service("tickets")
+	oneWayLatency = time.Millisecond
 )
 
-// endpoint is a target that counts what it runs and refuses what is over its
+// endpoint is a fake target that counts its requests and sheds those beyond its
 // slots.
 type endpoint struct {
-	mu       sync.Mutex
-	slots    int
-	inFlight int
-	peak     int
-	ran      int
-	sheds    int
-	down     bool
-	lies     bool // its load endpoint answers while it is down
-	missed   int  // tries while down
+	mu                   sync.Mutex
+	slots                int
+	inFlight             int
+	peak                 int
+	ran                  int
+	sheds                int
+	down                 bool
+	answersLoadWhileDown bool // the load endpoint responds while the target is down
+	attemptsWhileDown    int  // attempts while the target is down
 }
 
 func (e *endpoint) start() bool {
@@ -56,7 +56,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.down {
-		e.missed++
+		e.attemptsWhileDown++
 	}
 	return e.down
 }
@@ -67,18 +67,19 @@
 	e.down = down
 }
 
-// setLies makes the load endpoint answer while the target is down.
-func (e *endpoint) setLies() {
+// setAnswersLoadWhileDown makes the load endpoint respond while the target is down.
+func (e *endpoint) setAnswersLoadWhileDown() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.lies = true
+	e.answersLoadWhileDown = true
 }
 
-// counts returns how many requests ran and how many tries met it down.
-func (e *endpoint) counts() (ran, missed int) {
+// counts returns the number of requests that ran, and of attempts while the target
+// was down.
+func (e *endpoint) counts() (ran, attemptsWhileDown int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.ran, e.missed
+	return e.ran, e.attemptsWhileDown
 }
 
 func (e *endpoint) finish() {
@@ -87,20 +88,20 @@
 	e.inFlight--
 }
 
-// zoneView is one entry VM's view; tests change it by hand.
+// zoneView is the membership view of one entry VM. Tests change it with set.
 type zoneView struct {
-	mu     sync.Mutex
-	self   seam.Member
-	all    []seam.Member
-	frozen chan struct{} // while not nil, reading the view blocks: a paused process
+	mu      sync.Mutex
+	self    seam.Member
+	all     []seam.Member
+	resumed chan struct{} // if not nil, the process is paused: reads block until it is closed
 }
 
 func (v *zoneView) read() []seam.Member {
 	v.mu.Lock()
-	frozen := v.frozen
+	resumed := v.resumed
 	v.mu.Unlock()
-	if frozen != nil {
-		<-frozen
+	if resumed != nil {
+		<-resumed
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -127,7 +128,7 @@
 	return slices.DeleteFunc(v.read(), func(m seam.Member) bool { return m.State != seam.MemberLive })
 }
 
-// staticConfig serves one snapshot and passes on what a test publishes.
+// staticConfig serves one snapshot and collects subscribers for zone.publish.
 type staticConfig struct {
 	snapshot    *routing.Snapshot
 	subscribers *[]func(*routing.Snapshot)
@@ -156,8 +157,8 @@
 	return counter.Value()
 }
 
-// zone is several entry VMs over one set of targets, with a network between
-// them that tests can break.
+// zone is a set of entry VMs that share targets, connected by a network into which
+// tests inject faults.
 type zone struct {
 	t       testing.TB
 	vms     []*entryVM
@@ -165,7 +166,7 @@
 	configs staticConfig
 
 	mu           sync.Mutex
-	cut          map[[2]steering.VM]bool
+	partitioned  map[[2]steering.VM]bool
 	paused       map[steering.VM]chan struct{}
 	loseReleases bool
 
@@ -174,11 +175,11 @@
 	work    sync.WaitGroup
 }
 
-var errCut = errors.New("connection refused")
+var errPartitioned = errors.New("connection refused")
 
 func newZone(t testing.TB, vms, targets, slots int) *zone {
 	z := &zone{
-		t: t, targets: map[string]*endpoint{}, cut: map[[2]steering.VM]bool{},
+		t: t, targets: map[string]*endpoint{}, partitioned: map[[2]steering.VM]bool{},
 		paused: map[steering.VM]chan struct{}{}, refused: map[steering.Reason]int{},
 	}
 	place := &routing.Place{Name: testPlace, Zone: testZone}
@@ -222,7 +223,7 @@
 	z.vms = append(z.vms, e)
 }
 
-// publish gives every entry VM a changed copy of the snapshot.
+// publish sends a changed copy of the snapshot to every entry VM.
 func (z *zone) publish(change func(*routing.Snapshot)) {
 	next := *z.configs.snapshot
 	next.Version++
@@ -241,12 +242,12 @@
 
 // ReadLoad implements LoadReader.
 func (z *zone) ReadLoad(_ context.Context, address string) (Load, error) {
-	time.Sleep(2 * oneWay)
+	time.Sleep(2 * oneWayLatency)
 	e := z.targets[address]
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.down && !e.lies {
-		return Load{}, errCut
+	if e.down && !e.answersLoadWhileDown {
+		return Load{}, errPartitioned
 	}
 	return Load{InFlight: e.inFlight, Slots: e.slots}, nil
 }
@@ -274,17 +275,17 @@
 	}
 }
 
-func (z *zone) isolate(vm steering.VM, cut bool) {
+func (z *zone) isolate(vm steering.VM, partitioned bool) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	for _, e := range z.vms {
-		z.cut[[2]steering.VM{vm, e.name}] = cut
-		z.cut[[2]steering.VM{e.name, vm}] = cut
+		z.partitioned[[2]steering.VM{vm, e.name}] = partitioned
+		z.partitioned[[2]steering.VM{e.name, vm}] = partitioned
 	}
 }
 
-// callers runs closed-loop callers at an entry VM until the time is up or the
-// entry VM dies. What runs at a target runs to its end in any case.
+// callers runs n closed-loop callers at an entry VM for d, or until the entry VM
+// crashes. Requests that run at a target always run to completion.
 func (z *zone) callers(e *entryVM, n int, service, d time.Duration) {
 	until := time.Now().Add(d)
 	for range n {
@@ -308,25 +309,25 @@
 		z.mu.Lock()
 		z.refused[refusal.Reason]++
 		z.mu.Unlock()
-		time.Sleep(max(refusal.RetryAfter, oneWay))
+		time.Sleep(max(refusal.RetryAfter, oneWayLatency))
 		return
 	}
 	target := z.targets[grant.Target().Address]
-	time.Sleep(oneWay)
+	time.Sleep(oneWayLatency)
 	if target.refuses() {
 		grant.Done(seam.Outcome{Kind: seam.OutcomeUnreachable, ReportedInFlight: -1, ReportedSlots: -1})
 		return
 	}
 	if !target.start() {
-		time.Sleep(oneWay)
+		time.Sleep(oneWayLatency)
 		grant.Done(seam.Outcome{Kind: seam.OutcomeShed, ReportedInFlight: -1, ReportedSlots: -1})
 		return
 	}
 	time.Sleep(service)
 	target.finish()
-	time.Sleep(oneWay)
+	time.Sleep(oneWayLatency)
 	if e.ctx.Err() != nil {
-		return // the entry VM died with the request in its hands
+		return // the entry VM crashed with the request in flight
 	}
 	z.mu.Lock()
 	z.served++
@@ -358,36 +359,36 @@
 // free returns the owner's free slots.
 func (z *zone) free(owner *entryVM) int {
 	free, age := owner.admit.Headroom(testPlace, testService)
-	assert.Equal(z.t, age, time.Duration(0), "%s does not count the pool", owner.name)
+	assert.Equal(z.t, age, time.Duration(0), "%s does not own the pool", owner.name)
 	return free
 }
 
-// network reaches the other entry VMs of a zone as one of them.
+// network returns clients for calls from one entry VM to the others of the zone.
 type network struct {
 	zone *zone
 	from steering.VM
 }
 
 func (n *network) To(address string) peerpb.Peer {
-	return &wire{zone: n.zone, from: n.from, to: steering.VM(address)}
+	return &conn{zone: n.zone, from: n.from, to: steering.VM(address)}
 }
 
-// wire carries calls from one entry VM to another.
-type wire struct {
-	peerpb.Peer // calls that pools do not use
+// conn is a connection that transmits calls from one entry VM to another.
+type conn struct {
+	peerpb.Peer // methods that pools don't use
 	zone        *zone
 	from, to    steering.VM
 }
 
-// pass takes one message over the wire in one direction.
-func (w *wire) pass(ctx context.Context) error {
-	time.Sleep(oneWay)
+// transmit simulates the transmission of one message in one direction.
+func (w *conn) transmit(ctx context.Context) error {
+	time.Sleep(oneWayLatency)
 	w.zone.mu.Lock()
-	cut := w.zone.cut[[2]steering.VM{w.from, w.to}]
+	partitioned := w.zone.partitioned[[2]steering.VM{w.from, w.to}]
 	paused := w.zone.paused[w.to]
 	w.zone.mu.Unlock()
-	if cut {
-		return errCut
+	if partitioned {
+		return errPartitioned
 	}
 	if paused == nil {
 		return nil
@@ -400,37 +401,37 @@
 	}
 }
 
-func (w *wire) server() *Server { return w.zone.vm(w.to).admit.Server() }
+func (w *conn) server() *Server { return w.zone.vm(w.to).admit.Server() }
 
-func carry[Q, R any](ctx context.Context, w *wire, q Q, serve func(context.Context, Q) (R, error)) (R, error) {
+func roundTrip[Q, R any](ctx context.Context, w *conn, q Q, serve func(context.Context, Q) (R, error)) (R, error) {
 	var none R
-	if err := w.pass(ctx); err != nil {
+	if err := w.transmit(ctx); err != nil {
 		return none, err
 	}
 	reply, err := serve(ctx, q)
 	if err != nil {
 		return none, err
 	}
-	if err := w.pass(ctx); err != nil {
+	if err := w.transmit(ctx); err != nil {
 		return none, err
 	}
 	return reply, ctx.Err()
 }
 
-func (w *wire) Acquire(ctx context.Context, r *peerpb.AcquireRequest) (*peerpb.AcquireReply, error) {
-	return carry(ctx, w, r, w.server().Acquire)
+func (w *conn) Acquire(ctx context.Context, r *peerpb.AcquireRequest) (*peerpb.AcquireReply, error) {
+	return roundTrip(ctx, w, r, w.server().Acquire)
 }
 
-func (w *wire) Holdings(ctx context.Context, r *peerpb.HoldingsRequest) (*peerpb.HoldingsReply, error) {
-	return carry(ctx, w, r, w.server().Holdings)
+func (w *conn) Holdings(ctx context.Context, r *peerpb.HoldingsRequest) (*peerpb.HoldingsReply, error) {
+	return roundTrip(ctx, w, r, w.server().Holdings)
 }
 
-func (w *wire) Release(ctx context.Context, r *peerpb.ReleaseRequest) (*peerpb.ReleaseReply, error) {
+func (w *conn) Release(ctx context.Context, r *peerpb.ReleaseRequest) (*peerpb.ReleaseReply, error) {
 	w.zone.mu.Lock()
 	lose := w.zone.loseReleases
 	w.zone.mu.Unlock()
 	if lose {
 		return &peerpb.ReleaseReply{}, nil
 	}
-	return carry(ctx, w, r, w.server().Release)
+	return roundTrip(ctx, w, r, w.server().Release)
 }
