--- a/node/seam/seam.go
+++ b/node/seam/seam.go
@@ -1,7 +1,7 @@
-// Package seam holds the small interfaces at which the parts of an entry VM
-// meet: the data path in package forward is written against them, and each
-// control part implements one. Keeping them here lets a test replace any part
-// with a small fake.
+// Package seam defines the interfaces between the components of an entry VM. The
+// data path in package forward depends only on these interfaces, and each control
+// component implements one of them, so that a test can replace any component by a
+// small fake.
 package seam
 
 import (
@@ -13,18 +13,19 @@
 	"heatherlock/steering/routing"
 )
 
-// Configs publishes whole immutable snapshots of configuration.
+// Configs publishes complete, immutable configuration snapshots.
 type Configs interface {
-	// Snapshot returns the newest snapshot, or nil before the first.
+	// Snapshot returns the newest snapshot, or nil if there is none yet.
 	Snapshot() *routing.Snapshot
-	// Subscribe calls f with every later snapshot, in order of version.
+	// Subscribe registers f to be called with every later snapshot, in order of
+	// version.
 	Subscribe(f func(*routing.Snapshot))
 }
 
-// MemberState says how an entry VM takes part.
+// MemberState is the membership state of an entry VM.
 type MemberState uint8
 
-// States of an entry VM as seen by this one.
+// Membership states of an entry VM, as seen by this entry VM.
 const (
 	MemberLive MemberState = iota
 	MemberSuspect
@@ -32,60 +33,65 @@
 	MemberGone
 )
 
-// Member is one entry VM as this one sees it.
+// Member is an entry VM in the membership view of this one.
 type Member struct {
 	VM              steering.VM
-	Incarnation     steering.Incarnation // empty until heard from
+	Incarnation     steering.Incarnation // empty until the first heartbeat
 	Zone            steering.Zone
 	Region          steering.Region
 	CallerAddress   string // host:port
 	PeerAddress     string
 	OperatorAddress string
 	State           MemberState
-	// Heard is when first-hand or relayed evidence last arrived.
+	// Heard is the time of the last direct or relayed sign that the member is
+	// alive.
 	Heard time.Time
-	// ConfigVersion is the highest version known to be in force there.
+	// ConfigVersion is the highest configuration version known to be in force at
+	// the member.
 	ConfigVersion int64
-	// InFlight is what it last said to carry.
+	// InFlight is the number of in-flight requests that the member last reported.
 	InFlight int
 }
 
-// Members gives this entry VM's view of the others.
+// Members is the membership view of this entry VM.
 type Members interface {
 	// Self returns this entry VM.
 	Self() Member
 	// All returns the current view; the slice must not be changed.
 	All() []Member
-	// InZone returns the members of a zone that may be given work.
+	// InZone returns the members of a zone that may receive new requests.
 	InZone(zone steering.Zone) []Member
-	// ByIncarnation finds the member that issued a key.
+	// ByIncarnation returns the member with an incarnation, as it appears in the
+	// keys that the member issued.
 	ByIncarnation(steering.Incarnation) (Member, bool)
-	// Evidence records what forwarding to a member showed at first hand.
+	// Evidence records whether a call from this entry VM to a member showed that
+	// the member is reachable.
 	Evidence(vm steering.VM, reachable bool)
 }
 
-// AdmitRequest asks for a slot on a target.
+// AdmitRequest is a request for a slot on a target.
 type AdmitRequest struct {
 	ID       steering.RequestID
 	Service  steering.Service
-	Place    steering.Place // pool to admit to
+	Place    steering.Place // place of the pool
 	Deadline time.Time
-	// Home is the place the caller belongs to; empty when unknown.
+	// Home is the place that the caller belongs to; empty if unknown.
 	Home steering.Place
-	// Foreign marks work that came from another zone.
+	// Foreign is set for a request from another zone.
 	Foreign bool
-	// Avoid lists targets that already had this request.
+	// Avoid lists the targets to which this request was already sent.
 	Avoid []steering.Target
-	// Patient marks a request that no other place takes: it may wait longer.
+	// Patient is set for a request that no other place accepts. It may wait longer
+	// in the queue.
 	Patient bool
 }
 
-// Outcome tells the pool how a granted request ended.
+// Outcome reports to the pool how a granted request ended.
 type Outcome struct {
 	Kind    OutcomeKind
 	Latency time.Duration
-	// ReportedInFlight and ReportedSlots are the target's own figures from its
-	// reply; -1 when it gave none.
+	// ReportedInFlight and ReportedSlots are the figures that the target reported
+	// in its reply, or -1 if it reported none.
 	ReportedInFlight int
 	ReportedSlots    int
 }
@@ -95,20 +101,20 @@
 
 // Kinds of outcome.
 const (
-	OutcomeOK          OutcomeKind = iota // whole answer
-	OutcomeShed                           // target's typed refusal, not run
+	OutcomeOK          OutcomeKind = iota // complete response
+	OutcomeShed                           // typed refusal by the target, request not run
 	OutcomeUnreachable                    // no byte was sent
-	OutcomeFailed                         // 5xx answer
-	OutcomeBroken                         // connection broke with the request in the target's hands
-	OutcomeTimeout                        // deadline passed with the request in the target's hands
-	OutcomeCancelled                      // caller went away with the request in the target's hands
-	OutcomeUnused                         // not sent, for a reason that is not the target's
+	OutcomeFailed                         // 5xx response
+	OutcomeBroken                         // connection broke after the request was sent
+	OutcomeTimeout                        // deadline passed after the request was sent
+	OutcomeCancelled                      // caller cancelled after the request was sent
+	OutcomeUnused                         // not sent, for a reason unrelated to the target
 )
 
 // Grant is the right to send one request to one target.
 type Grant interface {
 	Target() routing.Target
-	// Done gives the slot back. It must be called exactly once.
+	// Done releases the slot. It must be called exactly once.
 	Done(Outcome)
 }
 
@@ -117,68 +123,73 @@
 	// Acquire waits in the pool's queue until a slot is granted, the pool
 	// refuses, or ctx ends. The error is a *steering.Refusal with RanNo.
 	Acquire(ctx context.Context, r AdmitRequest) (Grant, error)
-	// Headroom returns the free slots this zone has for a service, as far as
-	// this entry VM knows, and the age of that knowledge.
+	// Headroom returns the last known number of free slots for a service at a
+	// place of this zone, and the age of that figure.
 	Headroom(place steering.Place, service steering.Service) (free int, age time.Duration)
-	// Owner returns the entry VM that owns a pool of this zone now.
+	// Owner returns the entry VM that currently owns a pool of this zone, and
+	// whether there is one.
 	Owner(place steering.Place, service steering.Service) (Member, bool)
 }
 
-// CapGate admits work against the caps of the shifts that bring it here.
+// CapGate enforces the caps of shifts on the requests that the shifts move here.
 type CapGate interface {
-	// Admit takes a permit of every cap that binds work of service from home
-	// into place. A cap bounds what starts in a window, so Admit is called for
-	// each try, with the target's slot in hand, right before the request is
-	// sent: a wait between Admit and the start would bunch starts up. The error
-	// is a *steering.Refusal with ReasonCapReached.
+	// Admit takes a permit of every cap that applies to requests of service from
+	// home to place. A cap limits the number of requests started in a window.
+	// Admit is therefore called for each attempt, after the target's slot was
+	// granted and right before the request is sent: a wait between Admit and the
+	// start would make starts bunch up. The error is a *steering.Refusal with
+	// ReasonCapReached.
 	Admit(ctx context.Context, service steering.Service, home, place steering.Place) (CapPermit, error)
 }
 
-// CapPermit is the right to start one request under the caps that bind it.
+// CapPermit is the permission to start one request under the caps that apply to
+// it.
 type CapPermit interface {
-	// Done must be called exactly once, as soon as the try was sent or given
-	// up. A sent permit's window counts from this call; one that was not sent
-	// (no byte left for the target) is free again as if never taken. A permit
-	// that is never done stays taken.
+	// Done must be called exactly once, as soon as the attempt was sent or given
+	// up. If it was sent, the permit is used for one window that begins with this
+	// call. If it was not sent (no byte left for the target), the permit is free
+	// again as if it had never been taken. Without a call of Done, the permit stays
+	// in use.
 	Done(sent bool)
 }
 
-// Remote gives hints about other zones; hints save refused round trips and
-// never admit anything.
+// Remote keeps hints about the headroom of other zones. Hints avoid round trips
+// that would end in a refusal; they never admit a request.
 type Remote interface {
 	// Candidates returns places outside this zone that may serve a request of
 	// service whose caller belongs to home, best first.
 	Candidates(service steering.Service, home steering.Place) []steering.Place
 	// Hint records the headroom that a reply from a place carried.
 	Hint(place steering.Place, service steering.Service, free int)
-	// Refused records that a place refused work, or could not be reached.
+	// Refused records that a place refused a request or could not be reached.
 	Refused(place steering.Place, service steering.Service, refusal *steering.Refusal)
 }
 
-// Looker answers look-ups from memory.
+// Looker answers look-ups from in-memory state.
 type Looker interface {
 	// Lookup returns the entry VMs that a client should use for a service.
 	Lookup(client netip.Addr, service steering.Service) (LookupAnswer, error)
-	// Home returns the home place of a client.
+	// Home returns the home place of a client, and whether it has one.
 	Home(client netip.Addr) (steering.Place, bool)
 }
 
-// LookupAnswer is an ordered list of entry VMs with its time to live.
+// LookupAnswer is a list of entry VMs, in order of preference, with its time to
+// live.
 type LookupAnswer struct {
 	Place   steering.Place
 	EntryVM []LookupEntry
 	TTL     time.Duration
-	Version int64 // configuration version it was made from
+	Version int64 // configuration version that the answer is based on
 }
 
 // LookupEntry is one entry VM in a look-up answer.
 type LookupEntry struct {
 	VM        steering.VM
 	Address   string
-	KeyPrefix steering.KeyPrefix // once.PrefixAt; empty when not heard from yet
+	KeyPrefix steering.KeyPrefix // from once.PrefixAt; empty until the first heartbeat
 }
 
-// Leaver tells whether this entry VM is leaving.
+// Leaver reports whether this entry VM is leaving the fleet.
 type Leaver interface {
 	Leaving() bool
 }
