--- a/node/runtime/doc.go
+++ b/node/runtime/doc.go
@@ -1,5 +1,5 @@
-// Package runtime holds what a zone's entry VMs report about themselves: the
-// ZoneStatus object, which the zone's reader writes to the platform and which
-// status requests read on demand. It is not spread between entry VMs and
-// nothing is decided by it.
+// Package runtime defines the ZoneStatus object, the status report of a zone's
+// entry VMs. The entry VM that holds the zone's reader lease writes it to the
+// platform, and status requests read it on demand. It is not replicated between
+// entry VMs, and no decision depends on it.
 package runtime
