--- a/node/dynamic/audit.go
+++ b/node/dynamic/audit.go
@@ -13,27 +13,29 @@
 	"heatherlock/steering/config"
 )
 
-// auditInterval is the time between two comparisons with another member.
+// auditInterval is the time between two comparisons with another member, before
+// jitter.
 const auditInterval = 20 * time.Second
 
-// auditLoop compares version and checksum with a member now and then. It shows
-// a node whose announcements and beats were all lost that it is behind, and
-// two sets of one version that differ, which deltas would carry on for ever:
-// the platform's own reading then decides.
+// auditLoop periodically compares the version and checksum of the set with
+// those of another member. The audit detects that this entry VM is behind
+// because all announcements and heartbeats to it were lost. It also detects
+// two different sets at the same version. Deltas would preserve such a
+// difference for ever, so the set is then listed from the platform.
 func (s *Spread) auditLoop(ctx context.Context) error {
 	for {
-		if err := pause(ctx, jittered(auditInterval)); err != nil {
+		if err := sleep(ctx, jittered(auditInterval)); err != nil {
 			return err
 		}
-		if address, ok := s.auditPartner(); ok {
+		if address, ok := s.auditPeer(); ok {
 			s.audit(ctx, address)
 		}
 	}
 }
 
-// auditPartner picks a member of the zone, or of any zone when this entry VM
-// is alone in its own.
-func (s *Spread) auditPartner() (string, bool) {
+// auditPeer returns the peer address of a random member of the zone, or of any
+// zone if this entry VM is the only one in its zone.
+func (s *Spread) auditPeer() (string, bool) {
 	for _, members := range [][]seam.Member{s.config.Members.InZone(s.self.Zone), s.config.Members.All()} {
 		var addresses []string
 		for _, m := range members {
@@ -49,29 +51,29 @@
 }
 
 func (s *Spread) audit(ctx context.Context, address string) {
-	ours := s.set.Load()
-	limited, stall := platform.WithStallTimeout(ctx, fetchTimeout)
+	local := s.set.Load()
+	callCtx, stall := platform.WithStallTimeout(ctx, fetchTimeout)
 	defer stall.Release()
-	reply, err := s.config.Peer(address).FetchConfig(limited, &peerpb.FetchConfigRequest{HaveVersion: ours.Version()})
+	reply, err := s.config.Peer(address).FetchConfig(callCtx, &peerpb.FetchConfigRequest{HaveVersion: local.Version()})
 	if err != nil {
 		return
 	}
 	s.confirm()
-	if reply.GetVersion() > ours.Version() {
+	if reply.GetVersion() > local.Version() {
 		s.adopt(s.sourceOf(address), func(set *config.Set) (*config.Set, config.Verdict) {
 			return set.Adopt(offerOf(reply))
 		})
 		return
 	}
-	if reply.GetVersion() == ours.Version() && reply.GetChecksum() != ours.Sum() {
+	if reply.GetVersion() == local.Version() && reply.GetChecksum() != local.Sum() {
 		s.repair(ctx, address)
 	}
 }
 
 func (s *Spread) repair(ctx context.Context, address string) {
 	s.scope.Counter("audit_mismatches").Inc(1)
-	level.Error(s.log).Log("msg", "configuration differs from a member's at the same version; reading the platform", "peer", address, "version", s.set.Load().Version())
+	level.Error(s.log).Log("msg", "configuration checksum differs from a peer's at the same version; listing from the platform", "peer", address, "version", s.set.Load().Version())
 	if _, err := s.list(ctx); err != nil {
-		level.Warn(s.log).Log("msg", "reading the platform failed", "err", err)
+		level.Warn(s.log).Log("msg", "listing the configuration from the platform failed", "err", err)
 	}
 }
--- a/node/dynamic/blocks.go
+++ b/node/dynamic/blocks.go
@@ -14,50 +14,53 @@
 	"heatherlock/objects"
 )
 
-// joinedMost bounds what one shard may unpack to.
-const joinedMost = 8 << 20
+// maxShardBytes limits the uncompressed size of a shard.
+const maxShardBytes = 8 << 20
 
-// sharding says how a ClientBlocks object is split.
+// sharding sets how a ClientBlocks object is split into shards.
 type sharding struct {
-	// whole is the largest value, in bytes, that is stored unsplit.
+	// whole is the size, in bytes, up to which a value is stored unsplit.
 	whole int
-	// A shard ends after a block whose hash is a multiple of mean, or after
-	// most blocks. Boundaries that depend on the blocks themselves keep the
-	// other shards unchanged when one block is added or removed.
-	mean uint64
-	most int
+	// A shard ends after a block whose hash is a multiple of meanBlocks, or
+	// after maxBlocks blocks. Boundaries that depend on the content of the
+	// blocks leave the other shards unchanged when a block is added or removed.
+	meanBlocks uint64
+	maxBlocks  int
 }
 
-var defaultSharding = sharding{whole: 256 << 10, mean: 4096, most: 16384}
+var defaultSharding = sharding{whole: 256 << 10, meanBlocks: 4096, maxBlocks: 16384}
 
-// manifest is the part of a split ClientBlocks value that names its shards.
+// manifest is the part of the value of a split ClientBlocks object that lists
+// its shards.
 type manifest struct {
 	Blocks int      `json:"blocks"`
 	Shards []string `json:"shards"`
 }
 
-// shardValue is the value of a shard.
+// shardValue is the stored value of a shard.
 type shardValue struct {
-	Zstd []byte `json:"zstd"` // blocks as JSON, compressed
+	Zstd []byte `json:"zstd"` // an oas.ClientBlocksSpec as JSON, compressed
 }
 
-// Split is a ClientBlocks object in the form the platform keeps.
+// Split is a ClientBlocks object in the form in which the platform stores it.
 type Split struct {
-	// Manifest is the value of the ClientBlocks object. It must be written
-	// after every shard, and shards that it no longer names removed after it:
-	// a reader then never sees a manifest without its shards.
+	// Manifest is the value of the ClientBlocks object. Write it after all of
+	// its shards, and delete shards that it no longer lists only after writing
+	// it, so that a reader never sees a manifest whose shards are missing.
 	Manifest json.RawMessage
-	// Shards are to be created unless a shard of that name exists: a shard's
-	// name is the hash of its value. Empty for a small object.
+	// Shards are the shards to create. A shard whose name already exists need
+	// not be written, because the name contains a hash of the shard's blocks.
+	// Shards is empty for an object that is small enough to be stored unsplit.
 	Shards []objects.Object
 }
 
 var (
 	encoder, _ = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
-	decoder, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(joinedMost))
+	decoder, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxShardBytes))
 )
 
-// SplitBlocks returns the form in which a ClientBlocks object is stored.
+// SplitBlocks returns the form in which a ClientBlocks object is stored: unsplit
+// if its JSON has at most 256 KiB, else as a manifest and its shards.
 func SplitBlocks(in *oas.ClientBlocks) (Split, error) { return defaultSharding.split(in) }
 
 func (s sharding) split(in *oas.ClientBlocks) (Split, error) {
@@ -84,13 +87,13 @@
 	return out, err
 }
 
-// partition cuts the sorted blocks into shards.
+// partition divides the sorted blocks into the blocks of each shard.
 func (s sharding) partition(blocks []oas.ClientBlock) [][]oas.ClientBlock {
 	var parts [][]oas.ClientBlock
 	start := 0
 	for i := range blocks {
 		n := i + 1 - start
-		if n >= s.most || xxhash.Sum64String(blocks[i].Prefix)%s.mean == 0 {
+		if n >= s.maxBlocks || xxhash.Sum64String(blocks[i].Prefix)%s.meanBlocks == 0 {
 			parts = append(parts, blocks[start:i+1])
 			start = i + 1
 		}
@@ -116,8 +119,8 @@
 }
 
 func encodeManifest(in *oas.ClientBlocks, m manifest) (json.RawMessage, error) {
-	bare := oas.ClientBlocks{Kind: in.Kind, Metadata: in.Metadata, Spec: oas.ClientBlocksSpec{Blocks: []oas.ClientBlock{}}}
-	plain, err := bare.MarshalJSON()
+	withoutBlocks := oas.ClientBlocks{Kind: in.Kind, Metadata: in.Metadata, Spec: oas.ClientBlocksSpec{Blocks: []oas.ClientBlock{}}}
+	plain, err := withoutBlocks.MarshalJSON()
 	if err != nil {
 		return nil, errors.Wrap(err, "dynamic: encode manifest")
 	}
@@ -131,7 +134,7 @@
 	return json.Marshal(fields)
 }
 
-// MissingShardError says that a manifest names a shard that is not stored.
+// MissingShardError reports that a manifest lists a shard that is not stored.
 type MissingShardError struct{ Shard string }
 
 // Error implements error.
@@ -139,8 +142,8 @@
 	return fmt.Sprintf("dynamic: shard %s is missing; apply the ClientBlocks object again", e.Shard)
 }
 
-// ShardNames returns the shards that a stored ClientBlocks value names; none
-// when it is not split.
+// ShardNames returns the names of the shards that a stored ClientBlocks value
+// lists. It returns none if the object is not split.
 func ShardNames(value json.RawMessage) ([]string, error) {
 	var in struct {
 		Manifest *manifest `json:"manifest"`
@@ -154,8 +157,9 @@
 	return in.Manifest.Shards, nil
 }
 
-// JoinBlocks returns the whole object from its stored value; shard returns the
-// value of a shard.
+// JoinBlocks returns the complete ClientBlocks object for its stored value. The
+// function shard returns the stored value of the shard of a name; if it finds
+// none, JoinBlocks returns a *MissingShardError.
 func JoinBlocks(value json.RawMessage, shard func(name string) (json.RawMessage, bool)) (*oas.ClientBlocks, error) {
 	out := new(oas.ClientBlocks)
 	if err := out.UnmarshalJSON(value); err != nil {
--- a/node/dynamic/blocks_test.go
+++ b/node/dynamic/blocks_test.go
@@ -14,7 +14,8 @@
 	"heatherlock/steering/config"
 )
 
-// blocksObject returns n blocks, block i belonging to place(i).
+// blocksObject returns a ClientBlocks object with n blocks, of which block i
+// belongs to place(i).
 func blocksObject(n int, place func(i int) string) *oas.ClientBlocks {
 	object := &oas.ClientBlocks{Kind: "ClientBlocks", Metadata: oas.Metadata{Name: "clients"}}
 	for i := range n {
@@ -24,9 +25,9 @@
 	return object
 }
 
-// storedForm returns what the platform keeps of a split object.
+// storedForm splits the object and returns the objects that the platform stores.
 func storedForm(t *rapid.T, object *oas.ClientBlocks, version int64) []config.Object {
-	split, err := sharding{whole: 1000, mean: 16, most: 40}.split(object)
+	split, err := sharding{whole: 1000, meanBlocks: 16, maxBlocks: 40}.split(object)
 	assert.NilError(t, err)
 	assert.Assert(t, len(split.Shards) > 1)
 	var stored []config.Object
@@ -38,11 +39,11 @@
 	return append(stored, config.Object{ID: config.ID{Kind: KindClientBlocks, Name: "clients"}, Version: version, Value: split.Manifest})
 }
 
-// Symptom: a client's home is not what the operators declared, on some nodes
-// only. Sequence: a big ClientBlocks object is changed a few blocks at a time,
-// and nodes change their tables, while a fresh node builds its own. Cause: a
-// changed table that differs from a built one.
-func TestBlocksThroughShards(t *testing.T) {
+// Guards against an updated block table that differs from a rebuilt one: after a
+// few blocks of a big ClientBlocks object change, a client's home would not be
+// the declared one on the entry VMs that updated their table, while an entry VM
+// that starts later builds a correct one.
+func TestUpdatedBlockTableEqualsRebuilt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(100, 300).Draw(t, "blocks")
 		moved := map[int]bool{}
@@ -75,9 +76,9 @@
 	})
 }
 
-// Symptom: an operator adds one block and every node fetches megabytes.
-// Sequence: one block is added to a big object. Cause: shards cut by count, so
-// that every later shard changes.
+// Guards against shards that are split by count: after an operator adds one block
+// to a big object, every later shard would change, and every entry VM would fetch
+// megabytes.
 func TestOneBlockChangesFewShards(t *testing.T) {
 	place := func(int) string { return "p" }
 	before, err := SplitBlocks(blocksObject(30000, place))
--- a/node/dynamic/blocktable.go
+++ b/node/dynamic/blocktable.go
@@ -11,41 +11,42 @@
 	"heatherlock/steering/routing"
 )
 
-// changeByBlock is the number of changed blocks up to which the previous table
-// is changed; above it, building anew is faster.
-const changeByBlock = 20000
-
-// changeBytes bounds the stored values of changed parts that are compared block
-// by block. Comparing more would hold every block twice as text, which for a
-// whole table takes several times the table's memory.
-const changeBytes = 1 << 20
-
-// blocks sets the snapshot's block table. Without a change of a block object
-// the previous table stays, and a small change touches only its own blocks:
-// 680,000 blocks are not parsed again because one was added.
-func (c *compiler) blocks(previousSet *config.Set, previous *compiled) {
+// maxChangedBlocks is the number of changed blocks up to which the previous
+// table is updated. Above it, building a new table is faster.
+const maxChangedBlocks = 20000
+
+// maxComparedBytes limits the total size of the changed objects that are
+// compared block by block. The comparison holds each block twice as parsed
+// text, which for a whole table takes several times the table's memory.
+const maxComparedBytes = 1 << 20
+
+// updateBlocks sets the snapshot's block table. It reuses the previous table if
+// no block object changed, and updates only the changed blocks after a small
+// change, so that adding one block does not parse all 680,000 again.
+func (c *compiler) updateBlocks(previousSet *config.Set, previous *compiled) {
 	if previous == nil {
-		c.rebuild()
+		c.rebuildTable()
 		return
 	}
 	if sameBlockObjects(previousSet, c.set) {
 		c.out.snapshot.Blocks = previous.snapshot.Blocks
 		c.out.overlaps = previous.overlaps
-		c.carryBlockProblems(previous)
+		c.keepBlockProblems(previous)
 		return
 	}
-	removed := blockParts(previousSet)
-	added := blockParts(c.set)
+	removed := blockObjects(previousSet)
+	added := blockObjects(c.set)
 	for id, o := range added {
 		if old, ok := removed[id]; ok && old.Version == o.Version {
 			delete(added, id)
 			delete(removed, id)
 		}
 	}
-	c.change(previous, removed, added)
+	c.updateTable(previous, removed, added)
 }
 
-// sameBlockObjects says whether no object that may hold blocks differs.
+// sameBlockObjects reports whether the objects that may contain blocks are the
+// same in both sets.
 func sameBlockObjects(a, b *config.Set) bool {
 	return slices.Equal(blockVersions(a), blockVersions(b))
 }
@@ -53,16 +54,16 @@
 func blockVersions(set *config.Set) []int64 {
 	var versions []int64
 	for _, kind := range []string{KindClientBlocks, KindShard} {
-		for _, o := range ofKind(set, kind) {
+		for _, o := range objectsOfKind(set, kind) {
 			versions = append(versions, o.Version)
 		}
 	}
 	return versions
 }
 
-// carryBlockProblems keeps the reports on block objects that were not read
-// again.
-func (c *compiler) carryBlockProblems(previous *compiled) {
+// keepBlockProblems copies the previous problems of block objects, which are not
+// decoded again.
+func (c *compiler) keepBlockProblems(previous *compiled) {
 	for _, p := range previous.problems {
 		if p.Kind == KindClientBlocks || p.Kind == KindShard {
 			c.out.problems = append(c.out.problems, p)
@@ -70,76 +71,79 @@
 	}
 }
 
-func (c *compiler) change(previous *compiled, removed, added map[config.ID]config.Object) {
-	if storedBytes(removed)+storedBytes(added) > changeBytes {
-		c.rebuild()
+// updateTable applies the blocks that differ between the removed and the added
+// objects to the previous table. It rebuilds the table if the change is large,
+// if block objects had problems, or if a prefix occurs in more than one block.
+func (c *compiler) updateTable(previous *compiled, removed, added map[config.ID]config.Object) {
+	if storedBytes(removed)+storedBytes(added) > maxComparedBytes {
+		c.rebuildTable()
 		return
 	}
 	table, ok := previous.snapshot.Blocks.(*lookup.Table)
-	gone := slices.Collect(blocksOf(removed, func(config.Object, error) {}))
-	come := slices.Collect(blocksOf(added, func(config.Object, error) {}))
-	gone, come = difference(gone, come)
-	clean := previous.overlaps == 0 && !slices.ContainsFunc(previous.problems, aboutBlocks)
-	if !ok || !clean || len(gone)+len(come) > changeByBlock {
-		c.rebuild()
+	removedBlocks := slices.Collect(blocksOf(removed, func(config.Object, error) {}))
+	addedBlocks := slices.Collect(blocksOf(added, func(config.Object, error) {}))
+	removedBlocks, addedBlocks = difference(removedBlocks, addedBlocks)
+	clean := previous.overlaps == 0 && !slices.ContainsFunc(previous.problems, isBlockProblem)
+	if !ok || !clean || len(removedBlocks)+len(addedBlocks) > maxChangedBlocks {
+		c.rebuildTable()
 		return
 	}
-	next := table.With(gone, come)
-	if next.Len() != table.Len()-len(gone)+len(come) {
-		// A block occurs twice: only building anew in a fixed sequence gives
-		// the same place on every node.
-		c.rebuild()
+	next := table.With(removedBlocks, addedBlocks)
+	if next.Len() != table.Len()-len(removedBlocks)+len(addedBlocks) {
+		// A prefix occurs in two blocks. Only a rebuild, which reads the blocks
+		// in a fixed order, assigns it the same place on every entry VM.
+		c.rebuildTable()
 		return
 	}
 	c.out.snapshot.Blocks = next
 }
 
-func storedBytes(parts map[config.ID]config.Object) int {
+func storedBytes(objs map[config.ID]config.Object) int {
 	sum := 0
-	for _, o := range parts {
+	for _, o := range objs {
 		sum += len(o.Value)
 	}
 	return sum
 }
 
-func aboutBlocks(p *Problem) bool { return p.Kind == KindClientBlocks || p.Kind == KindShard }
+func isBlockProblem(p *Problem) bool { return p.Kind == KindClientBlocks || p.Kind == KindShard }
 
-// difference drops the blocks that are in both.
-func difference(gone, come []routing.Block) (onlyGone, onlyCome []routing.Block) {
-	had := make(map[routing.Block]bool, len(gone))
-	for _, block := range gone {
-		had[block] = true
+// difference returns the blocks that only one of the two lists contains.
+func difference(removed, added []routing.Block) (onlyRemoved, onlyAdded []routing.Block) {
+	pending := make(map[routing.Block]bool, len(removed))
+	for _, block := range removed {
+		pending[block] = true
 	}
-	for _, block := range come {
-		if had[block] {
-			delete(had, block)
+	for _, block := range added {
+		if pending[block] {
+			delete(pending, block)
 			continue
 		}
-		onlyCome = append(onlyCome, block)
+		onlyAdded = append(onlyAdded, block)
 	}
-	for _, block := range gone {
-		if had[block] {
-			onlyGone = append(onlyGone, block)
+	for _, block := range removed {
+		if pending[block] {
+			onlyRemoved = append(onlyRemoved, block)
 		}
 	}
-	return onlyGone, onlyCome
+	return onlyRemoved, onlyAdded
 }
 
-func (c *compiler) rebuild() {
-	parts := blockParts(c.set)
-	c.missingShards()
-	table, overlaps := lookup.NewTable(blocksOf(parts, c.report))
+func (c *compiler) rebuildTable() {
+	objs := blockObjects(c.set)
+	c.reportMissingShards()
+	table, overlaps := lookup.NewTable(blocksOf(objs, c.report))
 	c.out.snapshot.Blocks = table
 	c.out.overlaps = overlaps
 }
 
-// missingShards reports manifests whose shards are not there; the shards that
-// are there stay in use.
-func (c *compiler) missingShards() {
-	for _, o := range ofKind(c.set, KindClientBlocks) {
+// reportMissingShards reports each shard that a manifest lists and that is not
+// stored. The shards that are stored stay in use.
+func (c *compiler) reportMissingShards() {
+	for _, o := range objectsOfKind(c.set, KindClientBlocks) {
 		names, err := ShardNames(o.Value)
 		if err != nil {
-			continue // reported where the object is read
+			continue // reported when the object is decoded
 		}
 		for _, name := range names {
 			if _, ok := c.set.Get(config.ID{Kind: KindShard, Name: name}); !ok {
@@ -149,34 +153,34 @@
 	}
 }
 
-// blockParts returns the objects that hold blocks in force: every ClientBlocks
-// object and the shards that one of them names. A shard without a manifest is
-// a write that has not ended, or what is left of an earlier one.
-func blockParts(set *config.Set) map[config.ID]config.Object {
-	parts := map[config.ID]config.Object{}
-	for _, o := range ofKind(set, KindClientBlocks) {
-		parts[o.ID] = o
+// blockObjects returns the objects whose blocks are in force: every ClientBlocks
+// object and the shards that one of them lists. A shard that no manifest lists
+// belongs to an unfinished write or was left over from an earlier one.
+func blockObjects(set *config.Set) map[config.ID]config.Object {
+	objs := map[config.ID]config.Object{}
+	for _, o := range objectsOfKind(set, KindClientBlocks) {
+		objs[o.ID] = o
 		names, err := ShardNames(o.Value)
 		if err != nil {
-			continue // reported where the object is read
+			continue // reported when the object is decoded
 		}
 		for _, name := range names {
 			id := config.ID{Kind: KindShard, Name: name}
 			if shard, ok := set.Get(id); ok {
-				parts[id] = shard
+				objs[id] = shard
 			}
 		}
 	}
-	return parts
+	return objs
 }
 
-// blocksOf returns the blocks of the parts, in the sequence of their names, a
-// part at a time: all of them at once as parsed text would take several times
-// the table's memory.
-func blocksOf(parts map[config.ID]config.Object, report func(config.Object, error)) iter.Seq[routing.Block] {
+// blocksOf iterates over the blocks of objs, ordered by the kind and name of the
+// objects. It decodes one object at a time, because all blocks at once as parsed
+// text would take several times the table's memory.
+func blocksOf(objs map[config.ID]config.Object, report func(config.Object, error)) iter.Seq[routing.Block] {
 	return func(yield func(routing.Block) bool) {
-		for _, o := range sorted(parts) {
-			blocks, err := partBlocks(o)
+		for _, o := range sortedObjects(objs) {
+			blocks, err := readBlocks(o)
 			if err != nil {
 				report(o, err)
 			}
@@ -189,9 +193,9 @@
 	}
 }
 
-func sorted(parts map[config.ID]config.Object) []config.Object {
-	all := make([]config.Object, 0, len(parts))
-	for _, o := range parts {
+func sortedObjects(objs map[config.ID]config.Object) []config.Object {
+	all := make([]config.Object, 0, len(objs))
+	for _, o := range objs {
 		all = append(all, o)
 	}
 	slices.SortFunc(all, func(a, b config.Object) int {
@@ -203,7 +207,7 @@
 	return all
 }
 
-func partBlocks(o config.Object) ([]routing.Block, error) {
+func readBlocks(o config.Object) ([]routing.Block, error) {
 	if o.Kind == KindShard {
 		stored, err := shardBlocks(o.Value)
 		if err != nil {
--- a/node/dynamic/chaos_test.go
+++ b/node/dynamic/chaos_test.go
@@ -9,26 +9,26 @@
 	"heatherlock/steering"
 )
 
-// chaos draws faults from a seed.
+// chaos injects random faults into a fleet, drawn from a seed.
 type chaos struct {
 	fleet  *fleet
 	random *rand.Rand
-	paused map[*life]bool
+	paused map[*fleetNode]bool
 }
 
 func newChaos(f *fleet, seed uint64) *chaos {
-	return &chaos{fleet: f, random: rand.New(rand.NewPCG(seed, 1)), paused: map[*life]bool{}}
+	return &chaos{fleet: f, random: rand.New(rand.NewPCG(seed, 1)), paused: map[*fleetNode]bool{}}
 }
 
-func (c *chaos) zone() steering.Zone {
+func (c *chaos) randomZone() steering.Zone {
 	return []steering.Zone{"zone-0", "zone-1", "zone-2"}[c.random.IntN(3)]
 }
 
-func (c *chaos) coin() bool { return c.random.IntN(2) == 0 }
+func (c *chaos) randomBool() bool { return c.random.IntN(2) == 0 }
 
-// anyone returns a node that is not paused: a paused process cannot be ended
-// by the test, since it does not come to notice.
-func (c *chaos) anyone() *life {
+// randomRunning returns a random node that is not paused. The test cannot kill a
+// paused one, because its process never notices that its context has ended.
+func (c *chaos) randomRunning() *fleetNode {
 	members := c.fleet.nodes
 	for {
 		m := members[[]string{
@@ -44,7 +44,7 @@
 	f := c.fleet
 	switch c.random.IntN(10) {
 	case 0:
-		f.store.Down(c.coin())
+		f.store.Down(c.randomBool())
 	case 1:
 		f.store.Slow(time.Duration(c.random.IntN(2000)) * time.Millisecond)
 	case 2:
@@ -52,17 +52,17 @@
 	case 3:
 		f.store.StaleReads(int64(c.random.IntN(6)))
 	case 4:
-		f.store.CutOff(string(c.zone()), c.coin())
+		f.store.CutOff(string(c.randomZone()), c.randomBool())
 	case 5:
-		f.cutZones(c.zone(), c.zone(), c.coin())
+		f.cutZones(c.randomZone(), c.randomZone(), c.randomBool())
 	case 6:
 		c.pauseOrResume()
 	case 7:
-		m := c.anyone()
+		m := c.randomRunning()
 		m.kill()
 		m.start()
 	default:
-		c.race()
+		c.raceOperators()
 	}
 }
 
@@ -72,14 +72,14 @@
 		delete(c.paused, m)
 		return
 	}
-	m := c.anyone()
+	m := c.randomRunning()
 	m.gate.close()
 	c.paused[m] = true
 }
 
-// race lets two operators write the same object on one version, and one remove
-// another. Any of it may fail.
-func (c *chaos) race() {
+// raceOperators writes the same version of an object as two operators would, and
+// sometimes deletes it. Any of these calls may fail.
+func (c *chaos) raceOperators() {
 	api := c.fleet.operator()
 	ctx := context.Background()
 	value := json.RawMessage(serviceValue(1000 + c.random.IntN(1000)))
@@ -91,7 +91,7 @@
 	}
 	_, _ = api.Update(ctx, KindService, name, stored.Version, value)
 	_, _ = api.Update(ctx, KindService, name, stored.Version, json.RawMessage(serviceValue(5000)))
-	if c.coin() {
+	if c.randomBool() {
 		_, _ = api.Delete(ctx, KindService, name, stored.Version)
 	}
 }
--- a/node/dynamic/compile.go
+++ b/node/dynamic/compile.go
@@ -18,7 +18,8 @@
 	"heatherlock/steering/shift"
 )
 
-// Problem is a stored object, or a part of one, that was left out.
+// Problem describes a stored object, or a part of one, that was left out of the
+// snapshot.
 type Problem struct {
 	Kind    string
 	Name    string
@@ -37,27 +38,28 @@
 	remedyReference = "declare what it names, or delete the object"
 )
 
-// compiled is one snapshot with what had to be left out of it.
+// compiled is a snapshot with the problems found while compiling it.
 type compiled struct {
 	snapshot *routing.Snapshot
 	problems []*Problem
-	// overlaps counts prefixes that occur in more than one block; such a table
-	// cannot be changed block by block.
+	// overlaps counts the blocks whose prefix occurs in an earlier block. A
+	// table with overlaps cannot be updated block by block.
 	overlaps int
 }
 
-// compile turns a set into a snapshot. previous, when there is one, lends its
-// block table, which is changed only where block objects changed.
+// compile converts a set into a snapshot. If previous is not nil, it is the
+// result of compiling previousSet, and compile reuses its block table, updated
+// where block objects have changed.
 func compile(set *config.Set, previousSet *config.Set, previous *compiled) *compiled {
 	c := &compiler{set: set, out: &compiled{snapshot: emptySnapshot(set.Version())}}
-	c.eachOf(KindService, c.service)
-	c.eachOf(KindPlace, c.place)
-	c.eachOf(KindShift, c.shift)
-	c.eachOf(KindShiftProgress, c.progress)
-	c.eachOf(KindCap, c.cap)
-	c.eachOf(KindCapSeats, c.seats)
-	c.eachOf(KindPlannedStop, c.stop)
-	c.blocks(previousSet, previous)
+	c.forEach(KindService, c.service)
+	c.forEach(KindPlace, c.place)
+	c.forEach(KindShift, c.shift)
+	c.forEach(KindShiftProgress, c.progress)
+	c.forEach(KindCap, c.cap)
+	c.forEach(KindCapSeats, c.seats)
+	c.forEach(KindPlannedStop, c.stop)
+	c.updateBlocks(previousSet, previous)
 	return c.out
 }
 
@@ -83,17 +85,17 @@
 	out *compiled
 }
 
-// eachOf calls f for every object of the kind, by name, so that every node
-// that compiles a set leaves out the same objects.
-func (c *compiler) eachOf(kind string, f func(config.Object) error) {
-	for _, o := range ofKind(c.set, kind) {
+// forEach calls f for every object of the kind in the order of their names, so
+// that all entry VMs that compile the same set leave out the same objects.
+func (c *compiler) forEach(kind string, f func(config.Object) error) {
+	for _, o := range objectsOfKind(c.set, kind) {
 		if err := f(o); err != nil {
 			c.report(o, err)
 		}
 	}
 }
 
-func ofKind(set *config.Set, kind string) []config.Object {
+func objectsOfKind(set *config.Set, kind string) []config.Object {
 	var found []config.Object
 	for o := range set.Objects {
 		if o.Kind == kind {
@@ -104,7 +106,7 @@
 	return found
 }
 
-// referenceError says that an object names something that is not declared.
+// referenceError reports that an object refers to something that is not declared.
 type referenceError struct{ detail string }
 
 func (e *referenceError) Error() string { return e.detail }
@@ -118,13 +120,14 @@
 	c.out.problems = append(c.out.problems, &Problem{Kind: o.Kind, Name: o.Name, Version: o.Version, Detail: err.Error(), Remedy: remedy})
 }
 
-// stored is what the generated kinds have in common.
-type stored interface {
+// oasObject is implemented by the generated types of declared objects.
+type oasObject interface {
 	UnmarshalJSON([]byte) error
 	Validate() error
 }
 
-func decode(o config.Object, into stored) error {
+// decode unmarshals and validates the value of o.
+func decode(o config.Object, into oasObject) error {
 	if err := into.UnmarshalJSON(o.Value); err != nil {
 		return err
 	}
@@ -158,8 +161,8 @@
 	}
 	c.out.snapshot.Services[service.Name] = service
 	for _, host := range spec.Hosts {
-		if taken, ok := c.out.snapshot.ByHost[host]; ok {
-			c.report(o, fmt.Errorf("host %q already belongs to service %s", host, taken.Name))
+		if owner, ok := c.out.snapshot.ByHost[host]; ok {
+			c.report(o, fmt.Errorf("host %q already belongs to service %s", host, owner.Name))
 			continue
 		}
 		c.out.snapshot.ByHost[host] = service
@@ -186,12 +189,13 @@
 	return nil
 }
 
-// target adds a target to its place. A name that is taken is left out: work
-// and stops that name it would mean either of two endpoints.
+// target adds a target to its place. A target whose name is already in use is
+// left out: in requests and planned stops, the name would be ambiguous between
+// two endpoints.
 func (c *compiler) target(o config.Object, place *routing.Place, spec oas.TargetSpec) {
 	name := steering.Target(spec.Name)
-	if taken, ok := c.out.snapshot.Targets[name]; ok {
-		c.report(o, fmt.Errorf("target %s already belongs to place %s", name, taken.Place))
+	if existing, ok := c.out.snapshot.Targets[name]; ok {
+		c.report(o, fmt.Errorf("target %s already belongs to place %s", name, existing.Place))
 		return
 	}
 	target := routing.Target{
@@ -232,8 +236,8 @@
 	return nil
 }
 
-// progress sets the percent a shift has moved, and keeps a shift that was
-// deleted in force until it has gone back.
+// progress sets the percentage that a shift has moved. It keeps a deleted shift
+// in force until its traffic has moved back.
 func (c *compiler) progress(o config.Object) error {
 	var in routing.ShiftProgress
 	if err := json.Unmarshal(o.Value, &in); err != nil {
@@ -250,8 +254,9 @@
 	return nil
 }
 
-// seats keeps the division of a cap's permits, also of a cap that is not
-// declared any more: its holders must still clear their seats.
+// seats keeps the division of a cap's permits among entry VMs. It keeps it for
+// a cap that is no longer declared as well, because the entry VMs that hold
+// permits of the cap must still clear their seats.
 func (c *compiler) seats(o config.Object) error {
 	var in routing.CapSeats
 	if err := json.Unmarshal(o.Value, &in); err != nil {
@@ -268,7 +273,7 @@
 		return err
 	}
 	// A cap whose shift is missing stays in the snapshot: its seats must not
-	// be lost because two objects arrive one after the other.
+	// be lost when the cap and the shift arrive one after the other.
 	c.out.snapshot.Caps[o.Name] = &routing.Cap{
 		Name:     o.Name,
 		Version:  o.Version,
@@ -296,16 +301,18 @@
 	return nil
 }
 
+// parseBlocks returns the blocks with a valid prefix, and an error if any other
+// was left out.
 func parseBlocks(in []oas.ClientBlock) ([]routing.Block, error) {
 	blocks := make([]routing.Block, 0, len(in))
-	var bad error
+	var lastErr error
 	for _, block := range in {
 		prefix, err := netip.ParsePrefix(block.Prefix)
 		if err != nil {
-			bad = errors.Wrap(err, "prefix")
+			lastErr = errors.Wrap(err, "prefix")
 			continue
 		}
 		blocks = append(blocks, routing.Block{Prefix: prefix.Masked(), Place: steering.Place(block.Place)})
 	}
-	return blocks, bad
+	return blocks, lastErr
 }
--- a/node/dynamic/doc.go
+++ b/node/dynamic/doc.go
@@ -1,16 +1,17 @@
-// Package dynamic keeps the configuration that operators declare in force on
+// Package dynamic keeps the configuration that operators declare up to date on
 // this entry VM.
 //
-// The platform keeps the objects. One entry VM per zone, the holder of the
-// zone's reader lease, watches them; everybody else takes them from peers, so
-// that the platform's load depends on the number of zones and not of nodes.
-// What is taken is decided by package steering/config: a version never goes
-// down and a delta must add up to its checksum. Each accepted set is compiled
-// into an immutable [routing.Snapshot]; a stored object that cannot be
-// understood is left out and reported, and never takes the node down.
+// The platform stores the configuration objects. In each zone one entry VM,
+// the holder of the zone's reader lease, watches them. All other entry VMs
+// fetch them from peers, so that the load on the platform depends on the number
+// of zones and not on the number of entry VMs. Package steering/config decides
+// what is accepted: the version never decreases, and the result of a delta must
+// match the checksum that was sent with it. Each accepted set is compiled into
+// an immutable [routing.Snapshot]. A stored object that cannot be decoded is
+// left out and reported; it never stops the entry VM.
 //
-// Limits: between the platform's acceptance of a write and the snapshot in
-// force lie one watch reply, one announcement and one fetch per zone. A zone
-// cut off from the platform learns through members of other zones; a zone cut
-// off from everything keeps what it has.
+// Limits: before a write that the platform accepted is in force everywhere, it
+// takes one watch reply, one announcement and one fetch per zone. A zone that
+// is cut off from the platform gets changes from members of other zones. A zone
+// that is cut off from everything keeps its last configuration.
 package dynamic
--- a/node/dynamic/dynamic.go
+++ b/node/dynamic/dynamic.go
@@ -23,34 +23,34 @@
 
 // Config holds what a Spread needs.
 type Config struct {
-	// Platform is the object API, with its call budget.
+	// Platform is the platform's object API, limited by the call budget.
 	Platform objects.API
 	Members  seam.Members
-	// Peer returns the client of the entry VM at a peer address.
+	// Peer returns a client for the entry VM at a peer address.
 	Peer func(address string) peerpb.Peer
-	// Seeds are peer addresses to ask while no member is known.
+	// Seeds are the peer addresses to fetch from while no other member is known.
 	Seeds []string
-	// Facts returns what the zone's status reports besides the configuration;
-	// nil reports the configuration alone.
+	// Facts returns what the zone's status reports besides the configuration
+	// version. If it is nil, the status reports the version alone.
 	Facts func() runtime.ZoneFacts
-	// Terms default to config.DefaultTerms.
+	// Terms is the timing of the reader lease; zero means config.DefaultTerms.
 	Terms config.Terms
 	Scope tally.Scope
 	Log   log.Logger
 }
 
-// Spread keeps the configuration in force on this entry VM and passes it on.
-// It implements seam.Configs.
+// Spread keeps the configuration of this entry VM up to date and serves it to
+// peers. It implements seam.Configs and is safe for concurrent use.
 type Spread struct {
 	config Config
 	self   seam.Member
 	log    log.Logger
 	scope  tally.Scope
 
-	// adopting serialises changes of the set, so that snapshots are published
-	// in order of version.
-	adopting    sync.Mutex
-	open        bool // snapshots may be published
+	// adoptMu serializes changes of the set, so that snapshots are published in
+	// order of version. It guards the fields up to subscribers.
+	adoptMu     sync.Mutex
+	publishing  bool // sets are compiled and published
 	compiled    *compiled
 	compiledSet *config.Set
 	subscribers []func(*routing.Snapshot)
@@ -58,16 +58,16 @@
 	set      atomic.Pointer[config.Set]
 	snapshot atomic.Pointer[routing.Snapshot]
 
-	lease     leaseHolder
-	offers    offers
-	patience  patience
-	announce  chan int64
-	confirmed atomic.Int64 // unix nanoseconds of the last word from outside
+	lease        guardedLease
+	peerVersions peerVersions
+	deltaTimeout deltaTimeout
+	announce     chan int64
+	confirmed    atomic.Int64 // Unix time in nanoseconds of the last confirm
 }
 
 var _ seam.Configs = (*Spread)(nil)
 
-// New returns a Spread with no configuration yet.
+// New returns a Spread that has no configuration until Run has obtained one.
 func New(c Config) (*Spread, error) {
 	switch {
 	case c.Platform == nil:
@@ -96,12 +96,12 @@
 	}
 	s.set.Store(new(config.Set))
 	s.lease.lease = config.NewLease(self.VM, self.Incarnation, c.Terms)
-	s.offers.init()
+	s.peerVersions.init()
 	return s, nil
 }
 
-// Run starts from peers and platform, then keeps the configuration fresh until
-// ctx ends. The reader lease, if held, is given up at the end.
+// Run obtains a first configuration from peers and the platform, then keeps it
+// up to date until ctx ends. It releases the reader lease, if held, at the end.
 func (s *Spread) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return s.fetchLoop(ctx) })
@@ -126,7 +126,7 @@
 // Snapshot implements seam.Configs.
 func (s *Spread) Snapshot() *routing.Snapshot { return s.snapshot.Load() }
 
-// Version returns the version in force; 0 before the first.
+// Version returns the version of the snapshot in force, or 0 before the first.
 func (s *Spread) Version() int64 {
 	if snapshot := s.snapshot.Load(); snapshot != nil {
 		return snapshot.Version
@@ -134,16 +134,16 @@
 	return 0
 }
 
-// Subscribe implements seam.Configs. f must return soon: it holds up later
-// versions.
+// Subscribe implements seam.Configs. The function f must return quickly, because
+// it delays later versions.
 func (s *Spread) Subscribe(f func(*routing.Snapshot)) {
-	s.adopting.Lock()
-	defer s.adopting.Unlock()
+	s.adoptMu.Lock()
+	defer s.adoptMu.Unlock()
 	s.subscribers = append(s.subscribers, f)
 }
 
-// Object returns a stored object of a spread kind, for parts that need more
-// than the snapshot carries. Its value must not be changed.
+// Object returns a stored object of a kind in SyncedKinds, for callers that need
+// more than the snapshot contains. The value must not be modified.
 func (s *Spread) Object(kind, name string) (objects.Object, bool) {
 	o, ok := s.set.Load().Get(config.ID{Kind: kind, Name: name})
 	if !ok {
@@ -152,73 +152,77 @@
 	return objects.Object{Kind: o.Kind, Name: o.Name, Version: o.Version, Value: o.Value}, true
 }
 
-// Problems returns the stored objects that are left out of the snapshot.
+// Problems returns the stored objects, and parts of objects, that are left out
+// of the snapshot.
 func (s *Spread) Problems() []*Problem {
-	s.adopting.Lock()
-	defer s.adopting.Unlock()
+	s.adoptMu.Lock()
+	defer s.adoptMu.Unlock()
 	if s.compiled == nil {
 		return nil
 	}
 	return s.compiled.problems
 }
 
-// Leader says whether this entry VM holds its zone's reader lease now, and the
-// epoch that must go into what it writes as the holder.
+// Leader reports whether this entry VM holds its zone's reader lease, and the
+// epoch of the lease, which must be part of everything that the holder writes.
 func (s *Spread) Leader() (epoch int64, leading bool) {
 	return s.lease.holding(time.Now())
 }
 
-// source says where a configuration came from; it tags counters.
+// source is the origin of a configuration, used as a metric tag.
 type source string
 
 const (
-	fromPlatform source = "platform"
-	fromZone     source = "zone"
-	fromOther    source = "other_zone"
+	sourcePlatform  source = "platform"
+	sourceZone      source = "zone"
+	sourceOtherZone source = "other_zone"
 )
 
-// adopt offers a change to the set and publishes what comes of it.
+// adopt applies a change to the set and publishes the result, if it differs. A
+// change that came from outside the zone is announced to the zone.
 func (s *Spread) adopt(from source, change func(*config.Set) (*config.Set, config.Verdict)) config.Verdict {
-	s.adopting.Lock()
-	defer s.adopting.Unlock()
+	s.adoptMu.Lock()
+	defer s.adoptMu.Unlock()
 	current := s.set.Load()
 	next, verdict := change(current)
 	s.scope.Tagged(map[string]string{"source": string(from), "verdict": string(verdict)}).Counter("offers").Inc(1)
 	if verdict == config.SumMismatch {
-		level.Warn(s.log).Log("msg", "configuration offered does not add up; fetching the whole", "source", from, "version", current.Version())
+		level.Warn(s.log).Log("msg", "configuration from a peer does not match its checksum", "source", from, "version", current.Version())
 	}
 	if next == current {
 		return verdict
 	}
 	s.set.Store(next)
 	s.publish()
-	if from != fromZone {
-		s.tell(next.Version())
+	if from != sourceZone {
+		s.queueAnnouncement(next.Version())
 	}
 	return verdict
 }
 
-// publish compiles the set and puts it in force; adopting must be held.
+// publish compiles the set and puts the snapshot in force. adoptMu must be held.
 func (s *Spread) publish() {
 	set := s.set.Load()
-	if !s.open || set.Version() == 0 {
+	if !s.publishing || set.Version() == 0 {
 		return
 	}
-	begun := time.Now()
+	start := time.Now()
 	s.compiled = compile(set, s.compiledSet, s.compiled)
 	s.compiledSet = set
-	s.report(time.Since(begun))
+	s.report(time.Since(start))
 	s.snapshot.Store(s.compiled.snapshot)
 	for _, f := range s.subscribers {
 		f(s.compiled.snapshot)
 	}
 }
 
-// openUp lets snapshots be published from now on.
-func (s *Spread) openUp() {
-	s.adopting.Lock()
-	defer s.adopting.Unlock()
-	s.open = true
+// startPublishing publishes the current set and, from then on, every later one.
+// Until it is called, a set fetched from a peer is not put in force, because the
+// platform may have a higher version.
+func (s *Spread) startPublishing() {
+	s.adoptMu.Lock()
+	defer s.adoptMu.Unlock()
+	s.publishing = true
 	s.publish()
 }
 
@@ -235,10 +239,11 @@
 	}
 }
 
-// confirm notes that something outside this process vouched for the version.
+// confirm records that the platform or a peer has just answered, or that a peer has
+// reported a version that is not lower than the current one.
 func (s *Spread) confirm() { s.confirmed.Store(time.Now().UnixNano()) }
 
-// unconfirmedFor returns how long nothing outside vouched for the version.
+// unconfirmedFor returns the time since the last confirm.
 func (s *Spread) unconfirmedFor() time.Duration {
 	return time.Since(time.Unix(0, s.confirmed.Load()))
 }
--- a/node/dynamic/fleet_test.go
+++ b/node/dynamic/fleet_test.go
@@ -24,93 +24,95 @@
 	"heatherlock/steering/routing"
 )
 
-// fleet is a set of nodes in one process, joined by function calls, with the
+// fleet is a set of nodes in one process, connected by function calls, with the
 // stand-in as their platform. It runs under synctest.
 type fleet struct {
-	t      testing.TB
-	store  *standin.Store
-	mu     sync.Mutex
-	nodes  map[string]*life // by peer address
-	cut    map[[2]steering.Zone]bool
-	lives  int
-	tamper func(*peerpb.FetchConfigReply)
-	facts  func() runtime.ZoneFacts
-	// announced is told of each announcement that arrived.
-	announced func(from *life)
-}
-
-// life is one process life of a node.
-type life struct {
-	fleet  *fleet
-	self   seam.Member
-	spread *Spread
-	stop   context.CancelFunc
-	done   chan struct{}
-	high   int64 // highest version that this life had in force
-	gate   gate
-}
-
-// gate holds up everything a process does towards the outside while it is
-// shut, before and after each call: the process is paused.
+	t         testing.TB
+	store     *standin.Store
+	mu        sync.Mutex
+	nodes     map[string]*fleetNode // by peer address
+	cut       map[[2]steering.Zone]bool
+	starts    int
+	editReply func(*peerpb.FetchConfigReply)
+	facts     func() runtime.ZoneFacts
+	// onAnnounce, if not nil, is called with the sender of each announcement
+	// that has reached its peer.
+	onAnnounce func(from *fleetNode)
+}
+
+// fleetNode is a node of a fleet. Each start begins a new process life, with a new
+// Spread and a new incarnation.
+type fleetNode struct {
+	fleet      *fleet
+	self       seam.Member
+	spread     *Spread
+	stop       context.CancelFunc
+	done       chan struct{}
+	maxVersion int64 // highest version in force in this process life
+	gate       gate
+}
+
+// gate simulates a paused process: while it is closed, it blocks the node's calls to
+// the platform and to peers, before and after each call.
 type gate struct {
-	mu   sync.Mutex
-	shut chan struct{} // nil while open
+	mu       sync.Mutex
+	reopened chan struct{} // closed when the gate opens; nil while it is open
 }
 
 func (g *gate) pass() {
 	g.mu.Lock()
-	shut := g.shut
+	reopened := g.reopened
 	g.mu.Unlock()
-	if shut != nil {
-		<-shut
+	if reopened != nil {
+		<-reopened
 	}
 }
 
 func (g *gate) isOpen() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.shut == nil
+	return g.reopened == nil
 }
 
 func (g *gate) close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.shut = make(chan struct{})
+	g.reopened = make(chan struct{})
 }
 
 func (g *gate) open() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	close(g.shut)
-	g.shut = nil
+	close(g.reopened)
+	g.reopened = nil
 }
 
-// gated is the platform as a process that may be paused sees it.
-type gated struct {
+// pausablePlatform is the platform client of a process that may be paused.
+type pausablePlatform struct {
 	objects.API
 	gate *gate
 }
 
-func (g gated) Get(ctx context.Context, kind, name string) (objects.Object, error) {
+func (g pausablePlatform) Get(ctx context.Context, kind, name string) (objects.Object, error) {
 	g.gate.pass()
 	defer g.gate.pass()
 	return g.API.Get(ctx, kind, name)
 }
 
-func (g gated) Update(ctx context.Context, kind, name string, version int64, value json.RawMessage) (objects.Object, error) {
+func (g pausablePlatform) Update(ctx context.Context, kind, name string, version int64, value json.RawMessage) (objects.Object, error) {
 	g.gate.pass()
 	defer g.gate.pass()
 	return g.API.Update(ctx, kind, name, version, value)
 }
 
-func (g gated) Watch(ctx context.Context, since int64, wait time.Duration, kinds ...string) ([]objects.Event, int64, error) {
+func (g pausablePlatform) Watch(ctx context.Context, since int64, wait time.Duration, kinds ...string) ([]objects.Event, int64, error) {
 	g.gate.pass()
 	defer g.gate.pass()
 	return g.API.Watch(ctx, since, wait, kinds...)
 }
 
 func newFleet(t testing.TB, zones, perZone int) *fleet {
-	f := &fleet{t: t, store: standin.NewStore(standin.Options{}), nodes: map[string]*life{}, cut: map[[2]steering.Zone]bool{}}
+	f := &fleet{t: t, store: standin.NewStore(standin.Options{}), nodes: map[string]*fleetNode{}, cut: map[[2]steering.Zone]bool{}}
 	for z := range zones {
 		for n := range perZone {
 			f.add(fmt.Sprintf("zone-%d", z), fmt.Sprintf("vm-%d-%d", z, n))
@@ -120,8 +122,8 @@
 }
 
 // add registers a node without starting it.
-func (f *fleet) add(zone, vm string) *life {
-	m := &life{fleet: f}
+func (f *fleet) add(zone, vm string) *fleetNode {
+	m := &fleetNode{fleet: f}
 	m.self = seam.Member{VM: steering.VM(vm), Zone: steering.Zone(zone), Region: "norte", PeerAddress: vm + ":1"}
 	f.nodes[m.self.PeerAddress] = m
 	return m
@@ -134,45 +136,46 @@
 }
 
 // start begins a new process life.
-func (m *life) start() {
+func (m *fleetNode) start() {
 	f := m.fleet
 	f.mu.Lock()
-	f.lives++
-	m.self.Incarnation = steering.Incarnation(fmt.Sprintf("life%d", f.lives))
+	f.starts++
+	m.self.Incarnation = steering.Incarnation(fmt.Sprintf("life%d", f.starts))
 	f.mu.Unlock()
 	spread, err := New(Config{
-		Platform: gated{f.store.As(string(m.self.VM), string(m.self.Zone)), &m.gate},
+		Platform: pausablePlatform{f.store.As(string(m.self.VM), string(m.self.Zone)), &m.gate},
 		Members:  m,
 		Facts:    f.facts,
-		Peer:     func(address string) peerpb.Peer { return &link{from: m, to: address} },
+		Peer:     func(address string) peerpb.Peer { return &fleetPeer{from: m, to: address} },
 	})
 	assert.NilError(f.t, err)
 	spread.Subscribe(func(snapshot *routing.Snapshot) {
-		if snapshot.Version < m.high && m.spread == spread {
-			f.t.Errorf("%s went back from version %d to %d", m.self.VM, m.high, snapshot.Version)
+		if snapshot.Version < m.maxVersion && m.spread == spread {
+			f.t.Errorf("%s: version decreased from %d to %d", m.self.VM, m.maxVersion, snapshot.Version)
 		}
-		m.high = snapshot.Version
+		m.maxVersion = snapshot.Version
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	f.mu.Lock()
 	m.spread, m.stop, m.done = spread, cancel, make(chan struct{})
-	m.high = 0
+	m.maxVersion = 0
 	done := m.done
 	f.mu.Unlock()
 	go func() {
 		defer close(done)
-		go m.beat(ctx, spread)
+		go m.heartbeatLoop(ctx, spread)
 		assert.Check(f.t, spread.Run(ctx))
 	}()
 }
 
-// kill ends the process life.
-func (m *life) kill() {
+// kill ends the process life and waits until Run has returned.
+func (m *fleetNode) kill() {
 	m.stop()
 	<-m.done
 }
 
-// killAll ends every node; a paused one has to run on to notice.
+// killAll kills every node. It resumes paused nodes first, since they would not
+// notice otherwise.
 func (f *fleet) killAll() {
 	for _, m := range f.nodes {
 		if !m.gate.isOpen() {
@@ -184,10 +187,11 @@
 	}
 }
 
-// beat stands for package member: once a second each node exchanges versions
-// with one of its zone, and the zone's first node with one of each other zone.
-func (m *life) beat(ctx context.Context, spread *Spread) {
-	for pause(ctx, time.Second) == nil {
+// heartbeatLoop replaces package member: once a second each node exchanges versions
+// with a random node of its zone, and the first node of each zone also with one of
+// every other zone.
+func (m *fleetNode) heartbeatLoop(ctx context.Context, spread *Spread) {
+	for sleep(ctx, time.Second) == nil {
 		byZone := map[steering.Zone][]seam.Member{}
 		for _, o := range m.All() {
 			byZone[o.Zone] = append(byZone[o.Zone], o)
@@ -195,15 +199,15 @@
 		own := byZone[m.self.Zone]
 		for _, members := range byZone {
 			if members[0].Zone == m.self.Zone || own[0].VM == m.self.VM {
-				m.exchange(spread, members[rand.IntN(len(members))].PeerAddress)
+				m.exchangeVersions(spread, members[rand.IntN(len(members))].PeerAddress)
 			}
 		}
 	}
 }
 
-func (m *life) exchange(spread *Spread, address string) {
+func (m *fleetNode) exchangeVersions(spread *Spread, address string) {
 	m.gate.pass()
-	peer, err := m.fleet.reach(m, address)
+	peer, err := m.fleet.connect(m, address)
 	if err != nil || !m.fleet.nodes[address].gate.isOpen() {
 		return
 	}
@@ -211,7 +215,9 @@
 	peer.OnConfigVersion(m.self.PeerAddress, spread.set.Load().Version())
 }
 
-func (f *fleet) reach(from *life, address string) (*Spread, error) {
+// connect returns the Spread at a peer address, or an error if the address cannot be
+// reached from a node.
+func (f *fleet) connect(from *fleetNode, address string) (*Spread, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	to, ok := f.nodes[address]
@@ -221,7 +227,7 @@
 	return to.spread, nil
 }
 
-// cutZones cuts two zones off from each other, or heals them.
+// cutZones breaks the connection between two zones, or restores it.
 func (f *fleet) cutZones(a, b steering.Zone, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -229,17 +235,19 @@
 	f.cut[[2]steering.Zone{b, a}] = on
 }
 
-// Members as package member would give them.
+// The methods below implement seam.Members, which package member provides otherwise.
 
-func (m *life) Self() seam.Member { return m.self }
+func (m *fleetNode) Self() seam.Member { return m.self }
 
-func (m *life) All() []seam.Member { return m.where(func(seam.Member) bool { return true }) }
+func (m *fleetNode) All() []seam.Member {
+	return m.membersWhere(func(seam.Member) bool { return true })
+}
 
-func (m *life) InZone(zone steering.Zone) []seam.Member {
-	return m.where(func(o seam.Member) bool { return o.Zone == zone })
+func (m *fleetNode) InZone(zone steering.Zone) []seam.Member {
+	return m.membersWhere(func(o seam.Member) bool { return o.Zone == zone })
 }
 
-func (m *life) where(match func(seam.Member) bool) []seam.Member {
+func (m *fleetNode) membersWhere(match func(seam.Member) bool) []seam.Member {
 	m.fleet.mu.Lock()
 	defer m.fleet.mu.Unlock()
 	var found []seam.Member
@@ -252,68 +260,72 @@
 	return found
 }
 
-func (m *life) ByIncarnation(steering.Incarnation) (seam.Member, bool) { return seam.Member{}, false }
-func (m *life) Evidence(steering.VM, bool)                             {}
+func (m *fleetNode) ByIncarnation(steering.Incarnation) (seam.Member, bool) {
+	return seam.Member{}, false
+}
+func (m *fleetNode) Evidence(steering.VM, bool) {}
 
-// arrive waits while the process at an address is paused, as a call to it does.
-func (f *fleet) arrive(ctx context.Context, address string) error {
+// waitWhilePaused blocks while the process at an address is paused, as a call to it
+// would.
+func (f *fleet) waitWhilePaused(ctx context.Context, address string) error {
 	f.mu.Lock()
 	gate := &f.nodes[address].gate
 	f.mu.Unlock()
 	gate.mu.Lock()
-	shut := gate.shut
+	reopened := gate.reopened
 	gate.mu.Unlock()
-	if shut == nil {
+	if reopened == nil {
 		return nil
 	}
 	select {
-	case <-shut:
+	case <-reopened:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// link is a peer client.
-type link struct {
+// fleetPeer is a peer client that calls the other node directly.
+type fleetPeer struct {
 	peerpb.Peer
-	from *life
+	from *fleetNode
 	to   string
 }
 
-func (l *link) Announce(ctx context.Context, in *peerpb.AnnounceRequest) (*peerpb.AnnounceReply, error) {
+func (l *fleetPeer) Announce(ctx context.Context, in *peerpb.AnnounceRequest) (*peerpb.AnnounceReply, error) {
 	l.from.gate.pass()
-	peer, err := l.from.fleet.reach(l.from, l.to)
+	peer, err := l.from.fleet.connect(l.from, l.to)
 	if err != nil {
 		return nil, err
 	}
-	if err := l.from.fleet.arrive(ctx, l.to); err != nil {
+	if err := l.from.fleet.waitWhilePaused(ctx, l.to); err != nil {
 		return nil, err
 	}
 	reply, err := peer.Announce(ctx, in)
-	if l.from.fleet.announced != nil {
-		l.from.fleet.announced(l.from)
+	if l.from.fleet.onAnnounce != nil {
+		l.from.fleet.onAnnounce(l.from)
 	}
 	return reply, err
 }
 
-func (l *link) FetchConfig(ctx context.Context, in *peerpb.FetchConfigRequest) (*peerpb.FetchConfigReply, error) {
+func (l *fleetPeer) FetchConfig(ctx context.Context, in *peerpb.FetchConfigRequest) (*peerpb.FetchConfigReply, error) {
 	l.from.gate.pass()
-	peer, err := l.from.fleet.reach(l.from, l.to)
+	peer, err := l.from.fleet.connect(l.from, l.to)
 	if err != nil {
 		return nil, err
 	}
-	if err := l.from.fleet.arrive(ctx, l.to); err != nil {
+	if err := l.from.fleet.waitWhilePaused(ctx, l.to); err != nil {
 		return nil, err
 	}
 	reply, err := peer.FetchConfig(ctx, in)
-	if err == nil && l.from.fleet.tamper != nil {
-		l.from.fleet.tamper(reply)
+	if err == nil && l.from.fleet.editReply != nil {
+		l.from.fleet.editReply(reply)
 	}
 	return reply, err
 }
 
-// operator writes as an operator's client would, past every fault.
+// operator returns a platform client of an operator. It belongs to no zone that is
+// cut off.
 func (f *fleet) operator() objects.API { return f.store.As("operator", "nowhere") }
 
 func (f *fleet) put(kind, name, value string) int64 {
@@ -332,16 +344,16 @@
 	return fmt.Sprintf(`{"kind":"Service","metadata":{"name":"tickets"},"spec":{"timeoutMs":%d}}`, timeoutMs)
 }
 
-// inForce fails unless every node has at least the version.
-func (f *fleet) inForce(version int64) {
+// requireVersion fails unless every node has the version or a later one in force.
+func (f *fleet) requireVersion(version int64) {
 	f.t.Helper()
 	for _, m := range f.nodes {
 		assert.Assert(f.t, m.spread.Version() >= version, "%s has version %d, want %d", m.self.VM, m.spread.Version(), version)
 	}
 }
 
-// agree fails unless all nodes hold the same set.
-func (f *fleet) agree() {
+// requireSameSet fails unless all nodes have the same set.
+func (f *fleet) requireSameSet() {
 	f.t.Helper()
 	var first *config.Set
 	for _, m := range f.nodes {
@@ -354,9 +366,9 @@
 	}
 }
 
-// readers returns the nodes that hold a lease.
-func (f *fleet) readers() []*life {
-	var found []*life
+// readers returns the nodes that hold the reader lease of their zone.
+func (f *fleet) readers() []*fleetNode {
+	var found []*fleetNode
 	for _, m := range f.nodes {
 		if _, leading := m.spread.Leader(); leading {
 			found = append(found, m)
@@ -365,8 +377,8 @@
 	return found
 }
 
-// readerOf returns the node that reads for a zone.
-func (f *fleet) readerOf(zone steering.Zone) *life {
+// readerOf returns the node that holds the reader lease of a zone.
+func (f *fleet) readerOf(zone steering.Zone) *fleetNode {
 	for _, m := range f.readers() {
 		if m.self.Zone == zone {
 			return m
@@ -376,16 +388,17 @@
 	return nil
 }
 
-// running starts a fleet with one service and waits until it has settled.
-func running(t testing.TB, zones, perZone int) *fleet {
+// startedFleet starts a fleet with one service and waits until every zone has a
+// reader.
+func startedFleet(t testing.TB, zones, perZone int) *fleet {
 	f := newFleet(t, zones, perZone)
 	f.put(KindService, "tickets", serviceValue(1000))
 	f.startAll()
-	time.Sleep(settled)
+	time.Sleep(settleTime)
 	assert.Equal(t, len(f.readers()), zones)
 	return f
 }
 
-// settled is the time in which a reader is found after any fault ends: a term,
-// a few polls and the longest pause after failures.
-const settled = 30 * time.Second
+// settleTime is the time within which every zone has a reader after any fault has
+// ended: the TTL of a lease, a few polls and the longest backoff after failures.
+const settleTime = 30 * time.Second
--- a/node/dynamic/golden_internal_test.go
+++ b/node/dynamic/golden_internal_test.go
@@ -23,7 +23,8 @@
 	"heatherlock/steering/routing"
 )
 
-// keeper is a platform that keeps the text of the last write, and gives out a value.
+// keeper is a fake platform that records the text of the last write and returns a fixed
+// value.
 type keeper struct {
 	objects.API
 	written string
@@ -49,7 +50,7 @@
 	return []objects.Object{{Kind: kinds[0], Value: s.value}}, 42, s.err
 }
 
-// alone is a view in which there is no other entry VM.
+// alone is a membership without any other entry VM.
 type alone struct{ seam.Members }
 
 func (alone) Self() seam.Member {
@@ -63,7 +64,7 @@
 	return s
 }
 
-// valueIn returns the value in what was written: the second line.
+// valueIn returns the value in a golden file of a write: the second line.
 func valueIn(t *testing.T, name string) json.RawMessage {
 	t.Helper()
 	_, value, found := bytes.Cut(golden.Get(t, name), []byte("\n"))
@@ -89,8 +90,8 @@
 	assert.Equal(t, s.lease.holder(), steering.VM("vm-2"))
 }
 
-// Guards against a status of a zone that operators are shown in part, or that a reader of an
-// older epoch writes over.
+// Guards against a zone status that is decoded in part only, so that operators see an
+// incomplete one, or that a reader of an older epoch overwrites.
 func TestGoldenZoneStatus(t *testing.T) {
 	full := runtime.ZoneStatus{Zone: "norte-a", Region: "norte", Writer: "vm-1", Epoch: 11, WrittenAt: time.Date(2026, 1, 2, 3, 4, 5, 678000000, time.UTC), ConfigVersion: 12,
 		Members:  []runtime.MemberStatus{{VM: "vm-2", State: "live", ConfigVersion: 13, InFlight: 14, AgeMs: 15}},
@@ -113,9 +114,10 @@
 	}
 }
 
-// Guards against shards that entry VMs of another version cannot join: their callers would
-// have no home. What is packed is read and not compared, since zstd may pack it otherwise in
-// another release; the names of shards are hashes of what is in them.
+// Guards against shards that entry VMs of another version cannot join, so that their callers
+// would have no home place. The compressed bytes are decoded and not compared, since another
+// release of zstd may compress them differently. The names of shards contain hashes of their
+// content.
 func TestGoldenShards(t *testing.T) {
 	whole := &oas.ClientBlocks{Kind: "ClientBlocks", Metadata: oas.Metadata{Name: "clients", ChangedBy: oas.NewOptString("ana"), WriteId: oas.NewOptString("w-1")}}
 	for n := range 5 {
@@ -126,7 +128,7 @@
 	assert.Equal(t, len(small.Shards), 0)
 	golden.Assert(t, string(small.Manifest)+"\n", "golden/blocks-whole.json")
 
-	split, err := sharding{whole: 10, mean: 1 << 40, most: 2}.split(whole)
+	split, err := sharding{whole: 10, meanBlocks: 1 << 40, maxBlocks: 2}.split(whole)
 	assert.NilError(t, err)
 	golden.Assert(t, string(split.Manifest)+"\n", "golden/blocks-manifest.json")
 	names := ""
@@ -156,8 +158,9 @@
 	}
 }
 
-// Guards against stored objects of which a field is lost on the way into the configuration in
-// force. The objects are those that package check and the drivers and holders pin.
+// Guards against a field of a stored object that is lost when the object is compiled into a
+// snapshot. The objects are those in the golden files of packages check, shiftdriver and
+// capshare.
 func TestGoldenCompiled(t *testing.T) {
 	parts, err := check.Split(bytes.NewReader(golden.Get(t, "../../../api/check/testdata/golden/objects.json")))
 	assert.NilError(t, err)
@@ -201,9 +204,9 @@
 		Seats: []routing.CapSeat{{VM: "vm-1", Incarnation: "i1", Permits: 5}, {VM: "vm-2", Incarnation: "i2", Permits: 7}}}})
 }
 
-// Guards against kinds of object that are stored under another name, where nobody finds them.
+// Guards against a changed name of a kind, under which stored objects would not be found.
 func TestGoldenKinds(t *testing.T) {
-	assert.DeepEqual(t, SpreadKinds(), []string{"Service", "Place", "ClientBlocks", "Shift", "Cap", "PlannedStop", "ClientBlocksShard", "ShiftProgress", "CapSeats"})
+	assert.DeepEqual(t, SyncedKinds(), []string{"Service", "Place", "ClientBlocks", "Shift", "Cap", "PlannedStop", "ClientBlocksShard", "ShiftProgress", "CapSeats"})
 	assert.Equal(t, KindLease, "Lease")
 	assert.Equal(t, runtime.KindZoneStatus, "ZoneStatus")
 }
--- a/node/dynamic/kinds.go
+++ b/node/dynamic/kinds.go
@@ -2,7 +2,7 @@
 
 import "heatherlock/steering/routing"
 
-// Kinds of object that spread to every node.
+// Kinds of stored objects.
 const (
 	KindService      = "Service"
 	KindPlace        = "Place"
@@ -10,20 +10,22 @@
 	KindShift        = "Shift"
 	KindCap          = "Cap"
 	KindPlannedStop  = "PlannedStop"
-	// KindShard holds a part of a ClientBlocks object that is too big for one
-	// value.
+	// KindShard holds a part of the blocks of a ClientBlocks object that is too
+	// big for one value.
 	KindShard = "ClientBlocksShard"
-	// KindShiftProgress holds the percent a shift has moved; its name is the
-	// shift's.
+	// KindShiftProgress holds the percentage that a shift has moved. The object
+	// has the name of the shift.
 	KindShiftProgress = routing.KindShiftProgress
-	// KindCapSeats holds the seats of a cap; its name is the cap's.
+	// KindCapSeats holds the division of a cap's permits among entry VMs. The
+	// object has the name of the cap.
 	KindCapSeats = routing.KindCapSeats
-	// KindLease holds the reader lease of a zone and is not spread.
+	// KindLease holds the reader lease of a zone. It is the only kind here that
+	// is not in SyncedKinds.
 	KindLease = "Lease"
 )
 
-// SpreadKinds returns the kinds that spread to every node.
-func SpreadKinds() []string {
+// SyncedKinds returns the kinds that every entry VM keeps a copy of.
+func SyncedKinds() []string {
 	return []string{
 		KindService, KindPlace, KindClientBlocks, KindShift, KindCap, KindPlannedStop,
 		KindShard, KindShiftProgress, KindCapSeats,
--- a/node/dynamic/lease.go
+++ b/node/dynamic/lease.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	// leaseTimeout bounds a call on the lease.
+	// leaseTimeout limits one platform call for the lease.
 	leaseTimeout = 2 * time.Second
-	// candidates is how many members of a zone, besides the holder, look
-	// after the lease.
-	candidates = 2
-	// leasePrefix names the lease object of a zone.
+	// leaseCandidates is how many members of a zone, besides the holder, poll
+	// the lease and try to acquire it.
+	leaseCandidates = 2
+	// leasePrefix precedes the zone in the name of its lease object.
 	leasePrefix = "zone-reader."
 )
 
-// LeaseName returns the name of a zone's reader lease.
+// LeaseName returns the name of the object that holds a zone's reader lease.
 func LeaseName(zone steering.Zone) string { return leasePrefix + string(zone) }
 
-// leaseHolder guards a lease and tells when holding it starts and ends.
-type leaseHolder struct {
+// guardedLease protects a lease with a mutex and signals its updates.
+type guardedLease struct {
 	mu      sync.Mutex
 	lease   *config.Lease
-	changed chan struct{} // closed when holding may have changed
+	changed chan struct{} // closed by the next update; nil if nobody waits
 }
 
-func (h *leaseHolder) do(f func(*config.Lease)) {
+func (h *guardedLease) update(f func(*config.Lease)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	f(h.lease)
@@ -44,19 +44,19 @@
 	}
 }
 
-func (h *leaseHolder) holding(now time.Time) (int64, bool) {
+func (h *guardedLease) holding(now time.Time) (int64, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.lease.Holding(now)
 }
 
-func (h *leaseHolder) holder() steering.VM {
+func (h *guardedLease) holder() steering.VM {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.lease.Holder()
 }
 
-func (h *leaseHolder) changes() <-chan struct{} {
+func (h *guardedLease) changes() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.changed == nil {
@@ -65,9 +65,10 @@
 	return h.changed
 }
 
-// waitForChange waits until something happened to the lease, or for a time.
-func (h *leaseHolder) waitForChange(ctx context.Context, most time.Duration) error {
-	timer := time.NewTimer(most)
+// waitForChange waits until the lease is updated or maxWait has passed. It returns
+// an error only if ctx ends first.
+func (h *guardedLease) waitForChange(ctx context.Context, maxWait time.Duration) error {
+	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -78,9 +79,9 @@
 	return nil
 }
 
-// whileHeld returns a context that ends when the lease does, or nil when it is
-// not held now.
-func (h *leaseHolder) whileHeld(ctx context.Context) (context.Context, context.CancelFunc) {
+// whileHeld returns a context that ends when the lease is lost or expires, or nil
+// if the lease is not held.
+func (h *guardedLease) whileHeld(ctx context.Context) (context.Context, context.CancelFunc) {
 	if _, held := h.holding(time.Now()); !held {
 		return nil, nil
 	}
@@ -99,20 +100,21 @@
 	return ctx, cancel
 }
 
-// leaseLoop takes part in the zone's reader lease.
+// leaseLoop acquires and renews the zone's reader lease until ctx ends, then
+// releases it.
 func (s *Spread) leaseLoop(ctx context.Context) error {
 	defer s.releaseLease(context.WithoutCancel(ctx))
 	for {
 		var action config.Action
 		candidate := s.isCandidate()
-		s.lease.do(func(l *config.Lease) { action = l.Next(time.Now(), candidate) })
+		s.lease.update(func(l *config.Lease) { action = l.Next(time.Now(), candidate) })
 		switch action.Step {
 		case config.Read:
 			s.readLease(ctx)
 		case config.Write:
 			s.writeLease(ctx, action)
 		case config.Wait:
-			if err := pause(ctx, jittered(max(time.Until(action.At), 0))); err != nil {
+			if err := sleep(ctx, jittered(max(time.Until(action.At), 0))); err != nil {
 				return err
 			}
 		}
@@ -122,9 +124,10 @@
 	}
 }
 
-// isCandidate says whether this entry VM is among the first of its zone, the
-// holder left aside. Every node judges by its own view; two views that differ
-// cost a few readings, and the conditional write lets one through.
+// isCandidate reports whether this entry VM is among the first leaseCandidates
+// members of its zone, not counting the holder. Every entry VM decides from its
+// own view of the members. If two views differ, a few more reads are made, and
+// the conditional write lets only one candidate acquire the lease.
 func (s *Spread) isCandidate() bool {
 	holder := s.lease.holder()
 	vms := []steering.VM{s.self.VM}
@@ -133,7 +136,7 @@
 			vms = append(vms, m.VM)
 		}
 	}
-	for _, vm := range ownership.First("", steering.Service(LeaseName(s.self.Zone)), vms, candidates) {
+	for _, vm := range ownership.First("", steering.Service(LeaseName(s.self.Zone)), vms, leaseCandidates) {
 		if vm == s.self.VM {
 			return true
 		}
@@ -142,24 +145,24 @@
 }
 
 func (s *Spread) readLease(ctx context.Context) {
-	limited, cancel := context.WithTimeout(ctx, leaseTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
-	stored, err := s.config.Platform.Get(limited, KindLease, LeaseName(s.self.Zone))
+	stored, err := s.config.Platform.Get(callCtx, KindLease, LeaseName(s.self.Zone))
 	if err != nil && objects.KindOf(err) != objects.NotFound {
 		s.leaseFailed("read", err)
 		return
 	}
 	var record config.Record
 	if err == nil {
-		if bad := json.Unmarshal(stored.Value, &record); bad != nil {
-			s.leaseFailed("decode", bad)
+		if decodeErr := json.Unmarshal(stored.Value, &record); decodeErr != nil {
+			s.leaseFailed("decode", decodeErr)
 		}
 	}
-	s.lease.do(func(l *config.Lease) { l.Observed(time.Now(), record, stored.Version) })
+	s.lease.update(func(l *config.Lease) { l.Observed(time.Now(), record, stored.Version) })
 }
 
 func (s *Spread) writeLease(ctx context.Context, action config.Action) {
-	limited, cancel := context.WithTimeout(ctx, leaseTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
 	value, err := json.Marshal(action.Record)
 	if err != nil {
@@ -168,18 +171,18 @@
 	}
 	var stored objects.Object
 	if action.Version == 0 {
-		stored, err = s.config.Platform.Create(limited, KindLease, LeaseName(s.self.Zone), value)
+		stored, err = s.config.Platform.Create(callCtx, KindLease, LeaseName(s.self.Zone), value)
 	} else {
-		stored, err = s.config.Platform.Update(limited, KindLease, LeaseName(s.self.Zone), action.Version, value)
+		stored, err = s.config.Platform.Update(callCtx, KindLease, LeaseName(s.self.Zone), action.Version, value)
 	}
 	if err != nil {
 		s.leaseFailed("write", err)
 	}
-	before, had := s.Leader()
-	s.lease.do(func(l *config.Lease) { l.Written(time.Now(), writeResult(err), stored.Version) })
-	if epoch, has := s.Leader(); has && (!had || epoch != before) {
+	previousEpoch, wasHolder := s.Leader()
+	s.lease.update(func(l *config.Lease) { l.Written(time.Now(), writeResult(err), stored.Version) })
+	if epoch, isHolder := s.Leader(); isHolder && (!wasHolder || epoch != previousEpoch) {
 		s.scope.Counter("lease_taken").Inc(1)
-		level.Info(s.log).Log("msg", "reading the platform for the zone", "epoch", epoch)
+		level.Info(s.log).Log("msg", "acquired the zone's reader lease", "epoch", epoch)
 	}
 }
 
@@ -188,8 +191,8 @@
 	level.Debug(s.log).Log("msg", "lease", "step", step, "err", err)
 }
 
-// writeResult maps an error to what it says about the write. An error of no
-// known kind may have come after the effect.
+// writeResult returns the outcome of a write that ended with err. After an error
+// of an unknown kind, the write may have taken effect.
 func writeResult(err error) config.WriteResult {
 	if err == nil {
 		return config.WriteOK
@@ -203,11 +206,12 @@
 	return config.WriteUnknown
 }
 
-// releaseLease lets the next reader start at once instead of after the term.
+// releaseLease releases the lease if it is held, so that the next reader can start
+// at once instead of after the lease has expired.
 func (s *Spread) releaseLease(ctx context.Context) {
 	var action config.Action
 	var held bool
-	s.lease.do(func(l *config.Lease) { action, held = l.Release(time.Now()) })
+	s.lease.update(func(l *config.Lease) { action, held = l.Release(time.Now()) })
 	if held {
 		s.writeLease(ctx, action)
 	}
--- a/node/dynamic/peers.go
+++ b/node/dynamic/peers.go
@@ -18,102 +18,107 @@
 )
 
 const (
-	// fetchTimeout is how long the answer to a fetch of a whole configuration may take to
-	// begin, and to go on. It is some megabytes with every client block, so that no time
-	// for the whole of it holds on every link.
+	// fetchTimeout is how long a fetch of a whole configuration may go without
+	// progress of its response. A configuration with all client blocks has
+	// several megabytes, so no limit on the total time suits every link.
 	fetchTimeout = 5 * time.Second
-	// patienceFirst is the same for a delta. A peer that announced a version
-	// and then stood still would otherwise hold up the fetch from others past
-	// the time in which a change must be in force. After failures the bound
-	// doubles up to fetchTimeout, for deltas too big for a slow link.
-	patienceFirst = 800 * time.Millisecond
-	// fetchPause keeps versions that follow each other quickly from being
-	// fetched one by one.
+	// minDeltaTimeout is the same limit for a delta. With a longer one, a peer
+	// that announced a version and then hung would delay the fetch from other
+	// peers past the time within which a change must be in force. The limit
+	// doubles after each timeout, up to fetchTimeout, for deltas that are too
+	// big for a slow link.
+	minDeltaTimeout = 800 * time.Millisecond
+	// fetchPause is the pause between rounds of fetches. It lets versions that
+	// follow each other quickly be fetched together instead of one by one.
 	fetchPause = 50 * time.Millisecond
-	// announceTimeout bounds an announcement to one member.
+	// announceTimeout limits an announcement to one member.
 	announceTimeout = 500 * time.Millisecond
-	// announceAtOnce bounds the announcements under way.
-	announceAtOnce = 8
-	// offersMost bounds the remembered offers.
-	offersMost = 64
+	// maxConcurrentAnnouncements limits the announcements in flight.
+	maxConcurrentAnnouncements = 8
+	// maxPeerVersions is the number of peers whose versions are remembered.
+	maxPeerVersions = 64
 )
 
-// patience is the bound on fetching a delta. Safe for concurrent use.
-type patience struct{ failures atomic.Int32 }
+// deltaTimeout is the adaptive timeout for fetching a delta. It is safe for
+// concurrent use.
+type deltaTimeout struct{ failures atomic.Int32 }
 
-func (p *patience) get() time.Duration {
-	const mostDoublings = 4
-	return min(fetchTimeout, patienceFirst<<min(p.failures.Load(), mostDoublings))
+func (t *deltaTimeout) get() time.Duration {
+	const maxDoublings = 4
+	return min(fetchTimeout, minDeltaTimeout<<min(t.failures.Load(), maxDoublings))
 }
 
-// note takes the end of a fetch. A refusal comes at once and says nothing about
-// the time that a delta needs.
-func (p *patience) note(ranOut bool) {
-	if ranOut {
-		p.failures.Add(1)
+// record updates the timeout after a fetch: it doubles after one that timed out,
+// and returns to its minimum after any other. A refusal counts as not timed out:
+// it arrives at once and says nothing about the time that a delta needs.
+func (t *deltaTimeout) record(timedOut bool) {
+	if timedOut {
+		t.failures.Add(1)
 		return
 	}
-	p.failures.Store(0)
+	t.failures.Store(0)
 }
 
-// offers remembers who said to have a newer version. Safe for concurrent use.
-type offers struct {
+// peerVersions holds the newer versions that peers have reported. It is safe for
+// concurrent use.
+type peerVersions struct {
 	mu    sync.Mutex
-	at    map[string]int64 // peer address -> version
+	peer  map[string]int64 // highest version reported, by peer address
 	ready chan struct{}
 }
 
-func (o *offers) init() {
-	o.at = map[string]int64{}
-	o.ready = make(chan struct{}, 1)
+func (v *peerVersions) init() {
+	v.peer = map[string]int64{}
+	v.ready = make(chan struct{}, 1)
 }
 
-func (o *offers) add(address string, version int64) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if _, known := o.at[address]; !known && len(o.at) >= offersMost {
+func (v *peerVersions) add(address string, version int64) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if _, known := v.peer[address]; !known && len(v.peer) >= maxPeerVersions {
 		return
 	}
-	o.at[address] = max(o.at[address], version)
+	v.peer[address] = max(v.peer[address], version)
 	select {
-	case o.ready <- struct{}{}:
+	case v.ready <- struct{}{}:
 	default:
 	}
 }
 
-// take removes and returns the best offer above version; among equals the
-// choice is random, so that a zone does not fetch from one member.
-func (o *offers) take(version int64) (address string, ok bool) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	best, equals := version, 0
-	for at, offered := range o.at {
+// take removes and returns the peer with the highest version above the given one,
+// and drops peers that are not newer. Among equal versions the choice is random,
+// so that the entry VMs of a zone do not all fetch from the same member.
+func (v *peerVersions) take(version int64) (address string, ok bool) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	best, ties := version, 0
+	for peer, reported := range v.peer {
 		switch {
-		case offered <= version:
-			delete(o.at, at)
+		case reported <= version:
+			delete(v.peer, peer)
 			continue
-		case offered > best:
-			best, equals = offered, 1
-		case offered == best:
-			equals++
+		case reported > best:
+			best, ties = reported, 1
+		case reported == best:
+			ties++
 		}
-		if offered == best && rand.IntN(equals) == 0 {
-			address = at
+		if reported == best && rand.IntN(ties) == 0 {
+			address = peer
 		}
 	}
-	delete(o.at, address)
+	delete(v.peer, address)
 	return address, address != ""
 }
 
-// OnConfigVersion takes the version that the entry VM at a peer address has in
-// force, as beats carry it. It never blocks.
+// OnConfigVersion handles the version that the entry VM at a peer address reports
+// in a heartbeat or an announcement. It never blocks.
 func (s *Spread) OnConfigVersion(address string, version int64) {
 	current := s.set.Load().Version()
 	if version >= current {
 		s.confirm()
 	}
 	if version > current && address != "" {
-		s.offers.add(address, version)
+		s.peerVersions.add(address, version)
 	}
 }
 
@@ -145,29 +150,30 @@
 	return "no"
 }
 
-// fetchLoop takes newer versions from the peers that offered them.
+// fetchLoop fetches newer versions from the peers that reported them.
 func (s *Spread) fetchLoop(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-s.offers.ready:
+		case <-s.peerVersions.ready:
 		}
 		for {
-			address, ok := s.offers.take(s.set.Load().Version())
+			address, ok := s.peerVersions.take(s.set.Load().Version())
 			if !ok {
 				break
 			}
 			s.fetch(ctx, address)
 		}
-		if err := pause(ctx, fetchPause); err != nil {
+		if err := sleep(ctx, fetchPause); err != nil {
 			return err
 		}
 	}
 }
 
-// fetch takes what the peer at address has. It reports whether the peer
-// answered with something that adds up.
+// fetch fetches the configuration of the peer at address: a delta first, and the
+// whole if the delta does not match its checksum. It reports whether the peer
+// answered with a configuration that matches its checksum.
 func (s *Spread) fetch(ctx context.Context, address string) bool {
 	verdict, err := s.fetchSince(ctx, address, s.set.Load().Version())
 	if err == nil && verdict == config.SumMismatch {
@@ -184,12 +190,12 @@
 func (s *Spread) fetchSince(ctx context.Context, address string, have int64) (config.Verdict, error) {
 	timeout := fetchTimeout
 	if have > 0 {
-		timeout = s.patience.get()
+		timeout = s.deltaTimeout.get()
 	}
 	ctx, stall := platform.WithStallTimeout(ctx, timeout)
 	defer stall.Release()
 	reply, err := s.config.Peer(address).FetchConfig(ctx, &peerpb.FetchConfigRequest{HaveVersion: have})
-	s.patience.note(ctx.Err() != nil)
+	s.deltaTimeout.record(ctx.Err() != nil)
 	if err != nil {
 		return "", stall.Cause(err)
 	}
@@ -210,18 +216,19 @@
 	return offer
 }
 
-// sourceOf tells a peer of this zone from one elsewhere.
+// sourceOf reports whether the peer at address is in this zone.
 func (s *Spread) sourceOf(address string) source {
 	for _, m := range s.config.Members.All() {
 		if m.PeerAddress == address && m.Zone == s.self.Zone {
-			return fromZone
+			return sourceZone
 		}
 	}
-	return fromOther
+	return sourceOtherZone
 }
 
-// tell has a version announced to the zone.
-func (s *Spread) tell(version int64) {
+// queueAnnouncement queues a version for announcement to the zone. It replaces an
+// older one that is still queued.
+func (s *Spread) queueAnnouncement(version int64) {
 	select {
 	case <-s.announce:
 	default:
@@ -232,8 +239,9 @@
 	}
 }
 
-// announceLoop tells the zone's members of versions that came from outside the
-// zone. Beats would tell them too, but one exchange after another.
+// announceLoop announces versions that came from outside the zone to the zone's
+// members. Heartbeats carry the version as well, but reach the members only one
+// exchange after another.
 func (s *Spread) announceLoop(ctx context.Context) error {
 	for {
 		select {
@@ -247,7 +255,7 @@
 
 func (s *Spread) announceTo(ctx context.Context, members []seam.Member, version int64) {
 	group := new(errgroup.Group)
-	group.SetLimit(announceAtOnce)
+	group.SetLimit(maxConcurrentAnnouncements)
 	request := &peerpb.AnnounceRequest{FromVm: vmName(s.self.VM), PeerAddress: s.self.PeerAddress, ConfigVersion: version}
 	for _, m := range members {
 		if m.VM == s.self.VM || m.PeerAddress == "" {
@@ -272,8 +280,8 @@
 	s.OnConfigVersion(address, reply.GetConfigVersion())
 }
 
-// pause waits, or returns ctx's error.
-func pause(ctx context.Context, d time.Duration) error {
+// sleep waits for d. It returns ctx's error if ctx ends first.
+func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -284,7 +292,8 @@
 	}
 }
 
-// jittered spreads what many nodes do at the same interval.
+// jittered returns d plus a random part of up to a quarter of d, so that entry VMs
+// with the same interval do not all act at the same moment.
 func jittered(d time.Duration) time.Duration {
 	return d + time.Duration(rand.Int64N(int64(d)/4+1))
 }
--- a/node/dynamic/reader.go
+++ b/node/dynamic/reader.go
@@ -13,55 +13,59 @@
 )
 
 const (
-	// watchWait is how long a watch waits for a change.
+	// watchWait is how long a watch call waits for a change.
 	watchWait = 25 * time.Second
-	// readPauseFirst and readPauseMost bound the pause after a failed reading.
-	readPauseFirst = 250 * time.Millisecond
-	readPauseMost  = 5 * time.Second
-	// startPeers is how many peers a fresh node asks.
-	startPeers = 3
-	// startAsking bounds the time for asking peers before the platform.
-	startAsking = 6 * time.Second
-	// startSpread is the time over which nodes that start together, and find
-	// no peer with a configuration, begin to read the platform. The first of
-	// them then serve the others.
-	startSpread = 500 * time.Millisecond
-	// startTimeout bounds the wait for the platform when a peer answered: its
-	// configuration is the highest that can be reached.
-	startTimeout = 2 * time.Second
-	// unconfirmedMost is how long a node that is not the reader goes on
-	// without a word from any peer before it asks the platform itself.
-	unconfirmedMost = 30 * time.Second
+	// minReadBackoff and maxReadBackoff bound the delay after a failed read of
+	// the platform.
+	minReadBackoff = 250 * time.Millisecond
+	maxReadBackoff = 5 * time.Second
+	// startReplies is the number of peers whose configuration a starting entry
+	// VM fetches.
+	startReplies = 3
+	// startPeersTimeout limits a round of fetches from peers, which precedes the
+	// read of the platform.
+	startPeersTimeout = 6 * time.Second
+	// startJitter is the time over which entry VMs that start together, and find
+	// no peer with a configuration, spread their reads of the platform. The
+	// first of them then serve the others.
+	startJitter = 500 * time.Millisecond
+	// startReadTimeout limits a read of the platform. It is short because an
+	// entry VM that starts while the platform does not answer should use the
+	// configuration of a peer, which is the highest version it can get.
+	startReadTimeout = 2 * time.Second
+	// maxUnconfirmed is how long an entry VM that does not hold the lease goes
+	// without a message from any peer before it reads the platform itself.
+	maxUnconfirmed = 30 * time.Second
 )
 
-// start takes the highest configuration that peers and platform give. A peer's
-// configuration is completed by the platform's changes since, which is far
-// less to read than a whole list when many nodes start together.
+// start obtains the highest configuration that peers and the platform have. It
+// completes the configuration of a peer with the platform's later changes, which
+// is far less to read than a whole list when many entry VMs start together.
 func (s *Spread) start(ctx context.Context) error {
-	backoff := objects.NewBackoff(readPauseFirst, readPauseMost, nil)
+	backoff := objects.NewBackoff(minReadBackoff, maxReadBackoff, nil)
 	for {
-		if s.askPeers(ctx) && s.set.Load().Version() == 0 {
-			if err := pause(ctx, rand.N(startSpread)); err != nil {
+		if s.fetchFromPeers(ctx) && s.set.Load().Version() == 0 {
+			if err := sleep(ctx, rand.N(startJitter)); err != nil {
 				return err
 			}
-			s.askPeers(ctx)
+			s.fetchFromPeers(ctx)
 		}
 		err := s.readOnce(ctx)
 		if err == nil || s.set.Load().Version() > 0 {
-			s.openUp()
+			s.startPublishing()
 			return nil
 		}
 		level.Warn(s.log).Log("msg", "no configuration yet: neither a peer nor the platform answered", "err", err)
-		if err := pause(ctx, max(backoff.Next(), retryAfter(err))); err != nil {
+		if err := sleep(ctx, max(backoff.Next(), retryAfter(err))); err != nil {
 			return err
 		}
 	}
 }
 
-// askPeers fetches from a few members, or from seeds while none is known, and
-// says whether there was anybody to ask.
-func (s *Spread) askPeers(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, startAsking)
+// fetchFromPeers fetches the configuration from a few members, or from the seeds
+// while no other member is known. It reports whether there was a peer to ask.
+func (s *Spread) fetchFromPeers(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, startPeersTimeout)
 	defer cancel()
 	var addresses []string
 	for _, m := range s.config.Members.All() {
@@ -82,16 +86,17 @@
 		if s.fetch(ctx, address) {
 			answered++
 		}
-		if answered >= startPeers || ctx.Err() != nil {
+		if answered >= startReplies || ctx.Err() != nil {
 			break
 		}
 	}
 	return asked > 0
 }
 
-// readOnce reads the platform without waiting for changes.
+// readOnce reads the platform without waiting for changes: those after the current
+// version, or a whole list if there is none or it is too old to watch from.
 func (s *Spread) readOnce(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, startTimeout)
+	ctx, cancel := context.WithTimeout(ctx, startReadTimeout)
 	defer cancel()
 	if version := s.set.Load().Version(); version > 0 {
 		_, err := s.watch(ctx, version, 0)
@@ -103,27 +108,28 @@
 	return err
 }
 
-// watch takes the changes after revision and returns where to continue.
+// watch applies the changes after revision since and returns the revision to
+// continue from.
 func (s *Spread) watch(ctx context.Context, since int64, wait time.Duration) (int64, error) {
-	events, revision, err := s.config.Platform.Watch(ctx, since, wait, SpreadKinds()...)
+	events, revision, err := s.config.Platform.Watch(ctx, since, wait, SyncedKinds()...)
 	if err != nil {
 		return since, err
 	}
 	if revision < since {
-		return since, errors.New("watch answered from before its start")
+		return since, errors.New("watch returned a revision before its start revision")
 	}
 	s.confirm()
 	changes := make([]config.Object, 0, len(events))
 	for _, e := range events {
 		changes = append(changes, objectOf(e.Object, e.Deleted))
 	}
-	s.adopt(fromPlatform, func(set *config.Set) (*config.Set, config.Verdict) { return set.Watched(changes) })
+	s.adopt(sourcePlatform, func(set *config.Set) (*config.Set, config.Verdict) { return set.Watched(changes) })
 	return revision, nil
 }
 
-// list takes the whole configuration and returns where to watch from.
+// list applies the whole configuration and returns the revision to watch from.
 func (s *Spread) list(ctx context.Context) (int64, error) {
-	stored, revision, err := s.config.Platform.List(ctx, SpreadKinds()...)
+	stored, revision, err := s.config.Platform.List(ctx, SyncedKinds()...)
 	if err != nil {
 		return 0, err
 	}
@@ -131,9 +137,9 @@
 	for _, o := range stored {
 		objects = append(objects, objectOf(o, false))
 	}
-	s.adopt(fromPlatform, func(set *config.Set) (*config.Set, config.Verdict) { return set.Listed(objects, revision) })
+	s.adopt(sourcePlatform, func(set *config.Set) (*config.Set, config.Verdict) { return set.Listed(objects, revision) })
 	if version := s.set.Load().Version(); revision < version {
-		return 0, errors.Errorf("list answered from revision %d, behind version %d", revision, version)
+		return 0, errors.Errorf("list returned revision %d, older than version %d", revision, version)
 	}
 	s.confirm()
 	return revision, nil
@@ -151,33 +157,35 @@
 	return 0
 }
 
-// readLoop watches the platform while the lease is held. A node that holds
-// none and hears nothing from any peer asks the platform now and then.
+// readLoop watches the platform while the lease is held. An entry VM that does not
+// hold it reads the platform only once its version has been unconfirmed for
+// maxUnconfirmed, which means that no up-to-date peer can be reached.
 func (s *Spread) readLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
 		held, release := s.lease.whileHeld(ctx)
 		if held != nil {
-			s.readWhile(held)
+			s.readUntilDone(held)
 			release()
 			continue
 		}
-		if s.unconfirmedFor() > unconfirmedMost {
+		if s.unconfirmedFor() > maxUnconfirmed {
 			s.scope.Counter("unconfirmed_reads").Inc(1)
 			if err := s.readOnce(ctx); err != nil {
-				level.Debug(s.log).Log("msg", "reading without the lease failed", "err", err)
-				s.confirm() // so that the next try comes after the same time
+				level.Debug(s.log).Log("msg", "reading the platform without the lease failed", "err", err)
+				s.confirm() // delays the next attempt by maxUnconfirmed
 			}
 		}
-		if err := s.lease.waitForChange(ctx, jittered(unconfirmedMost/4)); err != nil {
+		if err := s.lease.waitForChange(ctx, jittered(maxUnconfirmed/4)); err != nil {
 			return err
 		}
 	}
 	return ctx.Err()
 }
 
-// readWhile watches until ctx ends, which it does when the lease is lost.
-func (s *Spread) readWhile(ctx context.Context) {
-	backoff := objects.NewBackoff(readPauseFirst, readPauseMost, nil)
+// readUntilDone watches the platform until ctx ends, which happens when the lease
+// is lost.
+func (s *Spread) readUntilDone(ctx context.Context) {
+	backoff := objects.NewBackoff(minReadBackoff, maxReadBackoff, nil)
 	var cursor int64
 	for ctx.Err() == nil {
 		next, err := s.readNext(ctx, max(cursor, s.set.Load().Version()))
@@ -191,12 +199,14 @@
 		}
 		s.scope.Tagged(map[string]string{"reason": string(objects.KindOf(err))}).Counter("read_failures").Inc(1)
 		level.Warn(s.log).Log("msg", "reading the platform failed", "err", err)
-		if pause(ctx, max(backoff.Next(), retryAfter(err))) != nil {
+		if sleep(ctx, max(backoff.Next(), retryAfter(err))) != nil {
 			return
 		}
 	}
 }
 
+// readNext waits for changes after cursor and applies them. It lists the whole
+// configuration if cursor is 0 or too old to watch from.
 func (s *Spread) readNext(ctx context.Context, cursor int64) (int64, error) {
 	if cursor > 0 {
 		next, err := s.watch(ctx, cursor, watchWait)
--- a/node/dynamic/spread_test.go
+++ b/node/dynamic/spread_test.go
@@ -17,18 +17,19 @@
 	"heatherlock/steering"
 )
 
-// limit is the time in which an accepted change must be in force everywhere.
-const limit = 4 * time.Second
+// propagationLimit is the time within which an accepted change must be in force
+// everywhere.
+const propagationLimit = 4 * time.Second
 
 func TestChangeIsInForceEverywhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := running(t, 4, 5)
+		f := startedFleet(t, 4, 5)
 		defer f.killAll()
 		for timeout := 2000; timeout < 5000; timeout += 1000 {
 			version := f.put(KindService, "tickets", serviceValue(timeout))
-			time.Sleep(limit)
-			f.inForce(version)
-			f.agree()
+			time.Sleep(propagationLimit)
+			f.requireVersion(version)
+			f.requireSameSet()
 			for _, m := range f.nodes {
 				assert.Equal(t, m.spread.Snapshot().Services["tickets"].Timeout, milliseconds(int64(timeout)))
 			}
@@ -36,16 +37,16 @@
 	})
 }
 
-// Symptom: nodes stop, or a restarted node has nothing or something old.
-// Sequence: the platform is down for 10 min while half of the nodes restart
-// one by one; then it comes back and operators change an object. Cause: a
-// configuration that lives only in the platform, or in one process.
+// Guards against a configuration that is held only by the platform or by one process.
+// One node of each zone restarts twice while the platform is down for 10 min; without
+// copies on peers, a restarted node would have no configuration or an old one, or nodes
+// would stop. The number of platform calls after the outage is checked as well.
 func TestPlatformDownForTenMinutesWithRestarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := running(t, 3, 4)
+		f := startedFleet(t, 3, 4)
 		defer f.killAll()
 		version := f.put(KindService, "tickets", serviceValue(2000))
-		time.Sleep(limit)
+		time.Sleep(propagationLimit)
 		f.store.Down(true)
 		for range 2 {
 			for z := range 3 {
@@ -55,42 +56,41 @@
 				time.Sleep(100 * time.Second)
 			}
 		}
-		f.inForce(version)
+		f.requireVersion(version)
 		assert.Equal(t, len(f.readers()), 0)
 		before := f.store.Counts().Total
 		f.store.Down(false)
-		time.Sleep(settled)
+		time.Sleep(settleTime)
 		calls := f.store.Counts().Total - before
-		assert.Assert(t, calls < int64(settled/time.Second)*10, "%d calls in %s after the outage", calls, settled)
+		assert.Assert(t, calls < int64(settleTime/time.Second)*10, "%d calls in %s after the outage", calls, settleTime)
 		version = f.put(KindService, "tickets", serviceValue(3000))
-		time.Sleep(limit)
-		f.inForce(version)
-		f.agree()
+		time.Sleep(propagationLimit)
+		f.requireVersion(version)
+		f.requireSameSet()
 	})
 }
 
-// Symptom: a change takes longer than allowed. Sequence: every platform call
-// takes 800 ms for minutes. Cause: leases that lapse during calls, or readings
-// that are cut and begun again.
+// Guards against leases that expire during slow calls, and reads that time out and
+// start again: with platform calls that take 800 ms for minutes, a change would take
+// longer than propagationLimit.
 func TestSlowPlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := running(t, 3, 3)
+		f := startedFleet(t, 3, 3)
 		defer f.killAll()
 		f.store.Slow(800 * time.Millisecond)
 		time.Sleep(2 * time.Minute)
 		assert.Equal(t, len(f.readers()), 3)
 		version := f.put(KindService, "tickets", serviceValue(2000))
-		time.Sleep(limit)
-		f.inForce(version)
+		time.Sleep(propagationLimit)
+		f.requireVersion(version)
 	})
 }
 
-// Symptom: a zone has no reader, or two. Sequence: the replies to many lease
-// writes are lost although they took effect. Cause: a lost reply taken for a
-// refusal.
+// Guards against treating a lost reply to a lease write as a refusal: the write may
+// have taken effect, and the zone would have no reader, or two.
 func TestLostRepliesToLeaseWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := running(t, 3, 3)
+		f := startedFleet(t, 3, 3)
 		defer f.killAll()
 		f.store.LoseReplies(10)
 		for range 60 {
@@ -99,34 +99,33 @@
 		}
 		assert.Equal(t, len(f.readers()), 3)
 		version := f.put(KindService, "tickets", serviceValue(2000))
-		time.Sleep(limit)
-		f.inForce(version)
+		time.Sleep(propagationLimit)
+		f.requireVersion(version)
 	})
 }
 
-// Symptom: a reader that was paused takes nodes back, or overwrites what its
-// successor wrote. Sequence: the reader is paused past its term with a watch
-// reply in hand; another takes over and the configuration moves on; the first
-// wakes up. Cause: a holder that trusts its lease without looking at the time,
-// or a reply adopted without looking at its version.
+// Guards against a reader that is paused until after its lease has expired, with a
+// watch reply not yet handled, while another takes over and the configuration changes.
+// If it resumed without checking the time of its lease or the version of the reply, it
+// would take nodes back to an old version or overwrite what its successor wrote.
 func TestLeaseLapsedWhilePaused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := running(t, 2, 3)
+		f := startedFleet(t, 2, 3)
 		defer f.killAll()
 		paused := f.readerOf("zone-0")
 		oldEpoch, _ := paused.spread.Leader()
 		paused.gate.close()
 		f.put(KindService, "tickets", serviceValue(2000))
-		time.Sleep(settled)
+		time.Sleep(settleTime)
 		successor := f.readerOf("zone-0")
 		assert.Assert(t, successor != paused)
 		version := f.put(KindService, "tickets", serviceValue(3000))
-		time.Sleep(limit)
+		time.Sleep(propagationLimit)
 		paused.gate.open()
-		assert.Equal(t, len(f.readers()), 2, "the paused one finds its lease over")
+		assert.Equal(t, len(f.readers()), 2, "the paused reader still holds its lease")
 		time.Sleep(time.Minute)
-		f.inForce(version)
-		f.agree()
+		f.requireVersion(version)
+		f.requireSameSet()
 		statuses, err := ZoneStatuses(t.Context(), f.operator())
 		assert.NilError(t, err)
 		assert.Assert(t, statuses[0].Epoch > oldEpoch)
@@ -134,63 +133,61 @@
 	})
 }
 
-// Symptom: a change takes longer than allowed in one zone. Sequence: a zone's
-// reader takes a change in, announces it, and stands still before it hands it
-// out; the others have its announcement only. Cause: a fetch that waits for
-// the one peer that is known to have the version.
-func TestReaderStandsStillAfterAnnouncing(t *testing.T) {
+// Guards against a fetch that waits for the only peer known to have a version: a
+// zone's reader adopts and announces a change, and hangs before it serves it, so that
+// the change would reach the zone later than propagationLimit.
+func TestReaderHangsAfterAnnouncing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := running(t, 3, 4)
+		f := startedFleet(t, 3, 4)
 		defer f.killAll()
 		reader := f.readerOf("zone-0")
 		var once sync.Once
-		f.announced = func(from *life) {
+		f.onAnnounce = func(from *fleetNode) {
 			if from == reader {
 				once.Do(reader.gate.close)
 			}
 		}
-		// Now and then another VM of its zone hears of the change from another zone first,
-		// and the reader announces nothing. It stands still at one of the changes.
+		// Sometimes another entry VM of the zone gets the change from another zone first,
+		// and the reader announces nothing. So the reader hangs at one of several changes.
 		const changes = 10
 		for n := 0; n < changes && reader.gate.isOpen(); n++ {
 			version := f.put(KindService, "tickets", serviceValue(2000+n))
-			time.Sleep(limit)
-			f.inForce(version)
+			time.Sleep(propagationLimit)
+			f.requireVersion(version)
 		}
-		assert.Assert(t, !reader.gate.isOpen(), "the reader was to stand still")
+		assert.Assert(t, !reader.gate.isOpen(), "the reader announced none of the changes")
 	})
 }
 
-// Symptom: a zone cut off from the platform stays at an old configuration
-// although other zones have the new one. Sequence: one zone cannot reach the
-// platform and can reach one other zone only; changes go on; it heals. Cause:
-// a zone that knows no way but its own reader.
+// Guards against a zone that gets changes through its own reader only: while it cannot
+// reach the platform, and only one other zone, it would stay at an old configuration
+// although that zone has the new one.
 func TestZoneCutOffFromPlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := running(t, 3, 3)
+		f := startedFleet(t, 3, 3)
 		defer f.killAll()
 		f.store.CutOff("zone-0", true)
 		f.cutZones("zone-0", "zone-1", true)
-		time.Sleep(settled)
+		time.Sleep(settleTime)
 		assert.Equal(t, len(f.readers()), 2)
 		version := f.put(KindService, "tickets", serviceValue(2000))
-		time.Sleep(limit)
-		f.inForce(version)
+		time.Sleep(propagationLimit)
+		f.requireVersion(version)
 		f.store.CutOff("zone-0", false)
 		f.cutZones("zone-0", "zone-1", false)
-		time.Sleep(settled)
+		time.Sleep(settleTime)
 		assert.Equal(t, len(f.readers()), 3)
-		f.agree()
+		f.requireSameSet()
 	})
 }
 
-// Symptom: after a zone's cut-off heals, nodes go back to what the zone had,
-// or the zone stays behind. Sequence: a zone loses the platform and every
-// other zone, its nodes restart meanwhile and operators change objects; then
-// it heals. Cause: adopting by who spoke last instead of by version.
+// Guards against adopting the configuration received last instead of the highest
+// version. A zone loses the platform and every other zone while a node of it restarts
+// and operators change objects; when the connections are restored, other nodes would go
+// back to the zone's old version, or the zone would stay behind.
 func TestZoneCutOffFromEverything(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := running(t, 3, 3)
+		f := startedFleet(t, 3, 3)
 		defer f.killAll()
 		before := f.nodes["vm-0-0:1"].spread.Version()
 		f.isolate("zone-0", true)
@@ -199,8 +196,8 @@
 		restarted := f.nodes["vm-0-1:1"]
 		restarted.kill()
 		restarted.start()
-		time.Sleep(settled)
-		assert.Equal(t, restarted.spread.Version(), before, "started from its zone")
+		time.Sleep(settleTime)
+		assert.Equal(t, restarted.spread.Version(), before, "the restarted node takes the configuration of its zone")
 		statuses, err := ZoneStatuses(t.Context(), f.operator())
 		assert.NilError(t, err)
 		for _, s := range statuses {
@@ -208,13 +205,13 @@
 			assert.Equal(t, cut, s.Zone == "zone-0")
 		}
 		f.isolate("zone-0", false)
-		time.Sleep(settled)
-		f.inForce(version)
-		f.agree()
+		time.Sleep(settleTime)
+		f.requireVersion(version)
+		f.requireSameSet()
 	})
 }
 
-// isolate cuts a zone off from the platform and every other zone.
+// isolate cuts a zone off from the platform and every other zone, or reconnects it.
 func (f *fleet) isolate(zone steering.Zone, on bool) {
 	f.store.CutOff(string(zone), on)
 	for _, m := range f.nodes {
@@ -224,18 +221,18 @@
 	}
 }
 
-// Symptom: a new reader takes its zone back to an old configuration.
-// Sequence: readings come from a replica that lags by many revisions, the
-// platform forgets the changes since (so that a reader must list), and every
-// reader is replaced. Cause: a list taken for the newest state.
+// Guards against treating a list as the newest state. Reads come from a replica that
+// lags by many revisions, the platform has compacted the changes since, so that a reader
+// must list, and every reader is replaced; a new reader would take its zone back to an
+// old configuration.
 func TestStaleReadsWhileReadersAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := running(t, 2, 3)
+		f := startedFleet(t, 2, 3)
 		defer f.killAll()
 		for timeout := 2000; timeout < 2010; timeout++ {
 			f.put(KindService, "tickets", serviceValue(timeout))
 		}
-		time.Sleep(limit)
+		time.Sleep(propagationLimit)
 		version := f.nodes["vm-0-0:1"].spread.Version()
 		f.store.StaleReads(8)
 		f.store.Compact(version)
@@ -244,46 +241,45 @@
 				m.kill()
 				m.start()
 			}
-			time.Sleep(settled)
-			f.inForce(version)
+			time.Sleep(settleTime)
+			f.requireVersion(version)
 		}
 		f.store.StaleReads(0)
-		time.Sleep(settled)
+		time.Sleep(settleTime)
 		version = f.put(KindService, "tickets", serviceValue(3000))
-		time.Sleep(limit)
-		f.inForce(version)
+		time.Sleep(propagationLimit)
+		f.requireVersion(version)
 	})
 }
 
-// Symptom: a node looks current and lacks an object. Sequence: objects go
-// missing from deltas on their way. Cause: a delta adopted by its version
-// alone.
+// Guards against adopting a delta by its version alone: if an object were missing from
+// the delta, a node would be at the current version without that object.
 func TestIncompleteDeltas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := running(t, 2, 4)
+		f := startedFleet(t, 2, 4)
 		defer f.killAll()
-		f.tamper = func(reply *peerpb.FetchConfigReply) {
+		f.editReply = func(reply *peerpb.FetchConfigReply) {
 			if n := len(reply.GetObjects()); n > 0 && !reply.GetWhole() {
 				reply.Objects = reply.GetObjects()[:n-1]
 			}
 		}
 		version := f.put(KindService, "tickets", serviceValue(2000))
 		f.put(KindService, "passes", serviceValue(2000))
-		time.Sleep(limit)
-		f.inForce(version)
-		f.agree()
+		time.Sleep(propagationLimit)
+		f.requireVersion(version)
+		f.requireSameSet()
 	})
 }
 
-// Symptom: nodes disagree for ever, go back, or stampede. Sequence: any mix of
-// outages, slowness, lost replies, stale reads, cut-offs, pauses, kills and
-// racing operators, two or more at once; then everything heals. Cause: any
-// step that is right only while the others work.
+// Guards against steps that are correct only as long as no other part fails. Outages,
+// slow calls, lost replies, stale reads, cut connections, pauses, kills and racing
+// operators occur in any mix and then end; nodes must not differ for ever, go back to an
+// older version, or all call the platform at once.
 func TestAnyFaultsTogether(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := running(t, 3, 3)
+				f := startedFleet(t, 3, 3)
 				defer f.killAll()
 				c := newChaos(f, seed)
 				for range 60 {
@@ -291,11 +287,11 @@
 					time.Sleep(time.Duration(c.random.IntN(8000)) * time.Millisecond)
 				}
 				c.heal()
-				time.Sleep(2 * settled)
+				time.Sleep(2 * settleTime)
 				version := f.put(KindService, "tickets", serviceValue(9000))
-				time.Sleep(limit)
-				f.inForce(version)
-				f.agree()
+				time.Sleep(propagationLimit)
+				f.requireVersion(version)
+				f.requireSameSet()
 				assert.Equal(t, len(f.readers()), 3)
 			})
 		})
@@ -313,7 +309,7 @@
 		f.put(KindClientBlocks, "blocks", `{"kind":"ClientBlocks","metadata":{"name":"blocks"},"spec":{"blocks":[{"prefix":"10.0.0.0/8","place":"p"},{"prefix":"10.0.0.0/99","place":"p"}]}}`)
 		f.startAll()
 		defer f.killAll()
-		time.Sleep(settled)
+		time.Sleep(settleTime)
 		spread := f.nodes["vm-0-0:1"].spread
 		snapshot := spread.Snapshot()
 		assert.Equal(t, len(snapshot.Services), 1)
@@ -325,8 +321,8 @@
 	})
 }
 
-// Symptom: status costs the platform a write per request. Sequence: a zone's
-// facts change all the time. Cause: a status written on every change.
+// Guards against a status that is written on every change: the contents of a zone's
+// status change all the time, and the platform would get a write per request.
 func TestZoneStatusIsWrittenAtABoundedRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, 1)
@@ -338,16 +334,16 @@
 		f.put(KindService, "tickets", serviceValue(1000))
 		f.startAll()
 		defer f.killAll()
-		time.Sleep(settled)
+		time.Sleep(settleTime)
 		before := f.store.Counts().ByOp[objects.OpUpdate]
 		time.Sleep(time.Minute)
 		writes := f.store.Counts().ByOp[objects.OpUpdate] - before
-		bound := int64(time.Minute/statusMinimum) + int64(time.Minute/(3*time.Second)) + 2
+		bound := int64(time.Minute/minStatusInterval) + int64(time.Minute/(3*time.Second)) + 2
 		assert.Assert(t, writes <= bound, "%d writes in a minute, bound %d", writes, bound)
 		object, err := f.operator().Get(context.Background(), runtime.KindZoneStatus, "zone-0")
 		assert.NilError(t, err)
 		var status runtime.ZoneStatus
 		assert.NilError(t, json.Unmarshal(object.Value, &status))
-		assert.Equal(t, status.ConfigVersion, int64(1), "the lowest in the zone")
+		assert.Equal(t, status.ConfigVersion, int64(1), "the lowest version in the zone")
 	})
 }
--- a/node/dynamic/stall_test.go
+++ b/node/dynamic/stall_test.go
@@ -16,10 +16,10 @@
 	"heatherlock/platform"
 )
 
-// Feared: an entry VM on a narrow link never starts, since a whole configuration of some
-// megabytes takes longer than the time for a fetch, and each fetch begins from its first
-// byte. An answer that keeps coming is waited for; one that stops is given up.
-func TestAnswerOfAPeerThatKeepsComingIsWaitedFor(t *testing.T) {
+// Guards against an entry VM on a slow link that never starts: a whole configuration of
+// several megabytes takes longer than the timeout of a fetch, and each fetch begins at its
+// first byte again. A fetch waits for a reply that makes progress, and ends if it stalls.
+func TestFetchWaitsWhileReplyMakesProgress(t *testing.T) {
 	t.Parallel()
 	const pieces = 12
 	reply := &peerpb.FetchConfigReply{Version: 9, Whole: true}
@@ -28,7 +28,7 @@
 	}
 	raw, err := proto.Marshal(reply)
 	assert.NilError(t, err)
-	const pause = patienceFirst / 4 // 2.4 s in all
+	const pause = minDeltaTimeout / 4 // 2.4 s in total
 	stop := 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "application/protobuf")
@@ -37,14 +37,14 @@
 				<-r.Context().Done()
 				return
 			}
-			_, _ = w.Write(raw[n*len(raw)/pieces : (n+1)*len(raw)/pieces]) // a caller that left needs none
+			_, _ = w.Write(raw[n*len(raw)/pieces : (n+1)*len(raw)/pieces]) // the client may have disconnected
 			w.(http.Flusher).Flush()
 			time.Sleep(pause)
 		}
 	}))
 	t.Cleanup(server.CloseClientConnections)
 	fetch := func(transport http.RoundTripper) (*peerpb.FetchConfigReply, error) {
-		ctx, stall := platform.WithStallTimeout(t.Context(), patienceFirst)
+		ctx, stall := platform.WithStallTimeout(t.Context(), minDeltaTimeout)
 		defer stall.Release()
 		clients := peer.NewClients(&http.Client{Transport: transport})
 		got, err := clients.To(strings.TrimPrefix(server.URL, "http://")).FetchConfig(ctx, &peerpb.FetchConfigRequest{})
@@ -54,16 +54,16 @@
 	assert.NilError(t, err)
 	assert.Equal(t, len(got.Objects), pieces)
 	_, err = fetch(&http.Transport{})
-	assert.ErrorIs(t, err, platform.ErrStalled, "read by one that does not note what comes")
+	assert.ErrorIs(t, err, platform.ErrStalled, "a transport that does not report progress")
 	stop = 3
 	began := time.Now()
 	_, err = fetch(platform.StallTransport{Transport: &http.Transport{}})
 	assert.ErrorIs(t, err, platform.ErrStalled)
-	assert.Assert(t, time.Since(began) < 3*patienceFirst, "given up after %v", time.Since(began))
+	assert.Assert(t, time.Since(began) < 3*minDeltaTimeout, "the fetch ended after %v", time.Since(began))
 }
 
-// Peers that speak TLS are called by it, whoever reads their answers.
-func TestWaitingForAnswersKeepsTLS(t *testing.T) {
+// Guards against a StallTransport that loses the TLS configuration of its transport.
+func TestStallTransportKeepsTLS(t *testing.T) {
 	t.Parallel()
 	called := make(chan struct{}, 1)
 	server := httptest.NewTLSServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/node/dynamic/zonestatus.go
+++ b/node/dynamic/zonestatus.go
@@ -15,18 +15,19 @@
 )
 
 const (
-	// statusMinimum is the shortest time between two writes of a status.
-	statusMinimum = 5 * time.Second
-	// statusTimeout bounds a call on a status.
+	// minStatusInterval is the minimum time between two writes of the status.
+	minStatusInterval = 5 * time.Second
+	// statusTimeout limits the platform calls of one write of the status.
 	statusTimeout = 2 * time.Second
 )
 
-// statusLoop writes the zone's status while the lease is held: on a change at
-// a bounded rate, and without one as a sign of life.
+// statusLoop writes the zone's status while the lease is held. It writes changes
+// at a limited rate. Without a change it writes every runtime.ZoneStatusInterval,
+// which shows that the zone is not cut off from the platform.
 func (s *Spread) statusLoop(ctx context.Context) error {
 	w := &statusWriter{spread: s}
 	for {
-		if err := pause(ctx, jittered(statusMinimum)); err != nil {
+		if err := sleep(ctx, jittered(minStatusInterval)); err != nil {
 			return err
 		}
 		if epoch, leading := s.Leader(); leading {
@@ -37,16 +38,16 @@
 	}
 }
 
-// statusWriter remembers what it wrote last.
+// statusWriter writes a zone's status and keeps the last one written.
 type statusWriter struct {
 	spread  *Spread
 	last    runtime.ZoneStatus
-	version int64 // 0 when it must be read first
+	version int64 // of the stored status; 0 if it must be read first
 }
 
 func (w *statusWriter) write(ctx context.Context, epoch int64) {
 	next := w.spread.zoneStatus(epoch, time.Now())
-	if w.version > 0 && sameFacts(w.last, next) && next.WrittenAt.Sub(w.last.WrittenAt) < runtime.ZoneStatusInterval {
+	if w.version > 0 && sameStatus(w.last, next) && next.WrittenAt.Sub(w.last.WrittenAt) < runtime.ZoneStatusInterval {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
@@ -58,8 +59,9 @@
 	}
 }
 
-// store writes on condition of the version read, and never over the status of
-// a later epoch: a holder that was paused past its lease finds itself fenced.
+// store writes the status if the stored version is still the one read, and never
+// over a status of a later epoch. This fences a former holder that was paused
+// until after its lease had expired.
 func (w *statusWriter) store(ctx context.Context, next runtime.ZoneStatus) error {
 	value, err := json.Marshal(next)
 	if err != nil {
@@ -92,9 +94,9 @@
 	if err != nil {
 		return err
 	}
-	var there runtime.ZoneStatus
-	if err := json.Unmarshal(stored.Value, &there); err == nil && there.Epoch > epoch {
-		return errors.Errorf("status of epoch %d is stored, this reader's is %d", there.Epoch, epoch)
+	var existing runtime.ZoneStatus
+	if err := json.Unmarshal(stored.Value, &existing); err == nil && existing.Epoch > epoch {
+		return errors.Errorf("stored status has epoch %d, later than epoch %d of this reader", existing.Epoch, epoch)
 	}
 	w.version = stored.Version
 	return nil
@@ -117,8 +119,9 @@
 	return status
 }
 
-// sameFacts compares all but the times and ages, which change by themselves.
-func sameFacts(a, b runtime.ZoneStatus) bool {
+// sameStatus reports whether two statuses are equal but for times and ages, which
+// change without an event.
+func sameStatus(a, b runtime.ZoneStatus) bool {
 	aText, errA := json.Marshal(withoutAges(a))
 	bText, errB := json.Marshal(withoutAges(b))
 	return errA == nil && errB == nil && string(aText) == string(bText)
@@ -137,8 +140,8 @@
 	return z
 }
 
-// ZoneStatuses reads every zone's status from the platform, by zone. A status
-// that cannot be understood is left out.
+// ZoneStatuses reads the status of every zone from the platform, sorted by zone.
+// A status that cannot be decoded is left out.
 func ZoneStatuses(ctx context.Context, api objects.API) ([]runtime.ZoneStatus, error) {
 	stored, _, err := api.List(ctx, runtime.KindZoneStatus)
 	if err != nil {
