--- a/node/lookups/golden_internal_test.go
+++ b/node/lookups/golden_internal_test.go
@@ -16,8 +16,8 @@
 	"heatherlock/steering"
 )
 
-// Guards against answers that callers no longer understand, so that they ask again and again
-// or send their requests nowhere.
+// Guards against answers that callers can no longer decode, so that they repeat the look-up
+// again and again or have no address to send requests to.
 func TestGoldenAnswers(t *testing.T) {
 	full := seam.LookupAnswer{Place: "norte-1", TTL: 5250 * time.Millisecond, Version: 7,
 		EntryVM: []seam.LookupEntry{{VM: "vm-1", Address: "10.0.0.1:7001", KeyPrefix: "i1-100"}, {VM: "vm-2", Address: "10.0.0.2:7001"}}}
@@ -30,13 +30,13 @@
 	assert.Equal(t, Path, "/v1/lookup")
 }
 
-// Guards against refusals that callers no longer understand: they would not know whether to
-// ask again, and when.
+// Guards against refusals that callers can no longer decode: they would not know whether to
+// retry, and when.
 func TestGoldenRefusals(t *testing.T) {
 	l := &Lookups{metrics: newMetrics(tally.NoopScope)}
 	for name, refusal := range map[string]*steering.Refusal{
 		"not-ready":   notReady(),
-		"bad-request": bad("no service given; add ?service=NAME"),
+		"bad-request": badRequest("no service given; add ?service=NAME"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := httptest.NewRecorder()
--- a/node/lookups/http.go
+++ b/node/lookups/http.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// Path is where the caller listener serves look-ups.
+	// Path is the path at which the caller listener serves look-ups.
 	Path = "/v1/lookup"
 
 	paramService = "service"
@@ -27,7 +27,7 @@
 	headerRetryAfter = "Heatherlock-Retry-After-Ms"
 )
 
-// Answer is the body of a look-up answer.
+// Answer is the JSON body of the response to a look-up.
 type Answer struct {
 	Service  steering.Service `json:"service"`
 	Place    steering.Place   `json:"place"`
@@ -36,15 +36,16 @@
 	Version  int64            `json:"version"`
 }
 
-// EntryVM is one entry VM of an Answer; use them in the order given.
+// EntryVM is one entry VM of an Answer. Clients use them in the given order.
 type EntryVM struct {
 	VM      steering.VM `json:"vm"`
 	Address string      `json:"address"`
-	// KeyPrefix is fit for fresh keys for some minutes; see package once.
+	// KeyPrefix is the prefix of new idempotency keys. It is valid for some
+	// minutes; see package once.
 	KeyPrefix steering.KeyPrefix `json:"keyPrefix,omitempty"`
 }
 
-// problem is the body of a refusal.
+// problem is the JSON body of the response to a refused look-up.
 type problem struct {
 	Reason       steering.Reason `json:"reason"`
 	Ran          string          `json:"ran"`
@@ -53,8 +54,8 @@
 	RetryAfterMs int64           `json:"retryAfterMs,omitempty"`
 }
 
-// encode makes an answer's body ahead of time, so that a look-up over HTTP
-// copies bytes and encodes nothing.
+// encode returns the body for an answer. Bodies are encoded in advance, so that
+// a look-up over HTTP only copies bytes.
 func encode(service steering.Service, a seam.LookupAnswer) []byte {
 	out := Answer{Service: service, Place: a.Place, EntryVMs: []EntryVM{}, TTLMs: a.TTL.Milliseconds(), Version: a.Version}
 	for _, e := range a.EntryVM {
@@ -62,13 +63,14 @@
 	}
 	body, err := json.Marshal(out)
 	if err != nil {
-		// Names and numbers always encode.
+		// An Answer consists of strings and numbers, which can always be encoded.
 		panic("lookups: encode answer: " + err.Error())
 	}
 	return body
 }
 
-// ServeHTTP serves Path. The client is the remote address of the connection.
+// ServeHTTP serves Path. The client is the remote address of the connection, or
+// the address given in the request if Config.AllowClient is set.
 func (l *Lookups) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := l.answer(r)
 	if err != nil {
@@ -85,15 +87,15 @@
 
 func (l *Lookups) answer(r *http.Request) ([]byte, error) {
 	if r.Method != http.MethodGet && r.Method != http.MethodHead {
-		return nil, bad("method " + r.Method + " on a look-up; use GET")
+		return nil, badRequest("method " + r.Method + " on a look-up; use GET")
 	}
 	query, err := url.ParseQuery(r.URL.RawQuery)
 	if err != nil {
-		return nil, bad("the query cannot be parsed")
+		return nil, badRequest("the query cannot be parsed")
 	}
 	service := query.Get(paramService)
 	if service == "" {
-		return nil, bad("no service given; add ?service=NAME")
+		return nil, badRequest("no service given; add ?service=NAME")
 	}
 	client, err := l.client(r, query.Get(paramClient))
 	if err != nil {
@@ -110,25 +112,26 @@
 	return v.bodies[index], nil
 }
 
-func bad(detail string) *steering.Refusal {
+func badRequest(detail string) *steering.Refusal {
 	return steering.Refuse(steering.ReasonBadRequest, 0, detail)
 }
 
-// client returns the address to answer for.
+// client returns the client address to answer for; named is the one given in the
+// request, if any.
 func (l *Lookups) client(r *http.Request, named string) (netip.Addr, error) {
 	if named == "" {
 		remote, err := netip.ParseAddrPort(r.RemoteAddr)
 		if err != nil {
-			return netip.Addr{}, bad("the connection has no remote address")
+			return netip.Addr{}, badRequest("the connection has no remote address")
 		}
 		return remote.Addr(), nil
 	}
 	if !l.config.AllowClient {
-		return netip.Addr{}, bad("this listener answers for the caller's own address only; leave out client")
+		return netip.Addr{}, badRequest("this listener answers for the caller's own address only; leave out client")
 	}
 	addr, err := netip.ParseAddr(named)
 	if err != nil {
-		return netip.Addr{}, bad("client is not an IP address")
+		return netip.Addr{}, badRequest("client is not an IP address")
 	}
 	return addr, nil
 }
@@ -136,7 +139,7 @@
 func (l *Lookups) refuse(w http.ResponseWriter, err error) {
 	var refusal *steering.Refusal
 	if !errors.As(err, &refusal) {
-		refusal = steering.Refuse(steering.ReasonNotReady, notReadyRetry, err.Error())
+		refusal = steering.Refuse(steering.ReasonNotReady, notReadyRetryAfter, err.Error())
 	}
 	l.metrics.refused(refusal.Reason)
 	header := w.Header()
@@ -154,7 +157,7 @@
 	})
 }
 
-// metrics counts answers, and refusals by reason.
+// metrics counts answers and plans, and refusals by reason.
 type metrics struct {
 	scope    tally.Scope
 	answered tally.Counter
--- a/node/lookups/lookups.go
+++ b/node/lookups/lookups.go
@@ -20,40 +20,42 @@
 )
 
 const (
-	// pollInterval is how often the view of the members is compared with the
-	// one that the plan was made from.
+	// pollInterval is how often the members are compared with those that the
+	// plan was made from.
 	pollInterval = 200 * time.Millisecond
-	// notReadyRetry is when to ask again before the first configuration.
-	notReadyRetry = time.Second
+	// notReadyRetryAfter is the retry delay sent to callers before the first
+	// configuration.
+	notReadyRetryAfter = time.Second
 )
 
-// Config holds what Lookups need.
+// Config configures Lookups.
 type Config struct {
 	Configs seam.Configs
 	Members seam.Members
-	// TTL is how long clients may keep an answer; zero means
-	// lookup.DefaultTTL.
+	// TTL is how long clients may use an answer. Zero means lookup.DefaultTTL.
 	TTL time.Duration
-	// AllowClient lets a request name the client to answer for. Only for
-	// testing: a caller could otherwise look up somebody else's home.
+	// AllowClient lets a request give the client address to answer for. It is
+	// for tests only, because it lets a caller look up the home place of any
+	// other client.
 	AllowClient bool
 	Scope       tally.Scope
 	Log         log.Logger
 }
 
-// Lookups answers look-ups. It implements seam.Looker.
+// Lookups answers look-ups from the current plan. It implements seam.Looker and
+// is safe for concurrent use.
 type Lookups struct {
 	config  Config
-	current atomic.Pointer[view]
+	current atomic.Pointer[servedPlan]
 	changed chan struct{}
 	metrics metrics
 }
 
 var _ seam.Looker = (*Lookups)(nil)
 
-// view is a plan with its answers in the forms they are given out in.
-type view struct {
-	// epoch is the one whose key prefixes the answers carry.
+// servedPlan is a plan with its answers for the data path and as HTTP bodies.
+type servedPlan struct {
+	// epoch is the epoch of the key prefixes in the answers.
 	epoch    once.Epoch
 	plan     *lookup.Plan
 	snapshot *routing.Snapshot
@@ -62,7 +64,8 @@
 	bodies   [][]byte
 }
 
-// New returns Lookups that answer not_ready until a configuration is in force.
+// New returns Lookups that refuse look-ups with steering.ReasonNotReady until a
+// configuration is in force.
 func New(c Config) (*Lookups, error) {
 	switch {
 	case c.Configs == nil:
@@ -77,19 +80,20 @@
 		c.Log = log.NewNopLogger()
 	}
 	l := &Lookups{config: c, changed: make(chan struct{}, 1), metrics: newMetrics(c.Scope.SubScope("lookup"))}
-	c.Configs.Subscribe(func(*routing.Snapshot) { l.wake() })
+	c.Configs.Subscribe(func(*routing.Snapshot) { l.signalChange() })
 	l.refresh(time.Now())
 	return l, nil
 }
 
-func (l *Lookups) wake() {
+func (l *Lookups) signalChange() {
 	select {
 	case l.changed <- struct{}{}:
 	default:
 	}
 }
 
-// Run keeps the plan in step with configuration and members until ctx ends.
+// Run updates the plan when the configuration or the members change, until ctx
+// ends.
 func (l *Lookups) Run(ctx context.Context) error {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -104,7 +108,9 @@
 	}
 }
 
-// refresh makes a new plan if anything it depends on has changed.
+// refresh makes a new plan if anything that the plan depends on has changed. If
+// only the epoch has changed, it gives the answers of the old plan new key
+// prefixes.
 func (l *Lookups) refresh(now time.Time) {
 	snapshot := l.config.Configs.Snapshot()
 	if snapshot == nil {
@@ -112,22 +118,22 @@
 	}
 	members := l.members()
 	current := l.current.Load()
-	if !outdated(current, snapshot, members, now) {
+	if !needsNewPlan(current, snapshot, members, now) {
 		if current.epoch != once.EpochAt(now) {
-			l.current.Store(newView(current.plan, snapshot, members, now))
+			l.current.Store(newServedPlan(current.plan, snapshot, members, now))
 		}
 		return
 	}
 	self := l.config.Members.Self()
-	begun := time.Now()
+	start := time.Now()
 	plan := lookup.NewPlan(lookup.Input{
 		Snapshot: snapshot, Members: members, Zone: self.Zone, Region: self.Region, Now: now, TTL: l.config.TTL,
 	})
-	l.current.Store(newView(plan, snapshot, members, now))
-	l.metrics.planned(time.Since(begun), len(plan.Answers()))
+	l.current.Store(newServedPlan(plan, snapshot, members, now))
+	l.metrics.planned(time.Since(start), len(plan.Answers()))
 }
 
-func outdated(current *view, snapshot *routing.Snapshot, members []lookup.Member, now time.Time) bool {
+func needsNewPlan(current *servedPlan, snapshot *routing.Snapshot, members []lookup.Member, now time.Time) bool {
 	if current == nil || current.snapshot != snapshot || !slices.Equal(current.members, members) {
 		return true
 	}
@@ -135,7 +141,7 @@
 	return !next.IsZero() && !now.Before(next)
 }
 
-// members returns the members that answers may name, by name.
+// members returns the members that answers may contain, sorted by name.
 func (l *Lookups) members() []lookup.Member {
 	self := l.config.Members.Self()
 	all := l.config.Members.All()
@@ -168,8 +174,8 @@
 	return lookup.Member{VM: m.VM, Zone: m.Zone, Region: m.Region, Address: m.CallerAddress, Incarnation: m.Incarnation, State: state}
 }
 
-func newView(plan *lookup.Plan, snapshot *routing.Snapshot, members []lookup.Member, now time.Time) *view {
-	v := &view{epoch: once.EpochAt(now), plan: plan, snapshot: snapshot, members: members}
+func newServedPlan(plan *lookup.Plan, snapshot *routing.Snapshot, members []lookup.Member, now time.Time) *servedPlan {
+	v := &servedPlan{epoch: once.EpochAt(now), plan: plan, snapshot: snapshot, members: members}
 	for _, a := range plan.Answers() {
 		out := seam.LookupAnswer{Place: a.Place, TTL: a.TTL, Version: a.Version}
 		for _, e := range a.Entries {
@@ -182,8 +188,8 @@
 	return v
 }
 
-// Lookup implements seam.Looker. The answer's slice is shared and must not be
-// changed; the error is a *steering.Refusal.
+// Lookup implements seam.Looker. The slice in the answer is shared and must not
+// be modified. The error is a *steering.Refusal.
 func (l *Lookups) Lookup(client netip.Addr, service steering.Service) (seam.LookupAnswer, error) {
 	v := l.current.Load()
 	if v == nil {
@@ -197,7 +203,7 @@
 }
 
 func notReady() *steering.Refusal {
-	return steering.Refuse(steering.ReasonNotReady, notReadyRetry, "no configuration yet")
+	return steering.Refuse(steering.ReasonNotReady, notReadyRetryAfter, "no configuration yet")
 }
 
 // Home implements seam.Looker.
--- a/node/lookups/lookups_test.go
+++ b/node/lookups/lookups_test.go
@@ -16,27 +16,29 @@
 	"heatherlock/steering/routing"
 )
 
-// fixed is a configuration and a view of the members that a test sets.
-type fixed struct {
+// fakeNode provides the configuration and the members that a test sets.
+type fakeNode struct {
 	snapshot *routing.Snapshot
 	all      []seam.Member
 }
 
-func (f *fixed) Snapshot() *routing.Snapshot                            { return f.snapshot }
-func (f *fixed) Subscribe(func(*routing.Snapshot))                      {}
-func (f *fixed) Self() seam.Member                                      { return f.all[0] }
-func (f *fixed) All() []seam.Member                                     { return f.all }
-func (f *fixed) InZone(steering.Zone) []seam.Member                     { return nil }
-func (f *fixed) ByIncarnation(steering.Incarnation) (seam.Member, bool) { return seam.Member{}, false }
-func (f *fixed) Evidence(steering.VM, bool)                             {}
+func (f *fakeNode) Snapshot() *routing.Snapshot        { return f.snapshot }
+func (f *fakeNode) Subscribe(func(*routing.Snapshot))  {}
+func (f *fakeNode) Self() seam.Member                  { return f.all[0] }
+func (f *fakeNode) All() []seam.Member                 { return f.all }
+func (f *fakeNode) InZone(steering.Zone) []seam.Member { return nil }
+func (f *fakeNode) ByIncarnation(steering.Incarnation) (seam.Member, bool) {
+	return seam.Member{}, false
+}
+func (f *fakeNode) Evidence(steering.VM, bool) {}
 
-func sample() *fixed {
+func newFakeNode() *fakeNode {
 	place := &routing.Place{Name: "norte-1", Zone: "norte-a", Region: "norte", Targets: []routing.Target{{Name: "t1", Service: "tickets"}}}
 	blocks := func(yield func(routing.Block) bool) {
 		yield(routing.Block{Prefix: netip.MustParsePrefix("192.0.2.0/24"), Place: "norte-1"})
 	}
 	table, _ := lookup.NewTable(blocks)
-	return &fixed{
+	return &fakeNode{
 		snapshot: &routing.Snapshot{
 			Version:  7,
 			Services: map[steering.Service]*routing.Service{"tickets": {Name: "tickets"}},
@@ -51,7 +53,7 @@
 }
 
 func TestHTTPAnswersAndRefusals(t *testing.T) {
-	f := sample()
+	f := newFakeNode()
 	l, err := New(Config{Configs: f, Members: f})
 	assert.NilError(t, err)
 	get := func(query string) *httptest.ResponseRecorder {
@@ -63,7 +65,7 @@
 	var answer Answer
 	assert.NilError(t, json.Unmarshal(w.Body.Bytes(), &answer))
 	assert.Equal(t, answer.Place, steering.Place("norte-1"))
-	assert.Equal(t, len(answer.EntryVMs), 1, "a leaving entry VM is not named")
+	assert.Equal(t, len(answer.EntryVMs), 1, "an answer contains no leaving entry VM")
 	assert.Equal(t, answer.EntryVMs[0].Address, "10.0.0.1:1")
 	assert.Equal(t, answer.TTLMs, int64(5000))
 
@@ -81,7 +83,7 @@
 }
 
 func TestNotReadyBeforeTheFirstConfiguration(t *testing.T) {
-	f := sample()
+	f := newFakeNode()
 	snapshot := f.snapshot
 	f.snapshot = nil
 	l, err := New(Config{Configs: f, Members: f})
@@ -94,11 +96,11 @@
 	assert.NilError(t, err)
 }
 
-// Symptom: callers are sent to an entry VM that left, or hand in keys whose
-// prefix has aged out. Sequence: the view or the minute changes while the
-// configuration does not. Cause: a plan kept for as long as its snapshot.
-func TestPlanFollowsMembersAndMinutes(t *testing.T) {
-	f := sample()
+// Guards against a plan that is kept for as long as its snapshot: when the members or
+// the minute change and the configuration does not, callers would be sent to an entry
+// VM that has left, or use keys with an expired prefix.
+func TestPlanFollowsMembersAndKeyPrefixEpochs(t *testing.T) {
+	f := newFakeNode()
 	l, err := New(Config{Configs: f, Members: f})
 	assert.NilError(t, err)
 	now := time.Unix(6000, 0)
