--- a/cmd/internal/losses/plot.go
+++ b/cmd/internal/losses/plot.go
@@ -20,22 +20,23 @@
 
 var plotFormats = []string{".svg", ".png", ".pdf"}
 
-// curve is a count of each window.
+// curve is one line of the plot: a count taken from each window.
 type curve struct {
 	name  string
 	color color.Color
-	of    func(Part) int
+	count func(Group) int
 }
 
 var curves = []curve{
-	{"asked", color.RGBA{R: 120, G: 120, B: 120, A: 255}, func(p Part) int { return p.Asked }},
-	{"in aim", color.RGBA{G: 140, B: 60, A: 255}, func(p Part) int { return p.InAim }},
-	{"late", color.RGBA{R: 220, G: 150, A: 255}, func(p Part) int { return total(p.Late) }},
-	{"refused", color.RGBA{B: 200, A: 255}, func(p Part) int { return total(p.Refused) }},
-	{"failed", color.RGBA{R: 200, A: 255}, func(p Part) int { return total(p.Failed) }},
+	{"asked", color.RGBA{R: 120, G: 120, B: 120, A: 255}, func(p Group) int { return p.Asked }},
+	{"in aim", color.RGBA{G: 140, B: 60, A: 255}, func(p Group) int { return p.InAim }},
+	{"late", color.RGBA{R: 220, G: 150, A: 255}, func(p Group) int { return sumCounts(p.Late) }},
+	{"refused", color.RGBA{B: 200, A: 255}, func(p Group) int { return sumCounts(p.Refused) }},
+	{"failed", color.RGBA{R: 200, A: 255}, func(p Group) int { return sumCounts(p.Failed) }},
 }
 
-// writePlot draws what became of requests over time; the file's ending names the format.
+// writePlot plots the outcomes of requests over time into file, whose extension selects the
+// format.
 func (r Report) writePlot(file string) error {
 	if !slices.Contains(plotFormats, filepath.Ext(file)) {
 		return command.Failf(command.Usage, "name a file that ends in .svg, .png or .pdf", "--plot: %s has no format that is known", file)
@@ -49,7 +50,7 @@
 		points := make(plotter.XYs, len(r.Windows))
 		for n, w := range r.Windows {
 			points[n].X = w.At.Sub(r.Windows[0].At).Seconds()
-			points[n].Y = float64(c.of(w))
+			points[n].Y = float64(c.count(w))
 		}
 		l, err := plotter.NewLine(points)
 		if err != nil {
--- a/cmd/internal/losses/report.go
+++ b/cmd/internal/losses/report.go
@@ -15,88 +15,96 @@
 	"heatherlock/steering/losses"
 )
 
-// Report is what logs tell of lost requests.
+// Report holds the outcomes of requests, and the causes of those that missed their latency
+// objective, as summed from logs.
 type Report struct {
-	// Window is the length of each window in seconds.
+	// WindowS is the length of each window in seconds.
 	WindowS float64 `json:"window_s"`
-	Lines   int     `json:"lines"`
-	// DroppedLines were left out by entry VMs; some of them may have been sums.
-	DroppedLines int    `json:"dropped_lines"`
-	Total        Part   `json:"total"`
-	Kinds        []Part `json:"kinds"`
-	Zones        []Part `json:"zones"`
-	Windows      []Part `json:"windows"`
-	// Bytes are those that entry VMs exchanged, by what for; empty in logs without them.
+	// Lines counts the log lines with sums of requests.
+	Lines int `json:"lines"`
+	// DroppedLines counts the lines that entry VMs omitted to stay within their log rate.
+	// Some of them may have held sums.
+	DroppedLines int     `json:"dropped_lines"`
+	Total        Group   `json:"total"`
+	Kinds        []Group `json:"kinds"`
+	Zones        []Group `json:"zones"`
+	Windows      []Group `json:"windows"`
+	// Bytes holds the bytes that entry VMs exchanged, by purpose. It is empty if the logs
+	// do not record them.
 	Bytes volume.Sums `json:"bytes,omitempty"`
 }
 
-// Part is the sums of a part of the requests.
-type Part struct {
+// Group holds the counts of a group of requests, and the causes of those that were lost.
+type Group struct {
 	Name string `json:"name"`
 	// At is the start of a window; zero for other parts.
 	At time.Time `json:"at,omitzero"`
 	losses.Sum
+	// Causes are sorted by count, the highest first.
 	Causes []Cause `json:"causes"`
 }
 
-// Cause counts the requests lost by one cause, the most first.
+// Cause counts the requests lost for one cause.
 type Cause struct {
 	Outcome string       `json:"outcome"`
 	Cause   losses.Cause `json:"cause"`
 	Count   int          `json:"count"`
 }
 
-// Lost counts the requests that were not answered within their aim.
-func (p Part) Lost() int { return p.Asked - p.InAim }
+// Lost returns the number of requests that were not answered within their latency objective.
+func (p Group) Lost() int { return p.Asked - p.InAim }
 
-// report adds up what was read.
-func (r *reading) report() Report {
-	kinds, zones, windows := make(map[string]*Part), make(map[string]*Part), make(map[string]*Part)
-	out := Report{WindowS: r.window.Seconds(), Lines: r.lines, DroppedLines: r.dropped, Total: Part{Name: "all"}, Bytes: r.bytes}
-	for c, s := range r.cells {
+// report groups the sums by kind, zone and window.
+func (r *logTotals) report() Report {
+	kinds, zones, windows := make(map[string]*Group), make(map[string]*Group), make(map[string]*Group)
+	out := Report{WindowS: r.window.Seconds(), Lines: r.sumLines, DroppedLines: r.droppedLines, Total: Group{Name: "all"}, Bytes: r.exchanged}
+	for c, s := range r.sums {
 		out.Total.Merge(*s)
-		partOf(kinds, kindName(c.kind)).Merge(*s)
-		partOf(zones, string(c.zone)).Merge(*s)
-		w := partOf(windows, c.window.Format("15:04:05.0"))
+		groupNamed(kinds, kindLabel(c.kind)).Merge(*s)
+		groupNamed(zones, string(c.zone)).Merge(*s)
+		w := groupNamed(windows, c.window.Format("15:04:05.0"))
 		w.At = c.window
 		w.Merge(*s)
 	}
-	out.Total.Causes = causesOf(out.Total.Sum)
-	byName := func(a, b Part) int { return cmp.Compare(a.Name, b.Name) }
-	out.Kinds, out.Zones = sorted(kinds, byName), sorted(zones, byName)
-	out.Windows = sorted(windows, func(a, b Part) int { return a.At.Compare(b.At) })
+	out.Total.Causes = sortedCauses(out.Total.Sum)
+	byName := func(a, b Group) int { return cmp.Compare(a.Name, b.Name) }
+	out.Kinds, out.Zones = sortedGroups(kinds, byName), sortedGroups(zones, byName)
+	out.Windows = sortedGroups(windows, func(a, b Group) int { return a.At.Compare(b.At) })
 	return out
 }
 
-func partOf(parts map[string]*Part, name string) *Part {
-	if parts[name] == nil {
-		parts[name] = &Part{Name: name}
+func groupNamed(groups map[string]*Group, name string) *Group {
+	if groups[name] == nil {
+		groups[name] = &Group{Name: name}
 	}
-	return parts[name]
+	return groups[name]
 }
 
-func sorted(parts map[string]*Part, compare func(a, b Part) int) []Part {
-	all := make([]Part, 0, len(parts))
-	for _, p := range parts {
-		p.Causes = causesOf(p.Sum)
+func sortedGroups(groups map[string]*Group, compare func(a, b Group) int) []Group {
+	all := make([]Group, 0, len(groups))
+	for _, p := range groups {
+		p.Causes = sortedCauses(p.Sum)
 		all = append(all, *p)
 	}
 	slices.SortFunc(all, compare)
 	return all
 }
 
-// kindName names a kind in tables.
-func kindName(k losses.Kind) string {
+// kindLabel returns the label of a kind in tables. The zero kind stands for requests that
+// ended before their route was known, and for kinds beyond the number that an entry VM
+// counts separately.
+func kindLabel(k losses.Kind) string {
 	if k == (losses.Kind{}) {
 		return "no route yet"
 	}
 	return fmt.Sprintf("%s %s, aim %d ms", k.Service, k.Repeats, k.AimMs)
 }
 
-func causesOf(s losses.Sum) []Cause {
+// sortedCauses returns the causes of s, the most frequent first.
+func sortedCauses(s losses.Sum) []Cause {
 	var all []Cause
-	for outcome, by := range map[losses.Outcome]map[losses.Cause]int{losses.Late: s.Late, losses.Refused: s.Refused, losses.Failed: s.Failed} {
-		for cause, n := range by {
+	for outcome, counts := range map[losses.Outcome]map[losses.Cause]int{losses.Late: s.Late, losses.Refused: s.Refused, losses.Failed: s.Failed} {
+		for cause, n := range counts {
 			all = append(all, Cause{outcome.String(), cause, n})
 		}
 	}
@@ -106,23 +114,24 @@
 	return all
 }
 
-// shownCauses bounds the causes named for a part; the rest are added up.
-const shownCauses = 4
+// maxShownCauses limits the causes listed per group; the others are summed.
+const maxShownCauses = 4
 
-// write prints tables: kinds, zones, and the windows that lost most.
+// write prints tables of causes, kinds, zones, the worst windows (those with the most lost
+// requests) and exchanged bytes.
 func (r Report) write(out io.Writer, worst int) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "CAUSE\tOUTCOME\tREQUESTS\tOF ALL LOST")
 	for _, c := range r.Total.Causes {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", c.Cause, c.Outcome, c.Count, share(c.Count, r.Total.Lost()))
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", c.Cause, c.Outcome, c.Count, formatShare(c.Count, r.Total.Lost()))
 	}
-	writeParts(w, "KIND", append(slices.Clone(r.Kinds), r.Total))
-	writeParts(w, "ZONE", r.Zones)
+	writeGroups(w, "KIND", append(slices.Clone(r.Kinds), r.Total))
+	writeGroups(w, "ZONE", r.Zones)
 	windows := slices.Clone(r.Windows)
-	slices.SortStableFunc(windows, func(a, b Part) int { return cmp.Compare(b.Lost(), a.Lost()) })
+	slices.SortStableFunc(windows, func(a, b Group) int { return cmp.Compare(b.Lost(), a.Lost()) })
 	windows = windows[:min(len(windows), worst)]
-	slices.SortFunc(windows, func(a, b Part) int { return a.At.Compare(b.At) })
-	writeParts(w, fmt.Sprintf("WORST WINDOWS OF %g S", r.WindowS), windows)
+	slices.SortFunc(windows, func(a, b Group) int { return a.At.Compare(b.At) })
+	writeGroups(w, fmt.Sprintf("WORST WINDOWS OF %g S", r.WindowS), windows)
 	r.writeBytes(w)
 	if r.DroppedLines > 0 {
 		fmt.Fprintf(w, "\nnote: %d lines were left out by the entry VMs to keep the log within its rate\n", r.DroppedLines)
@@ -133,7 +142,8 @@
 	return nil
 }
 
-// writeBytes prints what the links carried, those between regions first.
+// writeBytes prints the exchanged bytes by purpose, sorted by the bytes sent to other
+// regions in descending order.
 func (r Report) writeBytes(w io.Writer) {
 	if len(r.Bytes) == 0 {
 		return
@@ -149,17 +159,17 @@
 	}
 }
 
-func writeParts(w io.Writer, title string, parts []Part) {
+func writeGroups(w io.Writer, title string, groups []Group) {
 	fmt.Fprintf(w, "\n%s\tASKED\tAGAIN\tIN AIM\tLATE\tREFUSED\tFAILED\tMOST LOST BY\n", title)
-	for _, p := range parts {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", p.Name, p.Asked, p.Again, p.InAim, total(p.Late), total(p.Refused), total(p.Failed), mostLost(p))
+	for _, p := range groups {
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", p.Name, p.Asked, p.Again, p.InAim, sumCounts(p.Late), sumCounts(p.Refused), sumCounts(p.Failed), mainCauses(p))
 	}
 }
 
-func mostLost(p Part) string {
+func mainCauses(p Group) string {
 	text, rest := "", 0
 	for n, c := range p.Causes {
-		if n >= shownCauses {
+		if n >= maxShownCauses {
 			rest += c.Count
 			continue
 		}
@@ -171,17 +181,17 @@
 	return text
 }
 
-func total(by map[losses.Cause]int) int {
+func sumCounts(counts map[losses.Cause]int) int {
 	sum := 0
-	for _, n := range by {
+	for _, n := range counts {
 		sum += n
 	}
 	return sum
 }
 
-func share(n, of int) string {
-	if of == 0 {
+func formatShare(n, total int) string {
+	if total == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%.3f", float64(n)/float64(of))
+	return fmt.Sprintf("%.3f", float64(n)/float64(total))
 }
