--- a/cmd/internal/workspaces/command.go
+++ b/cmd/internal/workspaces/command.go
@@ -20,24 +20,24 @@
 	"heatherlock/steering"
 )
 
-// shownVMs bounds the VMs named for one configuration; --json names all.
-const shownVMs = 10
+// maxShownVMs limits the VMs listed per configuration; --json lists all.
+const maxShownVMs = 10
 
 type options struct {
-	controls []string
-	name     string
-	watch    bool
-	json     bool
+	controls  []string
+	workspace string
+	watch     bool
+	json      bool
 }
 
-// Command returns the subcommand.
+// Command returns the workspaces subcommand.
 func Command() command.Command {
 	return command.Command{
 		Name:    "workspaces",
 		Summary: "print what became of the requests of workspaces over a fleet on the users' platform, and how much of their allowances is in use",
 		Declare: func(sub *flaggy.Subcommand) command.Run {
 			o := &options{}
-			sub.AddPositionalValue(&o.name, "NAME", 1, false, "one workspace; all when left out")
+			sub.AddPositionalValue(&o.workspace, "NAME", 1, false, "one workspace; all when left out")
 			sub.StringSlice(&o.controls, "c", "control", "HOST:PORT of an entry VM's control listener; it names the others")
 			sub.Bool(&o.watch, "w", "watch", "show it again each second until interrupted")
 			sub.Bool(&o.json, "j", "json", "print JSON")
@@ -50,11 +50,11 @@
 	if len(o.controls) == 0 {
 		return command.Failf(command.Usage, "give one with --control", "no entry VM named")
 	}
-	return command.Watch(ctx, out, o.watch, func() error { return o.show(ctx, out) })
+	return command.Watch(ctx, out, o.watch, func() error { return o.printOnce(ctx, out) })
 }
 
-func (o *options) show(ctx context.Context, out command.IO) error {
-	v, err := o.gather(ctx)
+func (o *options) printOnce(ctx context.Context, out command.IO) error {
+	v, err := o.fetchView(ctx)
 	if err != nil {
 		return err
 	}
@@ -64,7 +64,7 @@
 		if err := encoder.Encode(v); err != nil {
 			return errors.Wrap(err, "workspaces: write")
 		}
-		return verdict(v, o.name)
+		return checkComplete(v, o.workspace)
 	}
 	if o.watch {
 		command.Clear(out)
@@ -72,44 +72,45 @@
 	if err := write(v, out.Out); err != nil {
 		return errors.Wrap(err, "workspaces: write")
 	}
-	return verdict(v, o.name)
+	return checkComplete(v, o.workspace)
 }
 
-// gather asks one VM for the others, and then each of those that live.
-func (o *options) gather(ctx context.Context) (View, error) {
+// fetchView requests the status of one VM and then that of each VM that the first one lists
+// as live.
+func (o *options) fetchView(ctx context.Context) (View, error) {
 	first, err := status.AskAny(ctx, http.DefaultClient, o.controls)
 	if err != nil {
 		return View{}, command.Failf(command.Unreachable, "check the addresses, and whether those entry VMs run", "none of %d entry VMs answered: %v", len(o.controls), err)
 	}
-	var others []string
+	var liveControls []string
 	for _, p := range first.Fleet {
 		if p.Live {
-			others = append(others, p.Control)
+			liveControls = append(liveControls, p.Control)
 		}
 	}
-	answers, problems := status.AskEach(ctx, http.DefaultClient, others)
-	all, silent := []*status.Status{first}, []string(nil)
+	answers, errs := status.AskEach(ctx, http.DefaultClient, liveControls)
+	all, unanswered := []*status.Status{first}, []string(nil)
 	for n, s := range answers {
-		if problems[n] != nil {
-			silent = append(silent, others[n])
+		if errs[n] != nil {
+			unanswered = append(unanswered, liveControls[n])
 			continue
 		}
 		all = append(all, s)
 	}
-	v := Sum(all, steering.Workspace(o.name))
-	v.Silent = silent
+	v := Aggregate(all, steering.Workspace(o.workspace))
+	v.Silent = unanswered
 	return v, nil
 }
 
-// verdict fails with a documented exit code if a VM is missing, the workspace is not known,
-// or VMs go by different keys and limits.
-func verdict(v View, name string) error {
+// checkComplete fails with a documented exit code if a VM did not answer, no VM knows the
+// workspace, or VMs use different configurations.
+func checkComplete(v View, name string) error {
 	switch {
 	case len(v.Silent) > 0:
 		return command.Failf(command.Unreachable, "the sums lack them; check whether they run", "%d entry VMs did not answer: %s", len(v.Silent), strings.Join(v.Silent, ", "))
 	case name != "" && len(v.Workspaces) == 0:
 		return command.Failf(command.Refused, "check the name; only workspaces with an allowance that were asked for are counted", "no entry VM knows workspace %q", name)
-	case !v.Agree():
+	case !v.SameConfiguration():
 		return command.Failf(command.Other, "see docs/operations/configuration.md for what each VM waits for", "entry VMs go by %d different configurations", len(v.Configurations))
 	}
 	return nil
@@ -121,9 +122,9 @@
 	for _, r := range v.Workspaces {
 		rate, demand, use, vms := "unknown", "", "", ""
 		if a := r.Allowance; a != nil {
-			rate, demand, use, vms = fmt.Sprintf("%.1f", a.Rate), fmt.Sprintf("%.1f", a.Demand), fmt.Sprintf("%.0f%%", 100*r.InUse()), fmt.Sprint(a.VMs)
+			rate, demand, use, vms = fmt.Sprintf("%.1f", a.Rate), fmt.Sprintf("%.1f", a.Demand), fmt.Sprintf("%.0f%%", 100*r.Utilization()), fmt.Sprint(a.VMs)
 		}
-		reason, notRun := mostOften(r.NotRun)
+		reason, notRun := mostFrequent(r.NotRun)
 		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t%s\n", r.Name, r.Asked, r.Admitted, r.Beyond, notRun, rate, demand, use, vms, r.Owner, reason)
 	}
 	fmt.Fprintf(w, "\n%d entry VMs answered\nKEYS AND LIMITS OF\tCONTENT\tVMS\tIN FORCE ON ALL OF THEM\n", len(v.Asked))
@@ -132,14 +133,14 @@
 	}
 	for n, c := range v.Configurations {
 		if n > 0 {
-			fmt.Fprintf(w, "on configuration %d: %v\n", c.Version, c.VMs[:min(len(c.VMs), shownVMs)])
+			fmt.Fprintf(w, "on configuration %d: %v\n", c.Version, c.VMs[:min(len(c.VMs), maxShownVMs)])
 		}
 	}
 	return w.Flush()
 }
 
-// mostOften returns the reason with most refusals, and the sum of all.
-func mostOften(counts map[steering.Reason]int64) (most steering.Reason, sum int64) {
+// mostFrequent returns the reason with the most refusals, and the sum over all reasons.
+func mostFrequent(counts map[steering.Reason]int64) (most steering.Reason, sum int64) {
 	reasons := make([]steering.Reason, 0, len(counts))
 	for reason, n := range counts {
 		reasons, sum = append(reasons, reason), sum+n
--- a/cmd/internal/workspaces/doc.go
+++ b/cmd/internal/workspaces/doc.go
@@ -1,3 +1,4 @@
-// Package workspaces shows what became of the requests of workspaces over a whole fleet:
-// the sums of what each entry VM counted, and what the owner of each allowance knows.
+// Package workspaces implements the subcommand that prints the outcomes of the requests of
+// workspaces across a fleet: the sums of the counters of all entry VMs, and the rate, demand
+// and utilization that the VM that owns a workspace's allowance reports.
 package workspaces
--- a/cmd/internal/workspaces/view.go
+++ b/cmd/internal/workspaces/view.go
@@ -8,69 +8,77 @@
 	"heatherlock/steering"
 )
 
-// View is what a fleet did with the requests of workspaces since its VMs started.
+// View holds the outcomes of the requests of workspaces across a fleet, counted since each VM
+// started.
 type View struct {
-	Workspaces []Row `json:"workspaces"`
-	// Asked are the VMs that answered; Silent did not, by control address.
+	Workspaces []WorkspaceTotals `json:"workspaces"`
+	// Asked lists the VMs that answered. Silent lists the control addresses of those that
+	// did not.
 	Asked  []steering.VM `json:"asked"`
 	Silent []string      `json:"silent,omitempty"`
-	// Configurations tells which versions of keys and limits are in force, the newest first.
+	// Configurations lists the configurations of API keys and limits in force, the newest
+	// first.
 	Configurations []Configuration `json:"configurations"`
 }
 
-// Row is one workspace over all VMs that answered.
-type Row struct {
-	Name     steering.Workspace        `json:"name"`
-	Asked    int64                     `json:"asked"`
-	Admitted int64                     `json:"admitted"`
-	Beyond   int64                     `json:"beyond"`
-	NotRun   map[steering.Reason]int64 `json:"not_run,omitempty"`
-	// Owner is the VM that owns the allowance, empty if no VM that answered does.
+// WorkspaceTotals holds the sums of one workspace over all VMs that answered.
+type WorkspaceTotals struct {
+	Name steering.Workspace `json:"name"`
+	// Asked counts all requests. The allowance let Admitted of them run and refused Beyond.
+	Asked    int64 `json:"asked"`
+	Admitted int64 `json:"admitted"`
+	Beyond   int64 `json:"beyond"`
+	// NotRun counts admitted requests that were refused later without having run, by reason.
+	NotRun map[steering.Reason]int64 `json:"not_run,omitempty"`
+	// Owner is the VM that owns the allowance. It is empty, and Allowance nil, if none of
+	// the VMs that answered owns it.
 	Owner     steering.VM       `json:"owner,omitempty"`
 	Allowance *status.Allowance `json:"allowance,omitempty"`
 }
 
-// InUse is the part of the declared rate that callers ask for now; 0 if it is not known.
-func (r Row) InUse() float64 {
+// Utilization returns the ratio of the current demand to the declared rate, or 0 if it is not
+// known.
+func (r WorkspaceTotals) Utilization() float64 {
 	if r.Allowance == nil || r.Allowance.Rate <= 0 {
 		return 0
 	}
 	return r.Allowance.Demand / r.Allowance.Rate
 }
 
-// Configuration is a version with a content, and the VMs on which it is in force.
+// Configuration identifies a configuration by version and content hash, and lists the VMs on
+// which it is in force.
 type Configuration struct {
 	Version uint64        `json:"version"`
 	Content string        `json:"content"`
 	VMs     []steering.VM `json:"vms"`
-	// InForceMs is how long it has been in force on all of these.
+	// InForceMs is the time for which it has been in force on all of these VMs.
 	InForceMs int64 `json:"in_force_ms"`
 }
 
-// Agree reports whether all VMs that answered go by the same keys and limits.
-func (v View) Agree() bool { return len(v.Configurations) <= 1 }
+// SameConfiguration reports whether all VMs that answered use the same API keys and limits.
+func (v View) SameConfiguration() bool { return len(v.Configurations) <= 1 }
 
-// Sum adds up what VMs say. A name that is not empty selects one workspace.
-func Sum(all []*status.Status, name steering.Workspace) View {
+// Aggregate sums the statuses of VMs. A non-empty name restricts the sums to that workspace.
+func Aggregate(all []*status.Status, name steering.Workspace) View {
 	var v View
-	rows := make(map[steering.Workspace]*Row)
+	totals := make(map[steering.Workspace]*WorkspaceTotals)
 	for _, s := range all {
 		v.Asked = append(v.Asked, s.VM)
-		v.noteConfiguration(s)
+		v.addConfiguration(s)
 		for _, w := range s.Workspaces {
 			if name != "" && w.Name != name {
 				continue
 			}
-			if rows[w.Name] == nil {
-				rows[w.Name] = &Row{Name: w.Name}
+			if totals[w.Name] == nil {
+				totals[w.Name] = &WorkspaceTotals{Name: w.Name}
 			}
-			rows[w.Name].add(s.VM, w)
+			totals[w.Name].add(s.VM, w)
 		}
 	}
-	for _, r := range rows {
+	for _, r := range totals {
 		v.Workspaces = append(v.Workspaces, *r)
 	}
-	slices.SortFunc(v.Workspaces, func(a, b Row) int {
+	slices.SortFunc(v.Workspaces, func(a, b WorkspaceTotals) int {
 		return cmp.Or(cmp.Compare(b.Beyond, a.Beyond), cmp.Compare(b.Asked, a.Asked), cmp.Compare(a.Name, b.Name))
 	})
 	slices.SortFunc(v.Configurations, func(a, b Configuration) int {
@@ -79,7 +87,7 @@
 	return v
 }
 
-func (r *Row) add(vm steering.VM, w status.Workspace) {
+func (r *WorkspaceTotals) add(vm steering.VM, w status.Workspace) {
 	r.Asked += w.Admitted + w.Beyond
 	r.Admitted += w.Admitted
 	r.Beyond += w.Beyond
@@ -89,13 +97,14 @@
 		}
 		r.NotRun[reason] += n
 	}
-	// While views differ two VMs may own it; that which more callers reach counts.
+	// While the VMs' membership views differ, two of them may act as owner. The one with the
+	// higher demand counts, since more callers reach it.
 	if w.Owned != nil && (r.Allowance == nil || w.Owned.Demand > r.Allowance.Demand) {
 		r.Owner, r.Allowance = vm, w.Owned
 	}
 }
 
-func (v *View) noteConfiguration(s *status.Status) {
+func (v *View) addConfiguration(s *status.Status) {
 	for n := range v.Configurations {
 		c := &v.Configurations[n]
 		if c.Version == s.ConfigVersion && c.Content == s.Config.Content {
--- a/cmd/internal/workspaces/workspaces_test.go
+++ b/cmd/internal/workspaces/workspaces_test.go
@@ -15,7 +15,7 @@
 	"heatherlock/steering"
 )
 
-func serving(t *testing.T, s *status.Status) string {
+func serveStatus(t *testing.T, s *status.Status) string {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		assert.Check(t, json.NewEncoder(w).Encode(s))
 	}))
@@ -23,17 +23,17 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func fleetOfTwo(t *testing.T) (first *status.Status, control string) {
+func serveFleet(t *testing.T) (first *status.Status, control string) {
 	second := &status.Status{VM: "vm-2", ConfigVersion: 7, Config: status.Config{Content: "c", InForceMs: 900},
 		Workspaces: []status.Workspace{{Name: "spa", Admitted: 5, Beyond: 2, Owned: &status.Allowance{Rate: 40, Demand: 10, VMs: 2}}}}
 	first = &status.Status{VM: "vm-1", ConfigVersion: 7, Config: status.Config{Content: "c", InForceMs: 1500},
 		Workspaces: []status.Workspace{{Name: "museum", Admitted: 4}, {Name: "spa", Admitted: 3, NotRun: map[steering.Reason]int64{steering.ReasonNoSlot: 1}}}}
-	first.Fleet = []status.Peer{{VM: "vm-2", Live: true, Control: serving(t, second)}, {VM: "vm-3", Control: "127.0.0.1:1"}}
-	return first, serving(t, first)
+	first.Fleet = []status.Peer{{VM: "vm-2", Live: true, Control: serveStatus(t, second)}, {VM: "vm-3", Control: "127.0.0.1:1"}}
+	return first, serveStatus(t, first)
 }
 
 func TestCountsOfAllVMsAreAddedUp(t *testing.T) {
-	_, control := fleetOfTwo(t)
+	_, control := serveFleet(t)
 	var out bytes.Buffer
 	o := &options{controls: []string{control}}
 	assert.NilError(t, o.run(t.Context(), command.IO{Out: &out, Err: &out}))
@@ -43,7 +43,7 @@
 	assert.Assert(t, strings.Contains(out.String(), "configuration 7") && strings.Contains(out.String(), "900ms"), out.String())
 
 	out.Reset()
-	o = &options{controls: []string{control}, name: "spa", json: true}
+	o = &options{controls: []string{control}, workspace: "spa", json: true}
 	assert.NilError(t, o.run(t.Context(), command.IO{Out: &out, Err: &out}))
 	var v View
 	assert.NilError(t, json.Unmarshal(out.Bytes(), &v))
@@ -51,19 +51,20 @@
 	assert.Equal(t, v.Workspaces[0].Owner, steering.VM("vm-2"))
 }
 
-// Guards against sums that look whole while VMs are missing, or go by other keys.
-func TestExitCodeTellsWhatIsMissing(t *testing.T) {
-	first, _ := fleetOfTwo(t)
+// Guards against sums that appear complete although VMs are missing or use another
+// configuration: the exit code reports both.
+func TestExitCodeReportsIncompleteSums(t *testing.T) {
+	first, _ := serveFleet(t)
 	var out bytes.Buffer
-	show := func(o *options) command.Code {
+	exitCode := func(o *options) command.Code {
 		return command.CodeOf(o.run(t.Context(), command.IO{Out: &out, Err: &out}))
 	}
-	assert.Equal(t, show(&options{}), command.Usage)
-	assert.Equal(t, show(&options{controls: []string{"127.0.0.1:1"}}), command.Unreachable)
-	control := serving(t, first)
-	assert.Equal(t, show(&options{controls: []string{control}, name: "nobody"}), command.Refused)
+	assert.Equal(t, exitCode(&options{}), command.Usage)
+	assert.Equal(t, exitCode(&options{controls: []string{"127.0.0.1:1"}}), command.Unreachable)
+	control := serveStatus(t, first)
+	assert.Equal(t, exitCode(&options{controls: []string{control}, workspace: "nobody"}), command.Refused)
 	first.ConfigVersion = 6
-	assert.Equal(t, show(&options{controls: []string{control}}), command.Other)
+	assert.Equal(t, exitCode(&options{controls: []string{control}}), command.Other)
 	first.Fleet[1].Live = true
-	assert.Equal(t, show(&options{controls: []string{control}}), command.Unreachable)
+	assert.Equal(t, exitCode(&options{controls: []string{control}}), command.Unreachable)
 }
