--- a/cmd/internal/vmstatus/fleet.go
+++ b/cmd/internal/vmstatus/fleet.go
@@ -16,23 +16,24 @@
 )
 
 const (
-	// shownOutliers bounds the VMs named on the screen; --output json has all.
-	shownOutliers = 20
+	// maxShownOutliers limits the VMs listed in the table; --output json lists all.
+	maxShownOutliers = 20
 )
 
-// runAll shows which configuration all VMs follow, once or again and again.
-func runAll(ctx context.Context, o *options, out command.IO) error {
+// runFleet prints which configuration each VM of the fleet uses, once or, with --watch,
+// repeatedly.
+func runFleet(ctx context.Context, o *options, out command.IO) error {
 	return command.Watch(ctx, out, o.watch, func() error {
-		view, err := askFleet(ctx, o.controls)
+		view, err := fetchFleet(ctx, o.controls)
 		if err != nil {
 			return err
 		}
-		return o.show(view, out)
+		return o.writeFleet(view, out)
 	})
 }
 
-// show writes a view, and fails if not all VMs follow the same configuration.
-func (o *options) show(view status.View, out command.IO) error {
+// writeFleet writes a view, and fails if not all VMs use the same configuration.
+func (o *options) writeFleet(view status.View, out command.IO) error {
 	var err error
 	if o.format == formatJSON {
 		encoder := json.NewEncoder(out.Out)
@@ -42,16 +43,17 @@
 		if o.watch {
 			command.Clear(out)
 		}
-		err = writeView(view, out.Out)
+		err = writeFleetTables(view, out.Out)
 	}
 	if err != nil {
 		return errors.Wrap(err, "vm-status: write")
 	}
-	return verdict(view)
+	return checkFollowing(view)
 }
 
-// verdict fails with a documented exit code unless all VMs follow the same.
-func verdict(v status.View) error {
+// checkFollowing fails with a documented exit code unless every zone answered and all VMs use
+// the same configuration.
+func checkFollowing(v status.View) error {
 	switch {
 	case len(v.Silent) > 0:
 		return command.Failf(command.Unreachable, "check whether VMs run there, and the way to them", "no entry VM answered in %d zones", len(v.Silent))
@@ -61,8 +63,9 @@
 	return nil
 }
 
-// askFleet asks the VMs named until one answers, and then one VM of each other zone.
-func askFleet(ctx context.Context, controls []string) (status.View, error) {
+// fetchFleet queries the given VMs in order until one answers, and then one VM of each other
+// zone.
+func fetchFleet(ctx context.Context, controls []string) (status.View, error) {
 	first, err := status.AskAny(ctx, http.DefaultClient, controls)
 	if err != nil {
 		return status.View{}, command.Failf(command.Unreachable, "check the addresses, and whether those entry VMs run", "none of %d entry VMs answered: %v", len(controls), err)
@@ -70,21 +73,22 @@
 	return status.Gather(ctx, http.DefaultClient, first), nil
 }
 
-// writeView prints the versions by zone, and the VMs that do not follow the newest.
-func writeView(v status.View, out io.Writer) error {
+// writeFleetTables prints the configuration versions by zone, and the VMs that do not use the
+// newest one.
+func writeFleetTables(v status.View, out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "configuration %d is the newest; %d entry VMs live, %d on record are gone; %d asked\n\n", v.Newest, v.Live, v.Gone, len(v.Asked))
 	fmt.Fprintln(w, "ZONE\tVERSION\tCONTENT\tVMS\tIN FORCE ON ALL OF THEM")
 	for _, z := range v.Zones {
-		fmt.Fprintf(w, "%s\t%d\t%s\t%d\t%s\n", z.Zone, z.Version, orUnknown(z.Content), z.VMs, spanText(z.InForceMs))
+		fmt.Fprintf(w, "%s\t%d\t%s\t%d\t%s\n", z.Zone, z.Version, orUnknown(z.Content), z.VMs, formatDuration(z.InForceMs))
 	}
 	if len(v.Outliers) > 0 {
 		fmt.Fprintln(w, "\nNOT FOLLOWING\tZONE\tVERSION\tWHY")
 	}
-	for _, o := range v.Outliers[:min(len(v.Outliers), shownOutliers)] {
+	for _, o := range v.Outliers[:min(len(v.Outliers), maxShownOutliers)] {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", o.VM, o.Zone, o.ConfigVersion, o.Why)
 	}
-	if more := len(v.Outliers) - shownOutliers; more > 0 {
+	if more := len(v.Outliers) - maxShownOutliers; more > 0 {
 		fmt.Fprintf(w, "and %d more; --output json names all\n", more)
 	}
 	for _, r := range v.Rejected {
@@ -103,8 +107,9 @@
 	return content
 }
 
-// spanText shows a time since: milliseconds matter only while they are few.
-func spanText(ms int64) string {
+// formatDuration formats a duration given in milliseconds. From 10 seconds on, it omits
+// fractions of a second.
+func formatDuration(ms int64) string {
 	d := time.Duration(ms) * time.Millisecond
 	if d < 10*time.Second {
 		return d.String()
--- a/cmd/internal/vmstatus/vmstatus.go
+++ b/cmd/internal/vmstatus/vmstatus.go
@@ -1,4 +1,6 @@
-// Package vmstatus prints what entry VMs on the users' platform go by.
+// Package vmstatus implements the subcommand that prints the state of entry VMs on the users'
+// platform: their configuration, the age of the data read from the store, peers and targets.
+// With --all it compares the configurations of the whole fleet.
 package vmstatus
 
 import (
@@ -18,13 +20,13 @@
 	"heatherlock/node/gateway/status"
 )
 
-// Output formats.
+// Formats that --output accepts.
 const (
 	formatTable = "table"
 	formatJSON  = "json"
 )
 
-// options are the choices of a run.
+// options holds the values of the flags.
 type options struct {
 	controls []string
 	format   string
@@ -32,7 +34,7 @@
 	watch    bool
 }
 
-// Command returns the subcommand.
+// Command returns the vm-status subcommand.
 func Command() command.Command {
 	return command.Command{
 		Name:    "vm-status",
@@ -44,19 +46,19 @@
 			sub.Bool(&o.all, "a", "all", "show which configuration every VM of the fleet follows, asking one a zone; exit code 0 only if all follow the same")
 			sub.Bool(&o.watch, "w", "watch", "with --all, show it again each second until interrupted")
 			return func(ctx context.Context, out command.IO) error {
-				if err := o.check(); err != nil {
+				if err := o.validate(); err != nil {
 					return err
 				}
 				if o.all {
-					return runAll(ctx, o, out)
+					return runFleet(ctx, o, out)
 				}
-				return run(ctx, o.controls, o.format, out.Out)
+				return runEach(ctx, o.controls, o.format, out.Out)
 			}
 		},
 	}
 }
 
-func (o *options) check() error {
+func (o *options) validate() error {
 	switch {
 	case len(o.controls) == 0:
 		return command.Failf(command.Usage, "give one or more with --control", "no entry VM named")
@@ -68,46 +70,46 @@
 	return nil
 }
 
-// answer is what one entry VM said, or why it did not.
+// answer is the status of one entry VM, or the reason why it could not be fetched.
 type answer struct {
 	Control string         `json:"control"`
 	Status  *status.Status `json:"status,omitempty"`
 	Problem string         `json:"problem,omitempty"`
 }
 
-func run(ctx context.Context, addresses []string, format string, out io.Writer) error {
-	if err := (&options{controls: addresses, format: format}).check(); err != nil {
+func runEach(ctx context.Context, addresses []string, format string, out io.Writer) error {
+	if err := (&options{controls: addresses, format: format}).validate(); err != nil {
 		return err
 	}
-	answers := askAll(ctx, addresses)
-	silent := 0
+	answers := fetchEach(ctx, addresses)
+	unanswered := 0
 	for _, a := range answers {
 		if a.Status == nil {
-			silent++
+			unanswered++
 		}
 	}
-	if err := write(answers, format, out); err != nil {
+	if err := writeAnswers(answers, format, out); err != nil {
 		return err
 	}
-	if silent > 0 {
-		return command.Failf(command.Unreachable, "check the addresses, and whether those entry VMs run", "%d of %d entry VMs did not answer", silent, len(answers))
+	if unanswered > 0 {
+		return command.Failf(command.Unreachable, "check the addresses, and whether those entry VMs run", "%d of %d entry VMs did not answer", unanswered, len(answers))
 	}
 	return nil
 }
 
-func askAll(ctx context.Context, addresses []string) []answer {
-	all, problems := status.AskEach(ctx, http.DefaultClient, addresses)
+func fetchEach(ctx context.Context, addresses []string) []answer {
+	statuses, errs := status.AskEach(ctx, http.DefaultClient, addresses)
 	answers := make([]answer, len(addresses))
 	for i, address := range addresses {
-		answers[i] = answer{Control: address, Status: all[i]}
-		if problems[i] != nil {
-			answers[i].Problem = problems[i].Error()
+		answers[i] = answer{Control: address, Status: statuses[i]}
+		if errs[i] != nil {
+			answers[i].Problem = errs[i].Error()
 		}
 	}
 	return answers
 }
 
-func write(answers []answer, format string, out io.Writer) error {
+func writeAnswers(answers []answer, format string, out io.Writer) error {
 	if format == formatJSON {
 		encoder := json.NewEncoder(out)
 		encoder.SetIndent("", "  ")
@@ -116,15 +118,15 @@
 		}
 		return nil
 	}
-	return writeTables(answers, out)
+	return writeAnswerTables(answers, out)
 }
 
-func writeTables(answers []answer, out io.Writer) error {
+func writeAnswerTables(answers []answer, out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "VM\tZONE\tSTATE\tCONFIG\tSTORE READ\tPEERS\tRUNNING\tDARK ZONES")
 	for _, a := range answers {
 		if s := a.Status; s != nil {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%d of %d\t%d\t%s\n", s.VM, s.Zone, stateOf(s), s.ConfigVersion, readOf(s), s.PeersLive, s.PeersKnown, s.RequestsRunning, namesOr(s.DarkZones, "none"))
+			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%d of %d\t%d\t%s\n", s.VM, s.Zone, stateText(s), s.ConfigVersion, storeReadText(s), s.PeersLive, s.PeersKnown, s.RequestsRunning, joinNames(s.DarkZones, "none"))
 			continue
 		}
 		fmt.Fprintf(w, "%s\t\tno answer: %s\n", a.Control, a.Problem)
@@ -144,7 +146,7 @@
 	return nil
 }
 
-func stateOf(s *status.Status) string {
+func stateText(s *status.Status) string {
 	switch {
 	case s.Leaving:
 		return "leaving"
@@ -154,7 +156,7 @@
 	return "starting"
 }
 
-func readOf(s *status.Status) string {
+func storeReadText(s *status.Status) string {
 	if s.StoreAgeMs < 0 {
 		return "never"
 	}
@@ -165,9 +167,9 @@
 	return text
 }
 
-func namesOr[T ~string](names []T, none string) string {
+func joinNames[T ~string](names []T, ifEmpty string) string {
 	if len(names) == 0 {
-		return none
+		return ifEmpty
 	}
 	texts := make([]string, len(names))
 	for i, name := range names {
--- a/cmd/internal/vmstatus/vmstatus_test.go
+++ b/cmd/internal/vmstatus/vmstatus_test.go
@@ -19,7 +19,7 @@
 	"heatherlock/steering"
 )
 
-func serving(t *testing.T, s status.Status) string {
+func serveStatus(t *testing.T, s status.Status) string {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		assert.Check(t, r.URL.Path == status.Path)
 		assert.Check(t, json.NewEncoder(w).Encode(s))
@@ -28,42 +28,42 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// Symptom: during an outage status shows nothing. Sequence: one of the entry VMs
-// asked is down. Cause: giving up at the first that does not answer. Those that
-// answer are shown, and the exit code says that one did not.
-func TestStatusOfThoseThatAnswerIsShown(t *testing.T) {
-	up := serving(t, status.Status{VM: "front-1", Zone: "a", Ready: true, ConfigVersion: 17, StoreAgeMs: 420, StoreFails: true, PeersLive: 2, PeersKnown: 3,
+// Guards against a command that prints nothing during an outage because it stops at the first
+// entry VM that does not answer. The VMs that answer are shown, and the exit code reports that
+// one did not.
+func TestStatusShowsVMsThatAnswer(t *testing.T) {
+	up := serveStatus(t, status.Status{VM: "front-1", Zone: "a", Ready: true, ConfigVersion: 17, StoreAgeMs: 420, StoreFails: true, PeersLive: 2, PeersKnown: 3,
 		Services: []status.Service{{Name: "tickets", Targets: 4, Closed: 1, KeysKept: 0.5, Ejected: nil}}})
 	var out bytes.Buffer
-	err := run(t.Context(), []string{up, "127.0.0.1:1"}, "table", &out)
+	err := runEach(t.Context(), []string{up, "127.0.0.1:1"}, "table", &out)
 	assert.Equal(t, command.CodeOf(err), command.Unreachable)
 	assert.ErrorContains(t, err, "1 of 2")
 	for _, part := range []string{"front-1", "ready", "17", "420 ms ago, own reads fail", "2 of 3", "tickets", "0.50", "127.0.0.1:1", "no answer"} {
 		assert.Assert(t, strings.Contains(out.String(), part), "%q is missing in\n%s", part, out.String())
 	}
 	out.Reset()
-	assert.NilError(t, run(t.Context(), []string{up}, "json", &out))
+	assert.NilError(t, runEach(t.Context(), []string{up}, "json", &out))
 	var answers []answer
 	assert.NilError(t, json.Unmarshal(out.Bytes(), &answers))
 	assert.Equal(t, answers[0].Status.ConfigVersion, uint64(17))
 }
 
-func TestBadCommandLinesAreRefused(t *testing.T) {
+func TestBadCommandLinesFailWithUsage(t *testing.T) {
 	var out bytes.Buffer
-	assert.Equal(t, command.CodeOf(run(t.Context(), nil, "table", &out)), command.Usage)
-	assert.Equal(t, command.CodeOf(run(t.Context(), []string{"a:1"}, "yaml", &out)), command.Usage)
+	assert.Equal(t, command.CodeOf(runEach(t.Context(), nil, "table", &out)), command.Usage)
+	assert.Equal(t, command.CodeOf(runEach(t.Context(), []string{"a:1"}, "yaml", &out)), command.Usage)
 	assert.Equal(t, out.Len(), 0)
 }
 
-func TestStateAndReadInWords(t *testing.T) {
-	assert.Equal(t, stateOf(&status.Status{Leaving: true, Ready: true}), "leaving")
-	assert.Equal(t, stateOf(&status.Status{}), "starting")
-	assert.Equal(t, readOf(&status.Status{StoreAgeMs: -1}), "never")
+func TestStateAndStoreReadText(t *testing.T) {
+	assert.Equal(t, stateText(&status.Status{Leaving: true, Ready: true}), "leaving")
+	assert.Equal(t, stateText(&status.Status{}), "starting")
+	assert.Equal(t, storeReadText(&status.Status{StoreAgeMs: -1}), "never")
 }
 
-// zoneServers serves, for each of nine zones, one VM that knows the fleet of 195, and
-// returns their addresses.
-func zoneServers(t *testing.T, change func(*status.Status)) []string {
+// serveZones serves the status of one VM in each of nine zones, each of which lists the fleet
+// of 195 VMs, and returns their addresses. It calls change on each status first.
+func serveZones(t *testing.T, change func(*status.Status)) []string {
 	const zones, vms = 9, 195
 	var all []*status.Status
 	var addresses []string
@@ -98,13 +98,14 @@
 	return addresses
 }
 
-// An operator asks one VM which configuration each of 195 follows. Eight others are asked,
-// the answer fits a screen, and the exit code tells whether all follow the same.
-func TestAllOf195VMsOnOneScreen(t *testing.T) {
-	same := zoneServers(t, func(*status.Status) {})
+// Checks that an operator who names one VM learns which configuration each of 195 VMs uses:
+// one VM of each of the other eight zones is queried, the output fits on a screen, and the
+// exit code reports whether all VMs use the same configuration.
+func TestFleetOf195VMsFitsOneScreen(t *testing.T) {
+	same := serveZones(t, func(*status.Status) {})
 	var out bytes.Buffer
 	o := &options{controls: same[:1], format: formatTable, all: true}
-	assert.NilError(t, runAll(t.Context(), o, command.IO{Out: &out}))
+	assert.NilError(t, runFleet(t.Context(), o, command.IO{Out: &out}))
 	text := out.String()
 	assert.Assert(t, strings.Contains(text, "configuration 17 is the newest; 195 entry VMs live, 0 on record are gone; 9 asked"), text)
 	assert.Assert(t, strings.Count(text, "\n") <= 24, "more than a screen:\n%s", text)
@@ -112,7 +113,7 @@
 		assert.Assert(t, strings.Contains(text, fmt.Sprint("zone-", zone)), text)
 	}
 
-	behind := zoneServers(t, func(s *status.Status) {
+	behind := serveZones(t, func(s *status.Status) {
 		for n := range s.Fleet {
 			if p := &s.Fleet[n]; p.Zone == s.Zone && strings.HasSuffix(string(p.VM), "-7") {
 				p.ConfigVersion, p.Wait = 15, "VMs that have it do not answer"
@@ -124,7 +125,7 @@
 	})
 	out.Reset()
 	o = &options{controls: append([]string{"127.0.0.1:1"}, behind[2]), format: formatTable, all: true}
-	err := runAll(t.Context(), o, command.IO{Out: &out})
+	err := runFleet(t.Context(), o, command.IO{Out: &out})
 	assert.Equal(t, command.CodeOf(err), command.Other)
 	assert.ErrorContains(t, err, "9 of 195 entry VMs do not follow configuration 17")
 	for _, part := range []string{"vm-4-7", "behind: VMs that have it do not answer", "rejected: version r19: route r-1 names no service"} {
@@ -132,13 +133,14 @@
 	}
 	out.Reset()
 	o.format = formatJSON
-	assert.Equal(t, command.CodeOf(runAll(t.Context(), o, command.IO{Out: &out})), command.Other)
+	assert.Equal(t, command.CodeOf(runFleet(t.Context(), o, command.IO{Out: &out})), command.Other)
 	var view status.View
 	assert.NilError(t, json.Unmarshal(out.Bytes(), &view))
 	assert.Equal(t, len(view.Outliers), 9)
 }
 
-// What the operators' page shows is what the command takes and prints.
+// Checks that the flags and messages in the operators' documentation match those of the
+// command.
 func TestPageNamesWhatIsPrinted(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/operations/configuration.md")
 	assert.NilError(t, err)
@@ -148,9 +150,10 @@
 	}
 }
 
-// A zone in which nobody answers is named, and the exit code says that it is not known.
-func TestZoneThatDoesNotAnswerIsNamed(t *testing.T) {
-	addresses := zoneServers(t, func(s *status.Status) {
+// Guards against a zone that is missing silently: if no VM of a zone answers, the output lists
+// the zone and the exit code is Unreachable.
+func TestUnansweringZoneIsReported(t *testing.T) {
+	addresses := serveZones(t, func(s *status.Status) {
 		for n := range s.Fleet {
 			if s.Fleet[n].Zone == "zone-5" {
 				s.Fleet[n].Control = "127.0.0.1:1"
@@ -158,20 +161,20 @@
 		}
 	})
 	var out bytes.Buffer
-	err := runAll(t.Context(), &options{controls: addresses[:1], format: formatTable, all: true}, command.IO{Out: &out})
+	err := runFleet(t.Context(), &options{controls: addresses[:1], format: formatTable, all: true}, command.IO{Out: &out})
 	assert.Equal(t, command.CodeOf(err), command.Unreachable)
 	assert.Assert(t, strings.Contains(out.String(), "no answer from zone zone-5"), out.String())
-	err = runAll(t.Context(), &options{controls: []string{"127.0.0.1:1"}, format: formatTable, all: true}, command.IO{Out: &out})
+	err = runFleet(t.Context(), &options{controls: []string{"127.0.0.1:1"}, format: formatTable, all: true}, command.IO{Out: &out})
 	assert.Equal(t, command.CodeOf(err), command.Unreachable)
 }
 
-// With --watch it is shown again until the operator interrupts.
-func TestWatchShowsAgain(t *testing.T) {
-	addresses := zoneServers(t, func(*status.Status) {})
+// Checks that --watch prints the view repeatedly until the context ends.
+func TestWatchRepeats(t *testing.T) {
+	addresses := serveZones(t, func(*status.Status) {})
 	ctx, cancel := context.WithTimeout(t.Context(), command.WatchEvery+command.WatchEvery/2)
 	defer cancel()
 	var out bytes.Buffer
-	assert.NilError(t, runAll(ctx, &options{controls: addresses[:1], format: formatTable, all: true, watch: true}, command.IO{Out: &out, Terminal: true}))
+	assert.NilError(t, runFleet(ctx, &options{controls: addresses[:1], format: formatTable, all: true, watch: true}, command.IO{Out: &out, Terminal: true}))
 	assert.Equal(t, strings.Count(out.String(), command.ClearScreen), 2)
-	assert.Equal(t, command.CodeOf((&options{controls: addresses[:1], format: formatTable, watch: true}).check()), command.Usage)
+	assert.Equal(t, command.CodeOf((&options{controls: addresses[:1], format: formatTable, watch: true}).validate()), command.Usage)
 }
