--- a/cmd/internal/operate/apply.go
+++ b/cmd/internal/operate/apply.go
@@ -26,7 +26,7 @@
 
 // Apply returns the subcommand that creates and updates objects.
 func Apply() command.Command {
-	return online("apply", "create or update the objects of files, in whatever order they are written", func(sub *flaggy.Subcommand) func(context.Context, *client.Client, command.IO) error {
+	return newCommand("apply", "create or update the objects of files, in whatever order they are written", func(sub *flaggy.Subcommand) func(context.Context, *client.Client, command.IO) error {
 		o := &applyOptions{}
 		sub.StringSlice(&o.files, "f", "file", "file or directory of JSON objects, or - for standard input; may be repeated")
 		sub.Bool(&o.dryRun, "n", "dry-run", "check and show what would change; store nothing")
@@ -42,128 +42,130 @@
 	})
 }
 
-// readObjects reads files in which every object is right by itself.
+// readObjects reads objects from files. It fails if one of them is invalid by itself or occurs
+// twice.
 func readObjects(files []string, io command.IO) ([]objects.Item, error) {
 	items, err := objects.Read(files, io.In)
 	if err != nil {
 		return nil, err
 	}
-	wrong := 0
+	problems := 0
 	for _, item := range items {
 		for _, p := range item.Problems {
-			wrong++
+			problems++
 			fmt.Fprintf(io.Err, "%s: %s %s: %s\n  remedy: %s\n", item.Source, p.Object, p.Field, p.Message, p.Remedy)
 		}
 	}
 	for _, message := range objects.Duplicates(items) {
-		wrong++
+		problems++
 		fmt.Fprintf(io.Err, "%s\n  remedy: keep one of the two\n", message)
 	}
-	if wrong > 0 {
-		return nil, command.Failf(command.Refused, "", "%d problems; nothing was sent", wrong)
+	if problems > 0 {
+		return nil, command.Failf(command.Refused, "", "%d problems; nothing was sent", problems)
 	}
 	return items, nil
 }
 
-// applyObjects plans the writes, and sends them unless one of them cannot work.
+// applyObjects plans the writes of the objects that differ from the stored ones. It sends them
+// only if the rules allow all of them.
 func applyObjects(ctx context.Context, c *client.Client, items []objects.Item, o applyOptions, io command.IO) error {
-	stored, err := c.Set(ctx, kindsNeeded(items)...)
+	stored, err := c.Set(ctx, requiredKinds(items)...)
 	if err != nil {
 		return err
 	}
-	var wanted []step
+	var changes []step
 	for _, item := range items {
 		s := newStep(stored, item)
-		if s.existed && len(operator.Diff(s.before, s.object)) == 0 {
-			fmt.Fprintf(io.Out, "%s unchanged\n", label(s.before))
+		if s.exists && len(operator.Diff(s.current, s.object)) == 0 {
+			fmt.Fprintf(io.Out, "%s unchanged\n", label(s.current))
 			continue
 		}
-		wanted = append(wanted, s)
+		changes = append(changes, s)
 	}
-	steps, stuck := plan(stored, wanted, o.override != "")
-	if len(stuck) > 0 {
-		return reportStuck(stuck, io)
+	steps, refused := planWrites(stored, changes, o.override != "")
+	if len(refused) > 0 {
+		return reportRefused(refused, io)
 	}
 	if o.dryRun {
-		showPlan(wanted, o, io)
+		printPlan(changes, o, io)
 		return nil
 	}
-	return send(ctx, c, steps, o, io)
+	return sendWrites(ctx, c, steps, o, io)
 }
 
-// kindsNeeded lists the kinds that the changes are checked against. Client
-// blocks may be many; they are read only if some are to be written.
-func kindsNeeded(items []objects.Item) []oas.Kind {
-	blocks := slices.ContainsFunc(items, func(i objects.Item) bool { return i.Object.Type == oas.ClientBlocksObject })
+// requiredKinds returns the kinds that the changes are checked against. There may be many
+// client blocks, so they are read only if the changes include some.
+func requiredKinds(items []objects.Item) []oas.Kind {
+	hasClientBlocks := slices.ContainsFunc(items, func(i objects.Item) bool { return i.Object.Type == oas.ClientBlocksObject })
 	var kinds []oas.Kind
 	for _, kind := range check.Kinds {
-		if kind != oas.KindClientBlocks || blocks {
+		if kind != oas.KindClientBlocks || hasClientBlocks {
 			kinds = append(kinds, kind)
 		}
 	}
 	return kinds
 }
 
-// newStep prepares one write. A version given in the file is kept: the operator
-// means to change that version and no other.
+// newStep prepares the write of an object. It keeps a version given in the file, since the
+// operator intends to replace that version only, and otherwise uses the stored version.
 func newStep(stored check.Set, item objects.Item) step {
 	s := step{ref: check.RefOf(item.Object), source: item.Source, object: item.Object}
-	s.before, s.existed = stored.Get(s.ref)
+	s.current, s.exists = stored.Get(s.ref)
 	m := check.MetadataOf(&s.object)
-	if s.existed && m.Version.Or(0) == 0 {
-		m.Version = check.MetadataOf(&s.before).Version
+	if s.exists && m.Version.Or(0) == 0 {
+		m.Version = check.MetadataOf(&s.current).Version
 	}
-	if !s.existed {
+	if !s.exists {
 		m.Version.Reset()
 	}
 	return s
 }
 
-func reportStuck(stuck []stuckStep, io command.IO) error {
-	for _, s := range stuck {
+func reportRefused(refused []refusedStep, io command.IO) error {
+	for _, s := range refused {
 		for _, p := range s.problems {
 			fmt.Fprintf(io.Err, "%s: %s %s: %s (%s)\n  remedy: %s\n", s.step.source, p.Object, p.Field, p.Message, p.Class, p.Remedy)
 		}
 	}
-	return command.Failf(command.Refused, "", "%d objects would be refused; nothing was sent", len(stuck))
+	return command.Failf(command.Refused, "", "%d objects would be refused; nothing was sent", len(refused))
 }
 
-func showPlan(wanted []step, o applyOptions, io command.IO) {
-	for _, s := range wanted {
+func printPlan(changes []step, o applyOptions, io command.IO) {
+	for _, s := range changes {
 		verb := "created"
-		if s.existed {
+		if s.exists {
 			verb = "updated"
 		}
 		fmt.Fprintf(io.Out, "%s would be %s\n", s.ref, verb)
 		if o.diff {
-			showDiff(s, io)
+			printDiff(s, io)
 		}
 	}
 }
 
-func showDiff(s step, io command.IO) {
-	for _, line := range operator.Diff(s.before, s.object) {
-		fmt.Fprintln(io.Out, "  "+paint(io, color.FgYellow, line))
+func printDiff(s step, io command.IO) {
+	for _, line := range operator.Diff(s.current, s.object) {
+		fmt.Fprintln(io.Out, "  "+colorize(io, color.FgYellow, line))
 	}
 }
 
-// send writes step by step and reports each. One that fails does not keep the
-// others back, unless they depend on it; the exit code is the worst met.
-func send(ctx context.Context, c *client.Client, steps []step, o applyOptions, io command.IO) error {
+// sendWrites sends the writes in order and reports each. After a failed write it skips only
+// the writes that depend on it. The error carries the highest exit code of all failures.
+func sendWrites(ctx context.Context, c *client.Client, steps []step, o applyOptions, io command.IO) error {
 	failed := map[check.Ref]bool{}
 	versions := map[check.Ref]oas.OptInt64{}
-	worst := command.OK
+	exitCode := command.OK
 	fail := func(s step, err error) {
 		failed[s.ref] = true
-		worst = max(worst, command.CodeOf(err))
-		fmt.Fprintf(io.Err, "%s %s: %v\n", s.ref, paint(io, color.FgRed, "failed"), err)
+		exitCode = max(exitCode, command.CodeOf(err))
+		fmt.Fprintf(io.Err, "%s %s: %v\n", s.ref, colorize(io, color.FgRed, "failed"), err)
 	}
 	for _, s := range steps {
-		if before, ok := blocker(s, failed); ok {
-			fail(s, command.Failf(command.Other, "apply again once it is there", "not sent, because %s failed", before))
+		if dependency, ok := failedDependency(s, failed); ok {
+			fail(s, command.Failf(command.Other, "apply again once it is there", "not sent, because %s failed", dependency))
 			continue
 		}
-		if version, raised := versions[s.ref]; raised {
+		if version, alreadyWritten := versions[s.ref]; alreadyWritten {
 			check.MetadataOf(&s.object).Version = version
 		}
 		written, err := c.Put(ctx, s.object, client.WriteOptions{Override: o.override})
@@ -172,34 +174,34 @@
 			continue
 		}
 		versions[s.ref] = check.MetadataOf(&written).Version
-		if s.atRest {
+		if s.zeroPercent {
 			continue
 		}
 		reportWritten(s, written, o, io)
 	}
-	if worst != command.OK {
-		return command.Failf(worst, "the other objects were applied; correct these and apply again", "%d of %d objects failed", len(failed), countObjects(steps))
+	if exitCode != command.OK {
+		return command.Failf(exitCode, "the other objects were applied; correct these and apply again", "%d of %d objects failed", len(failed), countObjects(steps))
 	}
 	return nil
 }
 
 func reportWritten(s step, written oas.Object, o applyOptions, io command.IO) {
 	verb := "created"
-	if s.existed {
+	if s.exists {
 		verb = "updated"
 	}
-	fmt.Fprintf(io.Out, "%s %s\n", label(written), paint(io, color.FgGreen, verb))
+	fmt.Fprintf(io.Out, "%s %s\n", label(written), colorize(io, color.FgGreen, verb))
 	if o.diff {
-		showDiff(s, io)
+		printDiff(s, io)
 	}
 }
 
-// blocker returns a failed object without which a write must not be sent.
-func blocker(s step, failed map[check.Ref]bool) (check.Ref, bool) {
+// failedDependency returns an object whose write failed and without which s must not be sent.
+func failedDependency(s step, failed map[check.Ref]bool) (check.Ref, bool) {
 	if failed[s.ref] {
 		return s.ref, true
 	}
-	for _, ref := range s.after {
+	for _, ref := range s.dependsOn {
 		if failed[ref] {
 			return ref, true
 		}
--- a/cmd/internal/operate/declare.go
+++ b/cmd/internal/operate/declare.go
@@ -18,7 +18,7 @@
 
 // Stop returns the subcommand that declares a planned stop.
 func Stop() command.Command {
-	return online("stop", "declare a planned stop: stop target|entryVM|zone|place NAME", func(sub *flaggy.Subcommand) func(context.Context, *client.Client, command.IO) error {
+	return newCommand("stop", "declare a planned stop: stop target|entryVM|zone|place NAME", func(sub *flaggy.Subcommand) func(context.Context, *client.Client, command.IO) error {
 		what, subject, name, at, deadline := "", "", "", "", ""
 		cut, print := false, false
 		o := &applyOptions{}
@@ -28,30 +28,30 @@
 		sub.String(&at, "", "at", "when it starts: a time (RFC 3339) or a delay such as 10m; at once when left out")
 		sub.String(&deadline, "", "deadline", "when it should be over: a time or a delay")
 		sub.Bool(&cut, "", "cut-at-deadline", "cut what is still in flight at the deadline")
-		declareWrite(sub, o, &print)
+		addWriteFlags(sub, o, &print)
 		return func(ctx context.Context, c *client.Client, io command.IO) error {
 			spec := oas.PlannedStopSpec{What: oas.PlannedStopSpecWhat(what), Name: subject}
 			if cut {
 				spec.CutAtDeadline = oas.NewOptBool(true)
 			}
-			if err := setTime(&spec.At, "at", at, time.Now()); err != nil {
+			if err := parseTime(&spec.At, "at", at, time.Now()); err != nil {
 				return err
 			}
-			if err := setTime(&spec.Deadline, "deadline", deadline, spec.At.Or(time.Now())); err != nil {
+			if err := parseTime(&spec.Deadline, "deadline", deadline, spec.At.Or(time.Now())); err != nil {
 				return err
 			}
 			if name == "" {
 				name = strings.ToLower(what + "-" + subject)
 			}
 			stop := oas.PlannedStop{Kind: string(oas.KindPlannedStop), Metadata: oas.Metadata{Name: oas.ObjectName(name)}, Spec: spec}
-			return declareObjects(ctx, c, *o, print, io, oas.NewPlannedStopObject(stop))
+			return applyDeclared(ctx, c, *o, print, io, oas.NewPlannedStopObject(stop))
 		}
 	})
 }
 
-// Shift returns the subcommand that declares a shift, and its cap if one is given.
+// Shift returns the subcommand that declares a shift, and a cap for it with --cap.
 func Shift() command.Command {
-	return online("shift", "declare a shift of callers: shift FROM TO --percent N [--cap N]", func(sub *flaggy.Subcommand) func(context.Context, *client.Client, command.IO) error {
+	return newCommand("shift", "declare a shift of callers: shift FROM TO --percent N [--cap N]", func(sub *flaggy.Subcommand) func(context.Context, *client.Client, command.IO) error {
 		from, to, name, service := "", "", "", ""
 		percent, limit, window := -1, -1, time.Second
 		step, every := 0, time.Duration(0)
@@ -66,7 +66,7 @@
 		sub.Int(&step, "", "step-percent", "most that moves in one step")
 		sub.Duration(&every, "", "step-every", "least time between two steps")
 		sub.String(&name, "", "name", "name of the objects; made of both ends when left out")
-		declareWrite(sub, o, &print)
+		addWriteFlags(sub, o, &print)
 		return func(ctx context.Context, c *client.Client, io command.IO) error {
 			if percent < 0 {
 				return command.Failf(command.Usage, "say how much with --percent", "no percent given")
@@ -90,21 +90,22 @@
 				limits := oas.CapSpec{Shift: name, Requests: limit, WindowMs: oas.NewOptInt64(window.Milliseconds())}
 				all = append(all, oas.NewCapObject(oas.Cap{Kind: string(oas.KindCap), Metadata: metadata, Spec: limits}))
 			}
-			return declareObjects(ctx, c, *o, print, io, all...)
+			return applyDeclared(ctx, c, *o, print, io, all...)
 		}
 	})
 }
 
-// declareWrite adds the flags that commands which write objects share.
-func declareWrite(sub *flaggy.Subcommand, o *applyOptions, print *bool) {
+// addWriteFlags adds the flags shared by the commands that declare objects.
+func addWriteFlags(sub *flaggy.Subcommand, o *applyOptions, print *bool) {
 	sub.Bool(&o.dryRun, "n", "dry-run", "check and show what would change; store nothing")
 	sub.Bool(&o.diff, "d", "diff", "show the fields that change")
 	sub.Bool(print, "", "print", "print the objects as JSON and send nothing")
 	sub.String(&o.override, "", "override", "accept a change that breaks a promise; the reason given is recorded")
 }
 
-// declareObjects applies objects that a command made, the way apply does.
-func declareObjects(ctx context.Context, c *client.Client, o applyOptions, print bool, io command.IO, all ...oas.Object) error {
+// applyDeclared applies the objects that a command built, as apply does for those of files.
+// With print, it only prints them as JSON.
+func applyDeclared(ctx context.Context, c *client.Client, o applyOptions, print bool, io command.IO, all ...oas.Object) error {
 	items := make([]objects.Item, len(all))
 	for i, one := range all {
 		raw, err := one.MarshalJSON()
@@ -133,13 +134,14 @@
 	return nil
 }
 
-// setTime reads a time, or a delay counted from another time.
-func setTime(to *oas.OptDateTime, flag, text string, from time.Time) error {
+// parseTime sets to from text, which is a time in RFC 3339 or a delay counted from base. It
+// leaves to unset if text is empty.
+func parseTime(to *oas.OptDateTime, flag, text string, base time.Time) error {
 	if text == "" {
 		return nil
 	}
 	if delay, err := time.ParseDuration(text); err == nil {
-		to.SetTo(from.Add(delay).UTC().Truncate(time.Second))
+		to.SetTo(base.Add(delay).UTC().Truncate(time.Second))
 		return nil
 	}
 	t, err := time.Parse(time.RFC3339, text)
--- a/cmd/internal/operate/delete.go
+++ b/cmd/internal/operate/delete.go
@@ -11,9 +11,9 @@
 	"heatherlock/cmd/internal/command"
 )
 
-// Delete returns the subcommand that removes an object.
+// Delete returns the subcommand that deletes an object.
 func Delete() command.Command {
-	return online("delete", "remove an object: delete KIND NAME", func(sub *flaggy.Subcommand) func(context.Context, *client.Client, command.IO) error {
+	return newCommand("delete", "remove an object: delete KIND NAME", func(sub *flaggy.Subcommand) func(context.Context, *client.Client, command.IO) error {
 		kind, name, override := "", "", ""
 		version := int64(0)
 		sub.AddPositionalValue(&kind, "KIND", 1, true, "a kind, for example Shift")
@@ -21,7 +21,7 @@
 		sub.Int64(&version, "", "at-version", "only if the object is still at this version; the one stored now when left out")
 		sub.String(&override, "", "override", "accept a removal that breaks a promise; the reason given is recorded")
 		return func(ctx context.Context, c *client.Client, io command.IO) error {
-			ref, err := refNamed(kind, name)
+			ref, err := parseRef(kind, name)
 			if err != nil {
 				return err
 			}
--- a/cmd/internal/operate/doc.go
+++ b/cmd/internal/operate/doc.go
@@ -1,3 +1,3 @@
-// Package operate holds the subcommands that work on a running system through
+// Package operate implements the subcommands that operate a running system through
 // its resource API: apply, get, delete, watch, wait, status, stop and shift.
 package operate
--- a/cmd/internal/operate/get.go
+++ b/cmd/internal/operate/get.go
@@ -18,7 +18,7 @@
 
 // Get returns the subcommand that prints objects with their status.
 func Get() command.Command {
-	return online("get", "print objects with their status: get KIND [NAME]", func(sub *flaggy.Subcommand) func(context.Context, *client.Client, command.IO) error {
+	return newCommand("get", "print objects with their status: get KIND [NAME]", func(sub *flaggy.Subcommand) func(context.Context, *client.Client, command.IO) error {
 		kind, name, format := "", "", formatTable
 		sub.AddPositionalValue(&kind, "KIND", 1, true, "a kind, for example Shift")
 		sub.AddPositionalValue(&name, "NAME", 2, false, "an object; all of the kind when left out")
@@ -27,7 +27,7 @@
 			if err := checkFormat(format); err != nil {
 				return err
 			}
-			ref, err := refNamed(kind, name)
+			ref, err := parseRef(kind, name)
 			if err != nil {
 				return err
 			}
@@ -60,7 +60,7 @@
 	return writeConditions(io.Out, o)
 }
 
-// writeTable writes one line per object.
+// writeTable writes a table with one line per object.
 func writeTable(out io.Writer, objects []oas.Object) error {
 	if len(objects) == 0 {
 		fmt.Fprintln(out, "none")
@@ -70,20 +70,20 @@
 	fmt.Fprintln(w, "NAME\tVERSION\tDECLARES\tSTATUS\tCHANGED BY\tAT")
 	for _, o := range objects {
 		m := check.MetadataOf(&o)
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\n", m.Name, m.Version.Or(0), declares(o), summary(o), m.ChangedBy.Or("-"), when(m.ChangedAt))
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\n", m.Name, m.Version.Or(0), describeSpec(o), summarizeConditions(o), m.ChangedBy.Or("-"), formatTime(m.ChangedAt))
 	}
 	return w.Flush()
 }
 
-func when(t oas.OptDateTime) string {
+func formatTime(t oas.OptDateTime) string {
 	if !t.Set {
 		return "-"
 	}
 	return t.Value.UTC().Format(time.RFC3339)
 }
 
-// declares says in a few words what an object asks for.
-func declares(o oas.Object) string {
+// describeSpec returns a short description of an object's spec.
+func describeSpec(o oas.Object) string {
 	switch o.Type {
 	case oas.ServiceObject:
 		s := o.Service.Spec
@@ -105,13 +105,14 @@
 		return fmt.Sprintf("%s: %d in %d ms", s.Shift, s.Requests, s.WindowMs.Or(0))
 	case oas.PlannedStopObject:
 		s := o.PlannedStop.Spec
-		return fmt.Sprintf("%s %s, deadline %s", s.What, s.Name, when(s.Deadline))
+		return fmt.Sprintf("%s %s, deadline %s", s.What, s.Name, formatTime(s.Deadline))
 	}
 	return ""
 }
 
-// summary lists the conditions that hold, and those that do not with a dash.
-func summary(o oas.Object) string {
+// summarizeConditions lists the types of an object's conditions. A condition that does not hold
+// is prefixed with "not".
+func summarizeConditions(o oas.Object) string {
 	var words []string
 	for _, c := range check.StatusOf(&o).Value.Conditions {
 		if c.Status {
@@ -123,7 +124,8 @@
 	return strings.Join(words, ", ")
 }
 
-// writeConditions writes the conditions of one object in full.
+// writeConditions writes a table with the conditions of an object, and with the zones in which
+// it is not in force yet.
 func writeConditions(out io.Writer, o oas.Object) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "\nCONDITION\tHOLDS\tREASON\tSINCE\tMESSAGE")
@@ -132,7 +134,7 @@
 	}
 	for _, z := range check.StatusOf(&o).Value.Zones {
 		if !z.InForce {
-			fmt.Fprintf(w, "zone %s\tfalse\t\t%s\tnot in force yet\n", z.Zone, when(z.CutOffSince))
+			fmt.Fprintf(w, "zone %s\tfalse\t\t%s\tnot in force yet\n", z.Zone, formatTime(z.CutOffSince))
 		}
 	}
 	return w.Flush()
--- a/cmd/internal/operate/operate.go
+++ b/cmd/internal/operate/operate.go
@@ -16,12 +16,13 @@
 	"heatherlock/cmd/internal/offline"
 )
 
-// online returns a subcommand whose body gets a client.
-func online(name, summary string, declare func(sub *flaggy.Subcommand) func(ctx context.Context, c *client.Client, io command.IO) error) command.Command {
+// newCommand returns a subcommand that calls the resource API. defineFlags adds its flags and
+// returns its body, which receives a client.
+func newCommand(name, summary string, defineFlags func(sub *flaggy.Subcommand) func(ctx context.Context, c *client.Client, io command.IO) error) command.Command {
 	return command.Command{Name: name, Summary: summary, Declare: func(sub *flaggy.Subcommand) command.Run {
 		options := &client.Options{}
 		options.Declare(sub)
-		body := declare(sub)
+		body := defineFlags(sub)
 		return func(ctx context.Context, io command.IO) error {
 			c, err := client.New(*options)
 			if err != nil {
@@ -32,8 +33,8 @@
 	}}
 }
 
-// kindNamed finds a kind by the name an operator typed.
-func kindNamed(name string) (oas.Kind, error) {
+// parseKind returns the kind that an operator named, in any case, in singular or plural.
+func parseKind(name string) (oas.Kind, error) {
 	kind, ok := offline.KindNamed(name)
 	if !ok {
 		return "", command.Failf(command.Usage, "`heatherlock explain` lists them", "%q is not a kind", name)
@@ -41,13 +42,13 @@
 	return oas.Kind(kind), nil
 }
 
-// refNamed finds the object that an operator typed.
-func refNamed(kind, name string) (check.Ref, error) {
-	k, err := kindNamed(kind)
+// parseRef returns the reference to the object that an operator named.
+func parseRef(kind, name string) (check.Ref, error) {
+	k, err := parseKind(kind)
 	return check.Ref{Kind: k, Name: name}, err
 }
 
-// Formats of output.
+// Formats that --output accepts.
 const (
 	formatTable = "table"
 	formatJSON  = "json"
@@ -60,15 +61,16 @@
 	return command.Failf(command.Usage, "use -o table or -o json", "%q is not an output format", format)
 }
 
-// writeJSON writes a value as indented JSON.
+// writeJSON writes value as indented JSON.
 func writeJSON(out io.Writer, value any) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(value)
 }
 
-// paint colours text when the output is a terminal.
-func paint(io command.IO, attribute color.Attribute, text string) string {
+// colorize returns text with a color attribute if the output is a terminal, and text itself
+// otherwise.
+func colorize(io command.IO, attribute color.Attribute, text string) string {
 	c := color.New(attribute)
 	c.DisableColor()
 	if io.Terminal {
--- a/cmd/internal/operate/plan.go
+++ b/cmd/internal/operate/plan.go
@@ -7,103 +7,105 @@
 	"heatherlock/api/oas"
 )
 
-// step is one write of an apply.
+// step is one write that applies an object.
 type step struct {
 	ref    check.Ref
 	source string
-	object oas.Object // with the version to replace; 0 to create
-	// before is the stored object, if there is one.
-	before  oas.Object
-	existed bool
-	// atRest marks the first write of a new shift that a cap of the same apply
-	// bounds: it moves nobody until its cap is stored.
-	atRest bool
-	// after lists objects whose writes must have succeeded first.
-	after []check.Ref
+	object oas.Object // its metadata has the version to replace, or 0 to create the object
+	// current is the stored object. It is set only if exists is true.
+	current oas.Object
+	exists  bool
+	// zeroPercent marks the first write of a new shift that is bounded by a cap of the same
+	// apply. It creates the shift at 0 percent, so that it moves no callers until the cap is
+	// stored.
+	zeroPercent bool
+	// dependsOn lists the objects whose writes must have succeeded first.
+	dependsOn []check.Ref
 }
 
-// plan orders the writes so that each is allowed on top of those before it.
+// planWrites orders the writes so that the rules allow each one after those before it.
 //
-// What goes wrong otherwise: a new shift would run without its cap until the
-// cap is stored a moment later. A capped new shift is therefore created at 0
-// percent, then its cap, then the shift is raised. An operator would notice by
-// a peak above the cap right after the apply.
+// A new shift with a cap is created at 0 percent, then its cap is created, and then the shift is
+// raised to its percentage. Otherwise the shift would run without its cap until the cap is stored
+// a moment later, and the requests it moves could peak above the cap right after the apply.
 //
-// stuck lists, per object that cannot be reached in any order, its problems.
-func plan(stored check.Set, items []step, override bool) (steps []step, stuck []stuckStep) {
+// refused lists the writes that are not allowed in any order, with their problems.
+func planWrites(stored check.Set, items []step, override bool) (steps []step, refused []refusedStep) {
 	set := stored
-	pending := split(items)
+	pending := orderSteps(items)
 	for len(pending) > 0 {
-		var left []step
-		stuck = nil
+		var remaining []step
+		refused = nil
 		for _, s := range pending {
 			problems := set.Put(check.Facts{}, s.object)
 			blocked := problems.Class() == check.Invalid || (problems.Class() == check.BreaksPromise && !override)
-			if blocked || waits(s, left) {
-				left = append(left, s)
-				stuck = append(stuck, stuckStep{s, problems})
+			if blocked || isBlocked(s, remaining) {
+				remaining = append(remaining, s)
+				refused = append(refused, refusedStep{s, problems})
 				continue
 			}
 			set = set.With(s.object)
 			steps = append(steps, s)
 		}
-		if len(left) == len(pending) {
-			return steps, stuck
+		if len(remaining) == len(pending) {
+			return steps, refused
 		}
-		pending = left
+		pending = remaining
 	}
 	return steps, nil
 }
 
-// stuckStep is a write that the rules refuse in any order.
-type stuckStep struct {
+// refusedStep is a write that the rules do not allow in any order.
+type refusedStep struct {
 	step     step
 	problems check.Problems
 }
 
-// split puts the writes into their natural order and divides new capped shifts.
-func split(items []step) []step {
-	capped := map[string][]check.Ref{}
+// orderSteps sorts the writes by kind, so that objects precede those that refer to them, and
+// splits the write of each new shift with a cap into one at 0 percent before the cap and one
+// after it.
+func orderSteps(items []step) []step {
+	capsOf := map[string][]check.Ref{}
 	for _, s := range items {
 		if s.object.Type == oas.CapObject {
 			name := s.object.Cap.Spec.Shift
-			capped[name] = append(capped[name], s.ref)
+			capsOf[name] = append(capsOf[name], s.ref)
 		}
 	}
-	var early, caps, rest []step
+	var first, caps, last []step
 	for _, s := range items {
 		switch {
-		case s.object.Type == oas.ShiftObject && len(capped[s.ref.Name]) > 0:
-			s.after = capped[s.ref.Name]
-			rest = append(rest, s)
-			if !s.existed && s.object.Shift.Spec.Percent > 0 {
-				early = append(early, resting(s))
+		case s.object.Type == oas.ShiftObject && len(capsOf[s.ref.Name]) > 0:
+			s.dependsOn = capsOf[s.ref.Name]
+			last = append(last, s)
+			if !s.exists && s.object.Shift.Spec.Percent > 0 {
+				first = append(first, atZeroPercent(s))
 			}
 		case s.object.Type == oas.CapObject:
 			caps = append(caps, s)
 		case s.object.Type == oas.PlannedStopObject, s.object.Type == oas.ShiftObject:
-			rest = append(rest, s)
+			last = append(last, s)
 		default:
-			early = append(early, s)
+			first = append(first, s)
 		}
 	}
 	byOrder := func(a, b step) int { return check.Order(a.ref, b.ref) }
-	slices.SortStableFunc(early, byOrder)
+	slices.SortStableFunc(first, byOrder)
 	slices.SortStableFunc(caps, byOrder)
-	slices.SortStableFunc(rest, byOrder)
-	return slices.Concat(early, caps, rest)
+	slices.SortStableFunc(last, byOrder)
+	return slices.Concat(first, caps, last)
 }
 
-// resting returns the write that declares a shift without moving anybody.
-func resting(s step) step {
+// atZeroPercent returns the write that creates the shift of s without moving any callers.
+func atZeroPercent(s step) step {
 	s.object.Shift.Spec.Percent = 0
-	s.atRest, s.after = true, nil
+	s.zeroPercent, s.dependsOn = true, nil
 	return s
 }
 
-// waits tells whether a write that must come first is still pending.
-func waits(s step, pending []step) bool {
+// isBlocked reports whether a write that must precede s is still pending.
+func isBlocked(s step, pending []step) bool {
 	return slices.ContainsFunc(pending, func(p step) bool {
-		return slices.Contains(s.after, p.ref) || (p.ref == s.ref && p.atRest)
+		return slices.Contains(s.dependsOn, p.ref) || (p.ref == s.ref && p.zeroPercent)
 	})
 }
--- a/cmd/internal/operate/status.go
+++ b/cmd/internal/operate/status.go
@@ -16,9 +16,9 @@
 	"heatherlock/cmd/internal/command"
 )
 
-// Status returns the subcommand that shows the deployment at a glance.
+// Status returns the subcommand that prints an overview of the deployment.
 func Status() command.Command {
-	return online("status", "show zones, entry VMs, headroom, shifts and planned stops", func(sub *flaggy.Subcommand) func(context.Context, *client.Client, command.IO) error {
+	return newCommand("status", "show zones, entry VMs, headroom, shifts and planned stops", func(sub *flaggy.Subcommand) func(context.Context, *client.Client, command.IO) error {
 		format := formatTable
 		sub.String(&format, "o", "output", "table or json")
 		return func(ctx context.Context, c *client.Client, io command.IO) error {
@@ -35,15 +35,15 @@
 			if err := writeStatus(io, status); err != nil {
 				return err
 			}
-			return writeMotion(ctx, c, io)
+			return writeProgress(ctx, c, io)
 		}
 	})
 }
 
 func writeStatus(io command.IO, s *oas.DeploymentStatus) error {
-	platform := paint(io, color.FgGreen, "reachable")
+	platform := colorize(io, color.FgGreen, "reachable")
 	if !s.PlatformReachable {
-		platform = paint(io, color.FgRed, "not reachable; the configuration in force stays")
+		platform = colorize(io, color.FgRed, "not reachable; the configuration in force stays")
 	}
 	fmt.Fprintf(io.Out, "seen by %s, configuration %d, platform %s\n", s.AnsweredBy, s.ConfigVersion, platform)
 	if err := writeZones(io, s); err != nil {
@@ -59,12 +59,12 @@
 	w := tabwriter.NewWriter(io.Out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "\nZONE\tREGION\tCONFIGURATION\tHEARD\tSTATE")
 	for _, z := range s.Zones {
-		state := paint(io, color.FgGreen, "in step")
+		state := colorize(io, color.FgGreen, "in step")
 		if z.ConfigVersion < s.ConfigVersion {
-			state = paint(io, color.FgYellow, "taking the newest configuration")
+			state = colorize(io, color.FgYellow, "taking the newest configuration")
 		}
 		if since, cut := z.CutOffSince.Get(); cut {
-			state = paint(io, color.FgRed, "cut off since "+since.UTC().Format(time.RFC3339))
+			state = colorize(io, color.FgRed, "cut off since "+since.UTC().Format(time.RFC3339))
 		}
 		fmt.Fprintf(w, "%s\t%s\t%d\t%s ago\t%s\n", z.Zone, z.Region, z.ConfigVersion, age(z.AgeMs), state)
 	}
@@ -93,9 +93,9 @@
 
 func age(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// writeMotion shows the objects that say what is moving. They come from the
-// platform; when it does not answer, the rest of the status still stands.
-func writeMotion(ctx context.Context, c *client.Client, io command.IO) error {
+// writeProgress prints the shifts, caps and planned stops with their progress. These objects are
+// read from the platform; if it does not answer, the rest of the status is printed all the same.
+func writeProgress(ctx context.Context, c *client.Client, io command.IO) error {
 	for _, kind := range []oas.Kind{oas.KindShift, oas.KindCap, oas.KindPlannedStop} {
 		list, err := c.List(ctx, kind)
 		if command.CodeOf(err) == command.Unreachable {
@@ -111,7 +111,7 @@
 		w := tabwriter.NewWriter(io.Out, 0, 0, 2, ' ', 0)
 		fmt.Fprintf(w, "\n%s\tDECLARES\tSTATE\n", kind)
 		for _, o := range list.Items {
-			fmt.Fprintf(w, "%s\t%s\t%s\n", check.RefOf(o).Name, declares(o), motion(o))
+			fmt.Fprintf(w, "%s\t%s\t%s\n", check.RefOf(o).Name, describeSpec(o), progressMessage(o))
 		}
 		if err := w.Flush(); err != nil {
 			return err
@@ -120,15 +120,16 @@
 	return nil
 }
 
-// progressIndex is where a condition that tells of progress comes, after
+// progressConditionIndex is the index of the condition that reports progress. It follows
 // Accepted and InForce.
-const progressIndex = 2
+const progressConditionIndex = 2
 
-// motion is the message of the condition that says how far an object got.
-func motion(o oas.Object) string {
+// progressMessage returns the message of the condition that reports an object's progress, or ""
+// if it has none.
+func progressMessage(o oas.Object) string {
 	conditions := check.StatusOf(&o).Value.Conditions
-	if len(conditions) <= progressIndex {
+	if len(conditions) <= progressConditionIndex {
 		return ""
 	}
-	return conditions[progressIndex].Message
+	return conditions[progressConditionIndex].Message
 }
--- a/cmd/internal/operate/wait.go
+++ b/cmd/internal/operate/wait.go
@@ -17,30 +17,30 @@
 )
 
 const (
-	// conditionDeleted is what `wait --for` takes besides the conditions.
-	conditionDeleted = "Deleted"
-	defaultWait      = time.Minute
-	// Status is asked for often at first, then less so: most conditions hold
-	// within seconds, and each question costs the platform a read.
-	firstPause = 100 * time.Millisecond
-	lastPause  = time.Second
+	// conditionDeleted is accepted by `wait --for` in addition to the conditions of the kind.
+	conditionDeleted   = "Deleted"
+	defaultWaitTimeout = time.Minute
+	// The poll interval starts at minPollInterval and doubles up to maxPollInterval: most
+	// conditions hold within seconds, and each poll costs the platform a read.
+	minPollInterval = 100 * time.Millisecond
+	maxPollInterval = time.Second
 )
 
 // Wait returns the subcommand that waits until a condition holds.
 func Wait() command.Command {
-	return online("wait", "wait until a condition holds: wait KIND NAME --for CONDITION", func(sub *flaggy.Subcommand) func(context.Context, *client.Client, command.IO) error {
+	return newCommand("wait", "wait until a condition holds: wait KIND NAME --for CONDITION", func(sub *flaggy.Subcommand) func(context.Context, *client.Client, command.IO) error {
 		kind, name, condition := "", "", ""
-		limit := defaultWait
+		limit := defaultWaitTimeout
 		sub.AddPositionalValue(&kind, "KIND", 1, true, "a kind, for example Shift")
 		sub.AddPositionalValue(&name, "NAME", 2, true, "the object")
 		sub.String(&condition, "", "for", "the condition, for example InForce; Deleted waits until the object is gone")
 		sub.Duration(&limit, "t", "timeout", "how long to wait")
 		return func(ctx context.Context, c *client.Client, io command.IO) error {
-			ref, err := refNamed(kind, name)
+			ref, err := parseRef(kind, name)
 			if err != nil {
 				return err
 			}
-			condition, err = conditionFor(ref.Kind, condition)
+			condition, err = parseCondition(ref.Kind, condition)
 			if err != nil {
 				return err
 			}
@@ -49,8 +49,8 @@
 	})
 }
 
-// conditionFor finds a condition of the kind without regard to case.
-func conditionFor(kind oas.Kind, name string) (string, error) {
+// parseCondition returns the condition of a kind with the given name, ignoring case.
+func parseCondition(kind oas.Kind, name string) (string, error) {
 	known := append(slices.Clone(operator.Conditions[kind]), conditionDeleted)
 	for _, one := range known {
 		if strings.EqualFold(one, name) {
@@ -60,13 +60,13 @@
 	return "", command.Failf(command.Usage, "use --for with one of "+strings.Join(known, ", "), "%q is not a condition of %s", name, kind)
 }
 
-func runWait(ctx context.Context, c *client.Client, ref check.Ref, condition string, limit time.Duration, io command.IO) error {
-	bounded, cancel := context.WithTimeout(ctx, limit)
+func runWait(ctx context.Context, c *client.Client, ref check.Ref, condition string, timeout time.Duration, io command.IO) error {
+	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	started, pause := time.Now(), firstPause
-	last := "nothing heard yet"
+	started, interval := time.Now(), minPollInterval
+	lastMessage := "nothing heard yet"
 	for {
-		holds, message, err := holdsNow(bounded, c, ref, condition)
+		holds, message, err := checkCondition(bounded, c, ref, condition)
 		if err != nil && command.CodeOf(err) != command.Unreachable {
 			return err
 		}
@@ -75,21 +75,22 @@
 			return nil
 		}
 		if bounded.Err() == nil {
-			last = message
+			lastMessage = message
 		}
-		if !sleep(bounded, pause) {
+		if !sleep(bounded, interval) {
 			break
 		}
-		pause = min(pause*2, lastPause)
+		interval = min(interval*2, maxPollInterval)
 	}
 	if ctx.Err() != nil {
-		return command.Failf(command.Other, "", "interrupted; last seen: %s", last)
+		return command.Failf(command.Other, "", "interrupted; last seen: %s", lastMessage)
 	}
-	return command.Failf(command.Other, "look at `heatherlock status`, or wait longer with --timeout", "%s not %s after %s; last seen: %s", ref, condition, limit, last)
+	return command.Failf(command.Other, "look at `heatherlock status`, or wait longer with --timeout", "%s not %s after %s; last seen: %s", ref, condition, timeout, lastMessage)
 }
 
-// holdsNow asks once. Not being able to ask is not the end of waiting.
-func holdsNow(ctx context.Context, c *client.Client, ref check.Ref, condition string) (holds bool, message string, err error) {
+// checkCondition fetches the object and reports whether the condition holds. An error with the
+// code Unreachable is not final: the caller keeps waiting.
+func checkCondition(ctx context.Context, c *client.Client, ref check.Ref, condition string) (holds bool, message string, err error) {
 	o, err := c.Get(ctx, ref)
 	if condition == conditionDeleted {
 		if client.ReasonOf(err) == oas.ProblemReasonNotFound {
--- a/cmd/internal/operate/watch.go
+++ b/cmd/internal/operate/watch.go
@@ -14,9 +14,9 @@
 	"heatherlock/cmd/internal/command"
 )
 
-// Watch returns the subcommand that prints changes as they happen.
+// Watch returns the subcommand that prints objects and then their changes as they happen.
 func Watch() command.Command {
-	return online("watch", "print objects, then each change as it happens: watch KIND [NAME]", func(sub *flaggy.Subcommand) func(context.Context, *client.Client, command.IO) error {
+	return newCommand("watch", "print objects, then each change as it happens: watch KIND [NAME]", func(sub *flaggy.Subcommand) func(context.Context, *client.Client, command.IO) error {
 		kind, name, format := "", "", formatTable
 		var limit time.Duration
 		sub.AddPositionalValue(&kind, "KIND", 1, true, "a kind, for example Shift")
@@ -27,7 +27,7 @@
 			if err := checkFormat(format); err != nil {
 				return err
 			}
-			k, err := kindNamed(kind)
+			k, err := parseKind(kind)
 			if err != nil {
 				return err
 			}
@@ -36,7 +36,7 @@
 				defer cancel()
 				ctx = bounded
 			}
-			f := &follower{client: c, kind: k, name: name, emit: printer(format, io), lost: func(err error) {
+			f := &watcher{client: c, kind: k, name: name, emit: eventPrinter(format, io), onUnreachable: func(err error) {
 				fmt.Fprintf(io.Err, "%s; trying again, nothing is missed\n", err)
 			}}
 			return f.run(ctx)
@@ -44,8 +44,8 @@
 	})
 }
 
-// printer returns the function that writes one change.
-func printer(format string, io command.IO) func(oas.WatchEvent) error {
+// eventPrinter returns the function that prints one change.
+func eventPrinter(format string, io command.IO) func(oas.WatchEvent) error {
 	if format == formatJSON {
 		encoder := json.NewEncoder(io.Out)
 		return func(e oas.WatchEvent) error { return encoder.Encode(&e) }
@@ -53,7 +53,7 @@
 	return func(e oas.WatchEvent) error {
 		line := fmt.Sprintf("%-7d %-7s %s/%s", e.Version, e.Type, e.Kind, e.Name)
 		if o, ok := e.Object.Get(); ok {
-			line += "  " + declares(o) + "  " + paint(io, color.FgCyan, summary(o))
+			line += "  " + describeSpec(o) + "  " + colorize(io, color.FgCyan, summarizeConditions(o))
 		}
 		_, err := fmt.Fprintln(io.Out, line)
 		return err
--- a/cmd/internal/operate/follow.go
+++ b/cmd/internal/operate/watcher.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	// watchWait is how long one poll waits for a change.
-	watchWait = 20 * time.Second
-	// reconnectPause comes between tries while no entry VM answers.
-	reconnectPause = time.Second
+	// pollTimeout is the time for which one poll waits for a change.
+	pollTimeout = 20 * time.Second
+	// reconnectDelay is the time between polls while no entry VM answers.
+	reconnectDelay = time.Second
 )
 
-// follower turns polls into a sequence of changes in which nothing is missed or
-// repeated, whichever entry VM answers and however long none did.
-type follower struct {
-	client *client.Client
-	kind   oas.Kind
-	name   string // empty for every object of the kind
-	since  int64
-	known  map[string]int64 // version of each object as last reported
-	// emit is called for each change.
+// watcher turns polls into a sequence of changes without gaps or duplicates, also when polls
+// are answered by different entry VMs or after a period in which none answered.
+type watcher struct {
+	client   *client.Client
+	kind     oas.Kind
+	name     string // empty for all objects of the kind
+	since    int64
+	reported map[string]int64 // last reported version of each object, by name
+	// emit is called for each change of a watched object.
 	emit func(oas.WatchEvent) error
-	// lost is called when no entry VM answers.
-	lost func(error)
+	// onUnreachable is called when no entry VM answers.
+	onUnreachable func(error)
 }
 
-// run follows changes until ctx ends or emit fails.
-func (f *follower) run(ctx context.Context) error {
-	f.known = map[string]int64{}
+// run reports changes until ctx ends or emit fails, and retries while no entry VM answers.
+func (f *watcher) run(ctx context.Context) error {
+	f.reported = map[string]int64{}
 	if err := f.list(ctx); err != nil {
 		return err
 	}
@@ -51,17 +51,18 @@
 			}
 			continue
 		}
-		f.lost(err)
-		if !sleep(ctx, reconnectPause) {
+		f.onUnreachable(err)
+		if !sleep(ctx, reconnectDelay) {
 			break
 		}
 	}
 	return nil
 }
 
-// list reports what differs from what was reported before: everything at first,
-// and after the platform has forgotten the changes in between what came of them.
-func (f *follower) list(ctx context.Context) error {
+// list reports the differences from the last reported versions. At first these are all objects.
+// Once the platform no longer keeps the changes since the last poll, they are the net result of
+// those changes.
+func (f *watcher) list(ctx context.Context) error {
 	list, err := f.client.List(ctx, f.kind)
 	if err != nil {
 		return err
@@ -71,7 +72,7 @@
 		ref := check.RefOf(o)
 		present[ref.Name] = true
 		version := check.MetadataOf(&o).Version.Or(0)
-		if f.known[ref.Name] == version {
+		if f.reported[ref.Name] == version {
 			continue
 		}
 		e := oas.WatchEvent{Type: oas.WatchEventTypePut, Version: version, Kind: f.kind, Name: ref.Name, Object: oas.NewOptObject(o)}
@@ -79,7 +80,7 @@
 			return err
 		}
 	}
-	for name := range f.known {
+	for name := range f.reported {
 		if present[name] {
 			continue
 		}
@@ -92,8 +93,9 @@
 	return nil
 }
 
-func (f *follower) poll(ctx context.Context) error {
-	reply, err := f.client.Watch(ctx, f.kind, f.since, watchWait)
+// poll waits for changes after the last seen version and reports them.
+func (f *watcher) poll(ctx context.Context) error {
+	reply, err := f.client.Watch(ctx, f.kind, f.since, pollTimeout)
 	if err != nil {
 		return err
 	}
@@ -109,13 +111,13 @@
 	return nil
 }
 
-// report passes a change on and remembers it.
-func (f *follower) report(e oas.WatchEvent) error {
+// report records a change, and emits it if it concerns a watched object.
+func (f *watcher) report(e oas.WatchEvent) error {
 	switch e.Type {
 	case oas.WatchEventTypeDelete:
-		delete(f.known, e.Name)
+		delete(f.reported, e.Name)
 	case oas.WatchEventTypePut:
-		f.known[e.Name] = e.Version
+		f.reported[e.Name] = e.Version
 	}
 	if f.name != "" && f.name != e.Name {
 		return nil
@@ -123,6 +125,7 @@
 	return f.emit(e)
 }
 
+// sleep waits for d and reports whether it did so before ctx ended.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
