--- a/cmd/internal/offline/check.go
+++ b/cmd/internal/offline/check.go
@@ -15,8 +15,8 @@
 	"heatherlock/node/static"
 )
 
-// Check returns the subcommand that checks objects as one whole set, with the
-// rules that the server applies, and settings as the daemon does at start.
+// Check returns the subcommand that validates objects as one set, by the same rules as
+// the server, and a settings file as the daemon does at startup.
 func Check() command.Command {
 	return command.Command{
 		Name:    "check",
@@ -38,19 +38,20 @@
 	}
 }
 
-// checkSettings reports every problem that would keep a daemon from starting.
+// checkSettings reports all problems in a settings file that would keep the daemon from
+// starting.
 func checkSettings(file string, io command.IO) error {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return command.Failf(command.Usage, "name a readable file", "%v", err)
 	}
 	_, err = static.Parse(raw)
-	var wrong *static.Error
-	if errors.As(err, &wrong) {
-		for _, p := range wrong.Problems {
+	var settingsErr *static.Error
+	if errors.As(err, &settingsErr) {
+		for _, p := range settingsErr.Problems {
 			fmt.Fprintf(io.Err, "%s: %s\n", file, p)
 		}
-		return command.Failf(command.Refused, "", "%d problems in the settings", len(wrong.Problems))
+		return command.Failf(command.Refused, "", "%d problems in the settings", len(settingsErr.Problems))
 	}
 	if err != nil {
 		return command.Failf(command.Refused, "", "%v", err)
@@ -64,16 +65,16 @@
 	if err != nil {
 		return err
 	}
-	wrong := 0
-	say := func(source, message, remedy string) {
-		wrong++
+	problems := 0
+	report := func(source, message, remedy string) {
+		problems++
 		fmt.Fprintf(io.Err, "%s: %s\n  remedy: %s\n", source, message, remedy)
 	}
 	sources := map[check.Ref]string{}
 	set := check.NewSet()
 	for _, item := range items {
 		for _, p := range item.Problems {
-			say(item.Source, fmt.Sprintf("%s %s: %s", p.Object, p.Field, p.Message), p.Remedy)
+			report(item.Source, fmt.Sprintf("%s %s: %s", p.Object, p.Field, p.Message), p.Remedy)
 		}
 		if len(item.Problems) == 0 {
 			set = set.With(item.Object)
@@ -81,13 +82,13 @@
 		}
 	}
 	for _, message := range objects.Duplicates(items) {
-		say("check", message, "keep one of the two")
+		report("check", message, "keep one of the two")
 	}
 	for _, p := range set.All(check.Facts{Now: time.Now()}) {
-		say(sources[p.Object], fmt.Sprintf("%s %s: %s (%s)", p.Object, p.Field, p.Message, p.Class), p.Remedy)
+		report(sources[p.Object], fmt.Sprintf("%s %s: %s (%s)", p.Object, p.Field, p.Message, p.Class), p.Remedy)
 	}
-	if wrong > 0 {
-		return command.Failf(command.Refused, "", "%d problems in %d objects", wrong, len(items))
+	if problems > 0 {
+		return command.Failf(command.Refused, "", "%d problems in %d objects", problems, len(items))
 	}
 	fmt.Fprintf(io.Out, "%d objects, no problems\n", len(items))
 	return nil
--- a/cmd/internal/offline/doc.go
+++ b/cmd/internal/offline/doc.go
@@ -1,3 +1,3 @@
-// Package offline holds the subcommands that need no running system: check,
-// explain and why (which asks a running system only for a request key).
+// Package offline implements the subcommands that need no running system: check,
+// explain and why. Only why with a request key queries a running system.
 package offline
--- a/cmd/internal/offline/explain.go
+++ b/cmd/internal/offline/explain.go
@@ -37,7 +37,7 @@
 	parts := strings.Split(path, ".")
 	kind, ok := KindNamed(parts[0])
 	if !ok {
-		return command.Failf(command.Usage, "use one of "+kinds(), "%q is not a kind", parts[0])
+		return command.Failf(command.Usage, "use one of "+kindList(), "%q is not a kind", parts[0])
 	}
 	schema := check.Schema(kind)
 	required := false
@@ -58,11 +58,11 @@
 }
 
 func printField(out io.Writer, path string, schema *openapi3.Schema, required bool) {
-	fmt.Fprintf(out, "%s  <%s>%s\n", path, typeName(schema), mark(required))
+	fmt.Fprintf(out, "%s  <%s>%s\n", path, typeName(schema), requiredSuffix(required))
 	if schema.Description != "" {
 		fmt.Fprintf(out, "  %s\n", schema.Description)
 	}
-	for _, line := range limits(schema) {
+	for _, line := range constraints(schema) {
 		fmt.Fprintf(out, "  %s\n", line)
 	}
 	for schema.Type.Is(openapi3.TypeArray) {
@@ -74,11 +74,11 @@
 	fmt.Fprintln(out, "fields:")
 	for _, name := range propertyNames(schema) {
 		field := schema.Properties[name].Value
-		fmt.Fprintf(out, "  %-22s <%s>%s  %s\n", name, typeName(field), mark(slices.Contains(schema.Required, name)), field.Description)
+		fmt.Fprintf(out, "  %-22s <%s>%s  %s\n", name, typeName(field), requiredSuffix(slices.Contains(schema.Required, name)), field.Description)
 	}
 }
 
-func mark(required bool) string {
+func requiredSuffix(required bool) string {
 	if required {
 		return " (required)"
 	}
@@ -96,8 +96,8 @@
 	return name
 }
 
-// limits lists what the schema says of allowed values.
-func limits(schema *openapi3.Schema) []string {
+// constraints describes the values that a schema allows, one constraint per line.
+func constraints(schema *openapi3.Schema) []string {
 	var lines []string
 	if len(schema.Enum) > 0 {
 		lines = append(lines, fmt.Sprintf("one of: %v", schema.Enum))
@@ -126,7 +126,8 @@
 	return names
 }
 
-// KindNamed finds a kind without regard to case or a plural s.
+// KindNamed returns the kind with the given name and reports whether there is one. It ignores
+// case and a plural "s".
 func KindNamed(name string) (string, bool) {
 	name = strings.ToLower(name)
 	for _, kind := range check.Kinds {
@@ -138,7 +139,7 @@
 	return "", false
 }
 
-func kinds() string {
+func kindList() string {
 	names := make([]string, len(check.Kinds))
 	for i, kind := range check.Kinds {
 		names[i] = string(kind)
--- a/cmd/internal/offline/why.go
+++ b/cmd/internal/offline/why.go
@@ -15,8 +15,8 @@
 	"heatherlock/steering/once"
 )
 
-// Why returns the subcommand that says what a refusal means and what to do, and
-// what became of a request key.
+// Why returns the subcommand that explains the reason of a refusal, the holder of the outcome
+// for a request key, or the cause of a failed request from the logs of entry VMs.
 func Why() command.Command {
 	return command.Command{
 		Name:    "why",
@@ -32,21 +32,21 @@
 			options.Declare(sub)
 			return func(ctx context.Context, io command.IO) error {
 				if len(logs) > 0 || id != "" {
-					return runWhyLog(logs, id, io)
+					return explainRequest(logs, id, io)
 				}
 				if key != "" {
-					return runWhyKey(ctx, key, options, io)
+					return explainKey(ctx, key, options, io)
 				}
-				return runWhy(reason, io)
+				return explainReason(reason, io)
 			}
 		},
 	}
 }
 
-// runWhyKey says what the key itself tells, and asks for the entry VM that
-// issued it: only that process life knows the outcome, and only it may ever run
-// a request with the key.
-func runWhyKey(ctx context.Context, key string, options *client.Options, io command.IO) error {
+// explainKey prints what the key itself contains, and looks up the entry VM that issued it. Only
+// the process incarnation that issued a key stores the outcome, and only it may run a request
+// with that key; a restarted process has another incarnation.
+func explainKey(ctx context.Context, key string, options *client.Options, io command.IO) error {
 	parts, err := once.ParseKey(steering.Key(key))
 	if err != nil {
 		return command.Failf(command.Refused, "give the key as the caller sent it in Heatherlock-Key", "%v", err)
@@ -73,12 +73,14 @@
 		}
 	}
 	fmt.Fprintf(io.Out, "holder:  none that %s knows of; the outcome is gone with it\n", status.AnsweredBy)
-	return runWhy(string(steering.ReasonHomeGone), io)
+	return explainReason(string(steering.ReasonHomeGone), io)
 }
 
-func runWhy(reason string, io command.IO) error {
+// explainReason prints the meaning of a refusal reason and its remedy, or all reasons if reason
+// is empty.
+func explainReason(reason string, io command.IO) error {
 	if reason == "" {
-		for _, name := range reasons() {
+		for _, name := range sortedReasons() {
 			fmt.Fprintf(io.Out, "%-22s %s\n", name, steering.Reasons[name].Meaning)
 		}
 		return nil
@@ -91,8 +93,8 @@
 	return nil
 }
 
-// reasons returns every reason, sorted.
-func reasons() []steering.Reason {
+// sortedReasons returns all refusal reasons in alphabetical order.
+func sortedReasons() []steering.Reason {
 	names := make([]steering.Reason, 0, len(steering.Reasons))
 	for name := range steering.Reasons {
 		names = append(names, name)
--- a/cmd/internal/offline/whylog.go
+++ b/cmd/internal/offline/whylog.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// maxLogLine is the longest line of a log that is read.
-	maxLogLine = 1 << 20
-	// beliefsBefore and beliefsAfter bound the time around a request from which
-	// an entry VM's changes of belief are shown.
-	beliefsBefore = 5 * time.Second
-	beliefsAfter  = 2 * time.Second
-	// longSinceRead is an age of the store's last read above which what the VM
-	// went by is named as a cause: twice the usual pause between reads.
-	longSinceRead = 2500 * time.Millisecond
+	// maxLineBytes limits the length of a log line.
+	maxLineBytes = 1 << 20
+	// eventsBefore and eventsAfter limit the time before and after a request within which
+	// other log lines of its entry VM, such as ejected targets, are shown with it.
+	eventsBefore = 5 * time.Second
+	eventsAfter  = 2 * time.Second
+	// staleStoreRead is the age of the entry VM's last store read above which it is
+	// reported as part of the cause: twice the usual interval between reads.
+	staleStoreRead = 2500 * time.Millisecond
 )
 
-// logLine is a line of an entry VM's log. Only what tells a cause has a field.
+// logLine is a line of an entry VM's log. It has only the fields that help to find a cause.
 type logLine struct {
 	File     string          `json:"-"`
 	At       time.Time       `json:"ts"`
@@ -44,7 +44,7 @@
 	Shortest int64           `json:"shortest_wait_ms"`
 	Status   int             `json:"status"`
 	Dropped  int64           `json:"dropped_lines"`
-	Tries    []logTry        `json:"tries"`
+	Tries    []logAttempt    `json:"tries"`
 	Targets  []string        `json:"targets"`
 	Peer     string          `json:"peer"`
 	Stopped  string          `json:"no_further_try"`
@@ -52,8 +52,8 @@
 	raw string
 }
 
-// logTry is a try of a request.
-type logTry struct {
+// logAttempt is one attempt to run a request on a target.
+type logAttempt struct {
 	Target   string `json:"target"`
 	Zone     string `json:"zone"`
 	Rank     int    `json:"rank"`
@@ -65,54 +65,56 @@
 	EndMs    int64  `json:"end_ms"`
 }
 
-// runWhyLog puts together what the logs of entry VMs tell of a request.
-func runWhyLog(files []string, id string, out command.IO) error {
+// explainRequest prints the log lines about a request in order of time, and the cause of its
+// failure.
+func explainRequest(files []string, id string, out command.IO) error {
 	if id == "" {
 		return command.Failf(command.Usage, "give the value of the request's id header with --id", "no request named")
 	}
-	lines, skipped, err := readLogs(files)
+	lines, dropped, err := readLogs(files)
 	if err != nil {
 		return err
 	}
-	found := selectLines(lines, id)
-	if len(found) == 0 {
+	selected := selectLines(lines, id)
+	if len(selected) == 0 {
 		return command.Failf(command.Refused, "give the logs of all entry VMs that the caller used; a request that was served at the first try has no line", "no line about request %s in %d lines of %d files", id, len(lines), len(files))
 	}
-	for i := 0; i < len(found); i++ {
-		l, same := found[i], 0
-		for i+1 < len(found) && l.Request == "" && len(l.Targets) == 0 && found[i+1].Msg == l.Msg && found[i+1].File == l.File {
-			i, same = i+1, same+1
+	for i := 0; i < len(selected); i++ {
+		l, repeats := selected[i], 0
+		for i+1 < len(selected) && l.Request == "" && len(l.Targets) == 0 && selected[i+1].Msg == l.Msg && selected[i+1].File == l.File {
+			i, repeats = i+1, repeats+1
 		}
-		fmt.Fprintf(out.Out, "%s  %-20s  %s%s\n", l.At.UTC().Format("15:04:05.000"), l.File, describe(l), andMore(same))
+		fmt.Fprintf(out.Out, "%s  %-20s  %s%s\n", l.At.UTC().Format("15:04:05.000"), l.File, describe(l), repeatSuffix(repeats))
 	}
-	fmt.Fprintf(out.Out, "cause:   %s\n", causeOf(found, id))
-	if skipped > 0 {
-		fmt.Fprintf(out.Out, "note:    %d lines were left out by the entry VMs to keep the log within its rate\n", skipped)
+	fmt.Fprintf(out.Out, "cause:   %s\n", causeOf(selected, id))
+	if dropped > 0 {
+		fmt.Fprintf(out.Out, "note:    %d lines were left out by the entry VMs to keep the log within its rate\n", dropped)
 	}
 	return nil
 }
 
-// readLogs reads the JSON lines of files; others are passed over.
-func readLogs(files []string) (lines []logLine, skipped int64, err error) {
+// readLogs reads the JSON lines of files in order of time and skips all other lines. dropped
+// is the number of lines that the entry VMs omitted to stay within their log rate.
+func readLogs(files []string) (lines []logLine, dropped int64, err error) {
 	for _, name := range files {
 		f, err := os.Open(name)
 		if err != nil {
 			return nil, 0, command.Failf(command.Usage, "give files that exist and may be read with --log", "%v", err)
 		}
-		some, left, err := readLog(f, name)
-		_ = f.Close() // it was only read
+		fileLines, fileDropped, err := readLog(f, name)
+		_ = f.Close() // opened for reading only, so the error is ignored
 		if err != nil {
 			return nil, 0, command.Failf(command.Usage, "give the log as the entry VM wrote it, a JSON object a line", "%s: %v", name, err)
 		}
-		lines, skipped = append(lines, some...), skipped+left
+		lines, dropped = append(lines, fileLines...), dropped+fileDropped
 	}
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].At.Before(lines[j].At) })
-	return lines, skipped, nil
+	return lines, dropped, nil
 }
 
-func readLog(r io.Reader, name string) (lines []logLine, skipped int64, err error) {
+func readLog(r io.Reader, name string) (lines []logLine, dropped int64, err error) {
 	in := bufio.NewScanner(r)
-	in.Buffer(make([]byte, 0, 64<<10), maxLogLine)
+	in.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	base := name[strings.LastIndexByte(name, '/')+1:]
 	for in.Scan() {
 		start := strings.IndexByte(in.Text(), '{')
@@ -123,49 +125,50 @@
 		if json.Unmarshal([]byte(l.raw), &l) != nil || l.Msg == "" {
 			continue
 		}
-		skipped += l.Dropped
+		dropped += l.Dropped
 		lines = append(lines, l)
 	}
-	return lines, skipped, in.Err()
+	return lines, dropped, in.Err()
 }
 
-// selectLines returns the lines about a request, and the changes of what its
-// entry VMs believed around it.
+// selectLines returns the lines about a request, and those lines of its entry VMs from around
+// that time that concern no request, such as changes in the state of targets.
 func selectLines(lines []logLine, id string) []logLine {
-	var about []logLine
+	var requestLines []logLine
 	for _, l := range lines {
 		if l.Request == id {
-			about = append(about, l)
+			requestLines = append(requestLines, l)
 		}
 	}
-	var found []logLine
+	var selected []logLine
 	for _, l := range lines {
-		if l.Request == id || l.Request == "" && concerns(l, about) {
-			found = append(found, l)
+		if l.Request == id || l.Request == "" && isNearRequest(l, requestLines) {
+			selected = append(selected, l)
 		}
 	}
-	return found
+	return selected
 }
 
-// concerns reports whether a line tells a belief of an entry VM that had the
-// request, shortly before or after.
-func concerns(l logLine, about []logLine) bool {
-	for _, a := range about {
-		began := a.At.Add(-time.Duration(a.Took) * time.Millisecond)
-		if l.File == a.File && l.At.After(began.Add(-beliefsBefore)) && l.At.Before(a.At.Add(beliefsAfter)) {
+// isNearRequest reports whether a line comes from the log of an entry VM that handled the
+// request, and was written shortly before, during or after it.
+func isNearRequest(l logLine, requestLines []logLine) bool {
+	for _, a := range requestLines {
+		start := a.At.Add(-time.Duration(a.Took) * time.Millisecond)
+		if l.File == a.File && l.At.After(start.Add(-eventsBefore)) && l.At.Before(a.At.Add(eventsAfter)) {
 			return true
 		}
 	}
 	return false
 }
 
-func andMore(same int) string {
-	if same == 0 {
+func repeatSuffix(repeats int) string {
+	if repeats == 0 {
 		return ""
 	}
-	return fmt.Sprintf(" (and %d more of these)", same)
+	return fmt.Sprintf(" (and %d more of these)", repeats)
 }
 
+// describe returns the text to print for a line, with one line per attempt of a request.
 func describe(l logLine) string {
 	if l.Request == "" {
 		text := l.Msg
@@ -195,10 +198,10 @@
 	return text
 }
 
-// causeOf says in a sentence why a request was not served as hoped.
-func causeOf(found []logLine, id string) string {
+// causeOf describes in one sentence why a request failed or was retried.
+func causeOf(lines []logLine, id string) string {
 	var last logLine
-	for _, l := range found {
+	for _, l := range lines {
 		if l.Request == id {
 			last = l
 		}
@@ -207,28 +210,29 @@
 	if last.Stopped != "" {
 		cause += "; not tried again: " + last.Stopped
 	}
-	if time.Duration(last.StoreAge)*time.Millisecond > longSinceRead {
+	if time.Duration(last.StoreAge)*time.Millisecond > staleStoreRead {
 		cause += fmt.Sprintf("; the entry VM went by a read of the store that was %d ms old", last.StoreAge)
 	}
 	for _, t := range last.Tries {
-		if l, told := lastTold(found, t.Target, last.At); told {
+		if l, found := targetEvent(lines, t.Target, last.At); found {
 			cause += fmt.Sprintf("; of %s the entry VM said at %s: %s", t.Target, l.At.UTC().Format("15:04:05.000"), l.Msg)
 		}
 	}
 	return cause
 }
 
-// lastTold returns what an entry VM told last of a target before a request ended,
-// or first after it.
-func lastTold(found []logLine, target string, ended time.Time) (told logLine, any bool) {
-	for _, l := range found {
+// targetEvent returns the last line about a target that was written before the request ended
+// or, if there is none, the first one after it.
+func targetEvent(lines []logLine, target string, ended time.Time) (event logLine, any bool) {
+	for _, l := range lines {
 		if l.Request == "" && contains(l.Targets, target) && (!any || !l.At.After(ended)) {
-			told, any = l, true
+			event, any = l, true
 		}
 	}
-	return told, any
+	return event, any
 }
 
+// mainCause describes the cause that the last line about a request gives.
 func mainCause(l logLine) string {
 	switch {
 	case l.Reason == steering.ReasonNoSlot && len(l.Tries) == 0:
