--- a/cmd/internal/command/code.go
+++ b/cmd/internal/command/code.go
@@ -12,14 +12,14 @@
 // Exit codes, documented in docs/operations/exit-codes.md.
 const (
 	OK          Code = 0
-	Other       Code = 1 // anything without a code of its own
+	Other       Code = 1 // any failure without a code of its own
 	Usage       Code = 2 // the command line is wrong
 	Refused     Code = 3 // an object or request is invalid or was refused
-	Conflict    Code = 4 // somebody else changed the object first
-	Unreachable Code = 5 // no entry VM answered, or the platform is out
+	Conflict    Code = 4 // the object was changed concurrently
+	Unreachable Code = 5 // no entry VM answered, or the platform is unavailable
 )
 
-// Codes documents every exit code; the page of exit codes is checked against it.
+// Codes documents all exit codes. A test compares the documentation of exit codes with it.
 var Codes = []struct {
 	Code    Code
 	Meaning string
@@ -36,11 +36,11 @@
 type Error struct {
 	Code    Code
 	Message string
-	// Remedy says what to do; it is printed on its own line.
+	// Remedy says how to resolve the failure. It is printed on a line of its own.
 	Remedy string
 }
 
-// Error implements error; the message ends with the remedy.
+// Error implements the error interface. The text is the message followed by the remedy.
 func (e *Error) Error() string {
 	if e.Remedy == "" {
 		return e.Message
@@ -48,12 +48,12 @@
 	return e.Message + "; " + e.Remedy
 }
 
-// Failf returns an Error.
+// Failf returns an Error whose message is formatted from format and args.
 func Failf(code Code, remedy, format string, args ...any) *Error {
 	return &Error{Code: code, Remedy: remedy, Message: fmt.Sprintf(format, args...)}
 }
 
-// CodeOf returns the exit code of an error.
+// CodeOf returns the exit code of err: OK for nil, and Other if it wraps no *Error.
 func CodeOf(err error) Code {
 	if err == nil {
 		return OK
--- a/cmd/internal/command/command.go
+++ b/cmd/internal/command/command.go
@@ -11,29 +11,29 @@
 	"github.com/integrii/flaggy"
 )
 
-// IO is what a subcommand reads from and writes to.
+// IO holds the streams of a subcommand.
 type IO struct {
 	In  io.Reader
 	Out io.Writer
 	Err io.Writer
-	// Terminal is set when Out is a terminal: only then are colours and
-	// live progress written.
+	// Terminal is set if Out is a terminal. Colors and live progress are written
+	// only then.
 	Terminal bool
 }
 
-// Run is the body of a subcommand. It is called after the flags were parsed.
+// Run is the body of a subcommand. It is called after the flags have been parsed.
 type Run func(ctx context.Context, io IO) error
 
 // Command is one subcommand.
 type Command struct {
 	Name    string
 	Summary string
-	// Declare adds the flags and positional values and returns the body, which
-	// closes over them.
+	// Declare adds the flags and positional arguments to sub and returns the body,
+	// which reads their values.
 	Declare func(sub *flaggy.Subcommand) Run
 }
 
-// Program is the whole command line.
+// Program is a command line with subcommands.
 type Program struct {
 	Name        string
 	Description string
@@ -41,7 +41,7 @@
 	Commands    []Command
 }
 
-// exitPanicPrefix starts the text that flaggy panics with in place of exiting.
+// exitPanicPrefix is the prefix of the text with which flaggy panics instead of exiting.
 const exitPanicPrefix = "Panic instead of exit with code: "
 
 // Main parses args (without the program's name), runs the subcommand and
@@ -51,20 +51,20 @@
 		fmt.Fprintln(io.Out, p.Name, p.Version)
 		return OK
 	}
-	run, code := p.parse(args, io)
-	if run == nil {
+	body, code := p.parse(args, io)
+	if body == nil {
 		return code
 	}
-	return report(io, run(ctx, io))
+	return printError(io, body(ctx, io))
 }
 
-// parse returns the chosen body, or nil and the exit code when there is nothing
-// to run.
+// parse returns the body of the chosen subcommand, or nil and the exit code if there is
+// nothing to run.
 func (p Program) parse(args []string, io IO) (run Run, code Code) {
 	flaggy.PanicInsteadOfExit = true
 	defer func() {
 		if r := recover(); r != nil {
-			run, code = nil, exitCode(r)
+			run, code = nil, panicExitCode(r)
 		}
 	}()
 	parser := flaggy.NewParser(p.Name)
@@ -78,7 +78,7 @@
 		parser.AttachSubcommand(sub, 1)
 	}
 	if err := parser.ParseArgs(args); err != nil {
-		return nil, report(io, Failf(Usage, "see --help", "%v", err))
+		return nil, printError(io, Failf(Usage, "see --help", "%v", err))
 	}
 	for sub, body := range bodies {
 		if sub.Used {
@@ -89,8 +89,9 @@
 	return nil, Usage
 }
 
-// exitCode reads the code out of flaggy's panic; any other panic goes on.
-func exitCode(r any) Code {
+// panicExitCode returns the exit code in the text of flaggy's panic. It panics again with any
+// other value.
+func panicExitCode(r any) Code {
 	text, ok := r.(string)
 	if !ok || !strings.HasPrefix(text, exitPanicPrefix) {
 		panic(r)
@@ -102,8 +103,8 @@
 	return Code(n)
 }
 
-// report prints an error and its remedy and returns the exit code.
-func report(io IO, err error) Code {
+// printError prints an error and its remedy and returns the exit code.
+func printError(io IO, err error) Code {
 	if err == nil {
 		return OK
 	}
--- a/cmd/internal/command/group.go
+++ b/cmd/internal/command/group.go
@@ -6,7 +6,7 @@
 	"github.com/integrii/flaggy"
 )
 
-// Group returns a command that only holds others: `heatherlock NAME OTHER`.
+// Group returns a command that consists of subcommands: `heatherlock NAME SUBCOMMAND`.
 func Group(name, summary string, commands ...Command) Command {
 	return Command{
 		Name:    name,
--- a/cmd/internal/command/group_test.go
+++ b/cmd/internal/command/group_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestGroupRunsTheOneNamed(t *testing.T) {
+func TestGroupRunsNamedSubcommand(t *testing.T) {
 	ran := ""
 	inner := func(name string) Command {
 		return Command{Name: name, Declare: func(sub *flaggy.Subcommand) Run {
--- a/cmd/internal/command/report.go
+++ b/cmd/internal/command/report.go
@@ -5,12 +5,11 @@
 	"os"
 )
 
-// reportPermissions of a report's file.
-const reportPermissions = 0o644
+const reportFileMode = 0o644
 
-// WriteReport writes a report to the file that --json names, as one JSON
-// object. An empty name writes nothing. A file that cannot be written is a
-// Usage failure.
+// WriteReport writes report as a JSON object to the file given with --json. It writes
+// nothing if the name is empty. If the file cannot be written, the error has the code
+// Usage.
 func WriteReport(file string, report any) error {
 	if file == "" {
 		return nil
@@ -19,7 +18,7 @@
 	if err != nil {
 		return Failf(Other, "report this as a fault of the program", "encode the report: %v", err)
 	}
-	if err := os.WriteFile(file, append(raw, '\n'), reportPermissions); err != nil {
+	if err := os.WriteFile(file, append(raw, '\n'), reportFileMode); err != nil {
 		return Failf(Usage, "name a file that can be written", "--json: %v", err)
 	}
 	return nil
--- a/cmd/internal/command/simulation.go
+++ b/cmd/internal/command/simulation.go
@@ -9,20 +9,22 @@
 	"github.com/integrii/flaggy"
 )
 
-// SimOptions are the choices of a simulated experiment.
+// SimOptions holds the options of a simulation.
 type SimOptions struct {
 	Seed uint64
-	// For is the simulated time that each run is measured.
-	For      time.Duration
+	// For is the simulated duration over which each run is measured.
+	For time.Duration
+	// JSONFile receives the report as JSON. It is not written if the name is empty.
 	JSONFile string
-	// PlotFile is where a plot goes, of those that have one.
+	// PlotFile receives the plot of a simulation that has one. It is not written if the
+	// name is empty.
 	PlotFile string
 }
 
-// SimDefaults returns the options of a run without flags.
+// SimDefaults returns the default options.
 func SimDefaults() SimOptions { return SimOptions{Seed: 1, For: 20 * time.Second} }
 
-// Check reports an option out of bounds.
+// Check returns an error if an option is out of bounds.
 func (o SimOptions) Check() error {
 	if o.For < time.Second || o.For > 10*time.Minute {
 		return fmt.Errorf("bench: --for %s is out of bounds; give 1s to 10m", o.For)
@@ -30,24 +32,24 @@
 	return nil
 }
 
-// SimReport is what a simulated experiment showed.
+// SimReport is the result of a simulation.
 type SimReport interface {
 	WriteText(w io.Writer)
 	WriteJSON(file string) error
 }
 
-// SimPlot is a report that can be drawn.
+// SimPlot is a report that can be plotted.
 type SimPlot interface {
 	SimReport
 	WritePlot(file string) error
 }
 
-// Simulation returns the subcommand of a simulated experiment.
+// Simulation returns a subcommand that runs a simulation and prints its report.
 func Simulation(name, summary string, run func(SimOptions) SimReport) Command {
 	return simulation(name, summary, false, run)
 }
 
-// PlottedSimulation returns the subcommand of one whose report can be drawn.
+// PlottedSimulation is like Simulation, for a report that can be plotted.
 func PlottedSimulation(name, summary string, run func(SimOptions) SimPlot) Command {
 	return simulation(name, summary, true, func(o SimOptions) SimReport { return run(o) })
 }
@@ -74,7 +76,7 @@
 					return err
 				}
 			}
-			if plot, can := report.(SimPlot); can && o.PlotFile != "" {
+			if plot, plottable := report.(SimPlot); plottable && o.PlotFile != "" {
 				return plot.WritePlot(o.PlotFile)
 			}
 			return nil
--- a/cmd/internal/command/watch.go
+++ b/cmd/internal/command/watch.go
@@ -7,18 +7,19 @@
 )
 
 const (
-	// WatchEvery is the pause between two looks of a command that watches.
+	// WatchEvery is the time between two calls of show by Watch.
 	WatchEvery = time.Second
-	// ClearScreen moves a terminal's cursor to the corner of an empty screen.
+	// ClearScreen is the escape sequence that clears a terminal and moves the cursor to
+	// the top left corner.
 	ClearScreen = "\x1b[H\x1b[2J"
 )
 
-// Watch calls show once, or with again set each second until ctx ends. Errors are printed
-// while it goes on; the last one is returned.
-func Watch(ctx context.Context, out IO, again bool, show func() error) error {
+// Watch calls show once or, if repeat is set, every WatchEvery until ctx ends. It prints errors
+// while it repeats and returns the last one.
+func Watch(ctx context.Context, out IO, repeat bool, show func() error) error {
 	for {
 		err := show()
-		if !again || ctx.Err() != nil {
+		if !repeat || ctx.Err() != nil {
 			return err
 		}
 		if err != nil {
@@ -32,7 +33,7 @@
 	}
 }
 
-// Clear empties the screen before the next look, if there is one.
+// Clear clears the screen if Out is a terminal.
 func Clear(out IO) {
 	if out.Terminal {
 		fmt.Fprint(out.Out, ClearScreen)
