--- a/cmd/internal/client/client.go
+++ b/cmd/internal/client/client.go
@@ -17,12 +17,12 @@
 // Client calls the resource API through one of several entry VMs. It is safe
 // for concurrent use.
 type Client struct {
-	entries []entry
-	last    atomic.Int64 // index of the entry VM that answered last
-	timeout time.Duration
+	entryVMs []entryVM
+	last     atomic.Int64 // index of the entry VM that answered last
+	timeout  time.Duration
 }
 
-type entry struct {
+type entryVM struct {
 	address string
 	api     *oas.Client
 }
@@ -46,42 +46,43 @@
 		if err != nil {
 			return nil, command.Failf(command.Usage, "give host:port of the operators' listener", "%s: %v", address, err)
 		}
-		c.entries = append(c.entries, entry{address, api})
+		c.entryVMs = append(c.entryVMs, entryVM{address, api})
 	}
 	return c, nil
 }
 
 const (
-	// rounds is how often each entry VM is tried before a call fails.
-	rounds = 2
-	// roundPause comes between rounds; a replaced entry VM needs longer, a
-	// connection that broke off does not.
-	roundPause = 200 * time.Millisecond
+	// maxRounds is the number of attempts on each entry VM before a call fails.
+	maxRounds = 2
+	// roundDelay is the time between rounds. It is long enough to recover from a broken
+	// connection, but not for an entry VM to be replaced.
+	roundDelay = 200 * time.Millisecond
 )
 
-// call runs f against one entry VM after the other until one gives an answer
-// that another one would not better.
+// call runs f on one entry VM after the other, starting with the one that answered last, until
+// f succeeds or fails with an error that another entry VM would return as well. timeout limits
+// each attempt.
 func call[T any](ctx context.Context, c *Client, timeout time.Duration, f func(context.Context, *oas.Client) (T, error)) (result T, err error) {
-	failures := make([]string, len(c.entries))
+	failures := make([]string, len(c.entryVMs))
 	var last error
 	start := int(c.last.Load())
-	for i := range rounds * len(c.entries) {
-		if i == len(c.entries) {
-			time.Sleep(roundPause)
+	for i := range maxRounds * len(c.entryVMs) {
+		if i == len(c.entryVMs) {
+			time.Sleep(roundDelay)
 		}
 		if ctx.Err() != nil {
 			return result, &Failure{Cause: command.Failf(command.Unreachable, "", "interrupted: %v", ctx.Err())}
 		}
-		at := (start + i) % len(c.entries)
-		attempt, cancel := context.WithTimeout(ctx, timeout)
-		result, err = f(attempt, c.entries[at].api)
+		index := (start + i) % len(c.entryVMs)
+		attemptCtx, cancel := context.WithTimeout(ctx, timeout)
+		result, err = f(attemptCtx, c.entryVMs[index].api)
 		cancel()
-		if err == nil || !elsewhere(err) {
-			c.last.Store(int64(at))
+		if err == nil || !retryable(err) {
+			c.last.Store(int64(index))
 			return result, asFailure(err)
 		}
-		last = worse(last, err)
-		failures[at] = c.entries[at].address + ": " + oneLine(err)
+		last = moreSpecific(last, err)
+		failures[index] = c.entryVMs[index].address + ": " + rootMessage(err)
 	}
 	if _, ok := problemOf(last); ok {
 		return result, asFailure(last)
@@ -89,9 +90,9 @@
 	return result, &Failure{Cause: command.Failf(command.Unreachable, "check the addresses and that an entry VM runs there; after a change, send it again: one already made is recognised", "no entry VM answered: %s", strings.Join(failures, "; "))}
 }
 
-// worse keeps the failure that says more: an answer before none, and of two
-// answers the one that leaves the outcome open.
-func worse(a, b error) error {
+// moreSpecific returns the error to report of two failed attempts. A refusal by an entry VM takes
+// precedence over no answer, and the refusal OutcomeUnknown over all others.
+func moreSpecific(a, b error) error {
 	pa, okA := problemOf(a)
 	if okA && pa.Reason == oas.ProblemReasonOutcomeUnknown {
 		return a
@@ -102,8 +103,9 @@
 	return a
 }
 
-// oneLine returns what an error comes down to.
-func oneLine(err error) string {
+// rootMessage returns the message of a refusal, or that of the innermost wrapped error, on one
+// line.
+func rootMessage(err error) string {
 	if p, ok := problemOf(err); ok {
 		return p.Message
 	}
@@ -127,7 +129,7 @@
 	})
 }
 
-// Set returns the objects of the kinds as a set.
+// Set returns all objects of the given kinds as a set.
 func (c *Client) Set(ctx context.Context, kinds ...oas.Kind) (check.Set, error) {
 	var all []oas.Object
 	for _, kind := range kinds {
@@ -140,14 +142,14 @@
 	return check.NewSet(all...), nil
 }
 
-// Status returns the deployment at a glance.
+// Status returns an overview of the deployment.
 func (c *Client) Status(ctx context.Context) (*oas.DeploymentStatus, error) {
 	return call(ctx, c, c.timeout, func(ctx context.Context, api *oas.Client) (*oas.DeploymentStatus, error) {
 		return api.GetStatus(ctx)
 	})
 }
 
-// Watch waits for changes after a version.
+// Watch waits at most for the duration wait for changes after the version since.
 func (c *Client) Watch(ctx context.Context, kind oas.Kind, since int64, wait time.Duration) (*oas.WatchReply, error) {
 	params := oas.WatchObjectsParams{Kind: oas.NewOptKind(kind), Since: since, WaitMs: oas.NewOptInt32(int32(wait.Milliseconds()))}
 	return call(ctx, c, c.timeout+wait, func(ctx context.Context, api *oas.Client) (*oas.WatchReply, error) {
@@ -155,10 +157,11 @@
 	})
 }
 
-// WriteOptions qualify a write.
+// WriteOptions are the options of a write. The zero value is a plain write.
 type WriteOptions struct {
 	DryRun bool
-	// Override is the reason for accepting a broken promise; empty for none.
+	// Override is the reason for accepting a change that breaks a promise. If it is empty,
+	// such a change is refused.
 	Override string
 }
 
@@ -169,7 +172,8 @@
 	return oas.NewOptString(o.Override)
 }
 
-// Put creates an object, or updates it if it carries a version.
+// Put creates an object, or updates it if its metadata has a version. It sets a new write id, so
+// that retries on other entry VMs are not applied twice.
 func (c *Client) Put(ctx context.Context, o oas.Object, options WriteOptions) (oas.Object, error) {
 	check.StatusOf(&o).Reset()
 	m := check.MetadataOf(&o)
@@ -184,14 +188,14 @@
 	})
 }
 
-// Delete removes an object that is still at the version. If the reply to a
-// first try was lost, finding nothing on the second is what was wanted.
+// Delete deletes an object if it still has the given version. NotFound on a retry counts as
+// success, since an earlier attempt may have deleted the object and its reply been lost.
 func (c *Client) Delete(ctx context.Context, ref check.Ref, version int64, options WriteOptions) error {
-	tries := 0
+	attempts := 0
 	_, err := call(ctx, c, c.timeout, func(ctx context.Context, api *oas.Client) (*oas.Deleted, error) {
-		tries++
+		attempts++
 		deleted, err := api.DeleteObject(ctx, oas.DeleteObjectParams{Kind: ref.Kind, Name: oas.ObjectName(ref.Name), Version: version, Override: options.override()})
-		if p, ok := problemOf(err); ok && tries > 1 && p.Reason == oas.ProblemReasonNotFound {
+		if p, ok := problemOf(err); ok && attempts > 1 && p.Reason == oas.ProblemReasonNotFound {
 			return &oas.Deleted{}, nil
 		}
 		return deleted, err
--- a/cmd/internal/client/doc.go
+++ b/cmd/internal/client/doc.go
@@ -1,7 +1,7 @@
-// Package client reaches the resource API through any of several entry VMs.
+// Package client calls the resource API through any of several entry VMs.
 //
-// Reads go to the entry VM that answered last and, if it does not answer, to
-// the next. Writes do the same: each carries a write id, by which an entry VM
-// recognises a change that another one already made, so that repeating a write
-// whose reply was lost changes nothing twice.
+// A call goes to the entry VM that answered last and, if that one does not answer, to the
+// next. This includes writes: each carries a write id by which an entry VM recognizes a
+// change that another one has already made, so that a write whose reply was lost can be
+// retried without being applied twice.
 package client
--- a/cmd/internal/client/failure.go
+++ b/cmd/internal/client/failure.go
@@ -10,20 +10,19 @@
 	"heatherlock/cmd/internal/command"
 )
 
-// Failure is a failed call: the command's error, and the typed refusal if an
-// entry VM gave one.
+// Failure is the error of a failed call. It wraps the command's error.
 type Failure struct {
 	Cause   *command.Error
-	Problem *oas.Problem // nil when no entry VM answered
+	Problem *oas.Problem // refusal by an entry VM; nil if none answered
 }
 
-// Error implements error.
+// Error returns the text of the command's error.
 func (f *Failure) Error() string { return f.Cause.Error() }
 
 // Unwrap returns the command's error, which carries the exit code.
 func (f *Failure) Unwrap() error { return f.Cause }
 
-// ReasonOf returns the reason of a typed refusal, or "".
+// ReasonOf returns the reason of a refusal by an entry VM, or "" if err is none.
 func ReasonOf(err error) oas.ProblemReason {
 	var f *Failure
 	if errors.As(err, &f) && f.Problem != nil {
@@ -32,8 +31,8 @@
 	return ""
 }
 
-// codes maps each reason to the exit code that it ends a command with.
-var codes = map[oas.ProblemReason]command.Code{
+// exitCodes maps the reason of a refusal to the exit code of the command.
+var exitCodes = map[oas.ProblemReason]command.Code{
 	oas.ProblemReasonInvalid:        command.Refused,
 	oas.ProblemReasonBreaksPromise:  command.Refused,
 	oas.ProblemReasonNotFound:       command.Refused,
@@ -47,7 +46,7 @@
 	oas.ProblemReasonInternal:       command.Other,
 }
 
-// problemOf returns the typed refusal that an entry VM gave.
+// problemOf returns the refusal by an entry VM that err wraps, and whether there is one.
 func problemOf(err error) (*oas.Problem, bool) {
 	var p *oas.ProblemStatusCode
 	if errors.As(err, &p) {
@@ -56,9 +55,10 @@
 	return nil, false
 }
 
-// elsewhere tells whether another entry VM may do better: one that cannot be
-// reached, and one that is cut off from the platform while others may not be.
-func elsewhere(err error) bool {
+// retryable reports whether a call may succeed on another entry VM. That is so if this one could
+// not be reached, or failed in a way that others may not, such as having lost the connection to
+// the platform.
+func retryable(err error) bool {
 	p, ok := problemOf(err)
 	if !ok {
 		return true
@@ -70,7 +70,8 @@
 	return false
 }
 
-// asFailure turns an entry VM's refusal into the command's error.
+// asFailure converts the error of an API call to a *Failure, whose message and exit code come
+// from the refusal if an entry VM sent one.
 func asFailure(err error) error {
 	if err == nil {
 		return nil
@@ -87,7 +88,7 @@
 	if ms, ok := p.RetryAfterMs.Get(); ok {
 		remedy += fmt.Sprintf(" (%d ms)", ms)
 	}
-	code, known := codes[p.Reason]
+	code, known := exitCodes[p.Reason]
 	if !known {
 		code = command.Other
 	}
--- a/cmd/internal/client/options.go
+++ b/cmd/internal/client/options.go
@@ -14,27 +14,27 @@
 	"heatherlock/cmd/internal/command"
 )
 
-// Environment variables that stand in for flags.
+// Environment variables that are used if the corresponding flags are not given.
 const (
 	EnvEntryVMs  = "HEATHERLOCK_ENTRY_VMS"
 	EnvToken     = "HEATHERLOCK_TOKEN"
 	EnvTokenFile = "HEATHERLOCK_TOKEN_FILE"
 )
 
-// Options says how to reach the entry VMs.
+// Options specifies how to connect to the entry VMs.
 type Options struct {
-	// EntryVMs are operator addresses, host:port or URLs.
+	// EntryVMs lists the addresses of operators' listeners, as host:port or URLs.
 	EntryVMs  []string
 	TokenFile string
 	CAFile    string
 	CertFile  string
 	KeyFile   string
-	// Timeout bounds one call to one entry VM.
+	// Timeout limits one attempt on one entry VM. The default is 15 seconds.
 	Timeout time.Duration
 }
 
-// defaultTimeout leaves an entry VM the time to find out the outcome of a write
-// while the platform is slow.
+// defaultTimeout is long enough for an entry VM to determine the outcome of a write while the
+// platform is slow.
 const defaultTimeout = 15 * time.Second
 
 // Declare adds the flags to a subcommand.
@@ -48,7 +48,7 @@
 	sub.Duration(&o.Timeout, "", "call-timeout", "bound on one call to one entry VM")
 }
 
-// Given reports whether any entry VM is named, by flag or environment.
+// Given reports whether any entry VM is specified by flag or environment variable.
 func (o Options) Given() bool {
 	return len(o.EntryVMs) > 0 || os.Getenv(EnvEntryVMs) != ""
 }
@@ -80,8 +80,8 @@
 	return all, nil
 }
 
-// token returns the operator's token, or "" when there is none. It is never
-// taken from the command line, which other users of the machine can see.
+// token returns the operator's token, or "" if there is none. There is no flag for the token
+// itself, since other users of the machine can read command lines.
 func (o Options) token() (string, error) {
 	file := o.TokenFile
 	if file == "" {
@@ -97,7 +97,7 @@
 	return strings.TrimSpace(string(raw)), nil
 }
 
-// httpClient returns an HTTP client with the certificates and the token.
+// httpClient returns an HTTP client that uses the configured certificates and sends the token.
 func (o Options) httpClient() (*http.Client, error) {
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.Proxy = nil
@@ -112,7 +112,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &http.Client{Transport: bearer{token: token, next: transport}}, nil
+	return &http.Client{Transport: bearerTransport{token: token, next: transport}}, nil
 }
 
 func (o Options) tlsConfig() (*tls.Config, error) {
@@ -137,14 +137,14 @@
 	return config, nil
 }
 
-// bearer adds the token to each request.
-type bearer struct {
+// bearerTransport adds the token to each request, unless it is empty.
+type bearerTransport struct {
 	token string
 	next  http.RoundTripper
 }
 
 // RoundTrip implements http.RoundTripper.
-func (b bearer) RoundTrip(r *http.Request) (*http.Response, error) {
+func (b bearerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	if b.token == "" {
 		return b.next.RoundTrip(r)
 	}
