--- a/cmd/internal/client/options.go
+++ b/cmd/internal/client/options.go
@@ -48,8 +48,8 @@
 	sub.Duration(&o.Timeout, "", "call-timeout", "bound on one call to one entry VM")
 }
 
-// Given reports whether any entry VM is specified by flag or environment variable.
-func (o Options) Given() bool {
+// HasEntryVMs reports whether any entry VM is specified by flag or environment variable.
+func (o Options) HasEntryVMs() bool {
 	return len(o.EntryVMs) > 0 || os.Getenv(EnvEntryVMs) != ""
 }
 
--- a/cmd/internal/command/watch.go
+++ b/cmd/internal/command/watch.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// WatchEvery is the time between two calls of show by Watch.
-	WatchEvery = time.Second
+	// WatchInterval is the time between two calls of show by Watch.
+	WatchInterval = time.Second
 	// ClearScreen is the escape sequence that clears a terminal and moves the cursor to
 	// the top left corner.
 	ClearScreen = "\x1b[H\x1b[2J"
 )
 
-// Watch calls show once or, if repeat is set, every WatchEvery until ctx ends. It prints errors
+// Watch calls show once or, if repeat is set, every WatchInterval until ctx ends. It prints errors
 // while it repeats and returns the last one.
 func Watch(ctx context.Context, out IO, repeat bool, show func() error) error {
 	for {
@@ -28,7 +28,7 @@
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(WatchEvery):
+		case <-time.After(WatchInterval):
 		}
 	}
 }
--- a/cmd/internal/losses/read.go
+++ b/cmd/internal/losses/read.go
@@ -18,7 +18,8 @@
 const (
 	// maxLineBytes limits the length of a log line.
 	maxLineBytes = 1 << 20
-	// maxSums limits the memory for sums to about 100 MB.
+	// maxSums limits the number of sums in memory, which take about 100 MB then. It is
+	// checked after each log.
 	maxSums = 200_000
 )
 
@@ -108,7 +109,8 @@
 	return nil
 }
 
-// addLine adds the sums of a log line. It ignores lines without sums.
+// addLine adds the counts of a log line: requests, exchanged bytes and omitted lines. It ignores
+// other lines.
 func (r *logTotals) addLine(raw []byte) error {
 	start := bytes.IndexByte(raw, '{')
 	hasSums := bytes.Contains(raw, sumsMarker)
--- a/cmd/internal/losses/report.go
+++ b/cmd/internal/losses/report.go
@@ -37,7 +37,7 @@
 // Group holds the counts of a group of requests, and the causes of those that were lost.
 type Group struct {
 	Name string `json:"name"`
-	// At is the start of a window; zero for other parts.
+	// At is the start of a window. It is zero for other groups.
 	At time.Time `json:"at,omitzero"`
 	losses.Sum
 	// Causes are sorted by count, the highest first.
--- a/cmd/internal/offline/explain.go
+++ b/cmd/internal/offline/explain.go
@@ -35,7 +35,7 @@
 		return nil
 	}
 	parts := strings.Split(path, ".")
-	kind, ok := KindNamed(parts[0])
+	kind, ok := LookupKind(parts[0])
 	if !ok {
 		return command.Failf(command.Usage, "use one of "+kindList(), "%q is not a kind", parts[0])
 	}
@@ -126,9 +126,9 @@
 	return names
 }
 
-// KindNamed returns the kind with the given name and reports whether there is one. It ignores
+// LookupKind returns the kind with the given name and reports whether there is one. It ignores
 // case and a plural "s".
-func KindNamed(name string) (string, bool) {
+func LookupKind(name string) (string, bool) {
 	name = strings.ToLower(name)
 	for _, kind := range check.Kinds {
 		lower := strings.ToLower(string(kind))
--- a/cmd/internal/offline/why.go
+++ b/cmd/internal/offline/why.go
@@ -53,7 +53,7 @@
 	}
 	issued := time.Unix(0, 0).Add(time.Duration(parts.Epoch) * once.EpochLength).UTC()
 	fmt.Fprintf(io.Out, "issued:  %s, by the process life %s\n", issued.Format(time.RFC3339), parts.Incarnation)
-	if !options.Given() {
+	if !options.HasEntryVMs() {
 		fmt.Fprintln(io.Out, "holder:  give --entry-vm to ask whether that process still runs")
 		return nil
 	}
--- a/cmd/internal/operate/operate.go
+++ b/cmd/internal/operate/operate.go
@@ -35,7 +35,7 @@
 
 // parseKind returns the kind that an operator named, in any case, in singular or plural.
 func parseKind(name string) (oas.Kind, error) {
-	kind, ok := offline.KindNamed(name)
+	kind, ok := offline.LookupKind(name)
 	if !ok {
 		return "", command.Failf(command.Usage, "`heatherlock explain` lists them", "%q is not a kind", name)
 	}
--- a/cmd/internal/vmstatus/vmstatus_test.go
+++ b/cmd/internal/vmstatus/vmstatus_test.go
@@ -171,7 +171,7 @@
 // Checks that --watch prints the view repeatedly until the context ends.
 func TestWatchRepeats(t *testing.T) {
 	addresses := serveZones(t, func(*status.Status) {})
-	ctx, cancel := context.WithTimeout(t.Context(), command.WatchEvery+command.WatchEvery/2)
+	ctx, cancel := context.WithTimeout(t.Context(), command.WatchInterval+command.WatchInterval/2)
 	defer cancel()
 	var out bytes.Buffer
 	assert.NilError(t, runFleet(ctx, &options{controls: addresses[:1], format: formatTable, all: true, watch: true}, command.IO{Out: &out, Terminal: true}))
