--- a/node/member/config.go
+++ b/node/member/config.go
@@ -13,114 +13,114 @@
 	"heatherlock/steering/membership"
 )
 
-// Peers gives a client for a peer listener's address.
+// Peers returns a client for the peer listener at an address.
 type Peers interface {
 	To(address string) peerpb.Peer
 }
 
-// Hooks connect other parts; nil ones are left out.
+// Hooks connect Members to other parts of the daemon. Hooks that are nil are not called.
 type Hooks struct {
-	// Pools returns the pools that this entry VM owns now.
+	// Pools returns the pools that this entry VM currently owns.
 	Pools func() []*peerpb.PoolFact
-	// OnPools takes pools of others; ages are as of the call.
+	// OnPools receives pools of other members; the ages are as of the call.
 	OnPools func([]*peerpb.PoolFact)
-	// Suspects returns fingerprints to share, newest first.
+	// Suspects returns the fingerprints to share, newest first.
 	Suspects func() []*peerpb.SuspectFact
-	// OnSuspects takes fingerprints that others share.
+	// OnSuspects receives the fingerprints that other members share.
 	OnSuspects func([]*peerpb.SuspectFact)
-	// ConfigVersion returns the version in force here.
+	// ConfigVersion returns the configuration version in force at this entry VM.
 	ConfigVersion func() int64
-	// OnConfigVersion says which version the member at a peer address has; it
-	// is called at each exchange.
+	// OnConfigVersion reports which version the member at a peer address has. It is called at
+	// each exchange.
 	OnConfigVersion func(peerAddress string, version int64)
-	// InFlight returns the requests that this entry VM carries.
+	// InFlight returns the number of this entry VM's requests in flight.
 	InFlight func() int32
-	// OnPause says that this process stood still for about the time given.
-	// Whatever it believed to hold may be over.
+	// OnPause reports that this process was paused for about the given time. Leases and ownership
+	// that it held may have expired.
 	OnPause func(time.Duration)
 }
 
-// Config holds what Members needs. Zero durations take the defaults.
+// Config configures Members. Zero durations take the defaults.
 type Config struct {
-	// Self is this entry VM; State and Heard are ignored.
+	// Self is this entry VM. State and Heard are ignored.
 	Self seam.Member
-	// Started orders the incarnations of this VM; zero means now.
+	// Started orders the incarnations of this VM. Zero means now.
 	Started time.Time
-	// Seeds are peer addresses to ask while nobody else is known.
+	// Seeds are peer addresses to call while no other member is known.
 	Seeds    []string
-	Platform objects.API // nil means none
+	Platform objects.API // nil if there is no platform
 	Peers    Peers
 	Hooks    Hooks
-	// BeatEvery is the time between two exchanges with members of the zone.
-	BeatEvery time.Duration
-	// CrossEvery is the time between two exchanges of a reporting member with
-	// other zones.
-	CrossEvery time.Duration
-	// ProbeEvery is the time between two measurements of the distance to
-	// another region, each region in its turn.
-	ProbeEvery time.Duration
-	// ListEvery is the time between two reads of the platform's list of VMs by
-	// the zone's reading member.
-	ListEvery time.Duration
-	Params    membership.Params
-	// Random returns a number in [0,n); nil means math/rand/v2.
+	// HeartbeatInterval is the time between two exchanges with members of the zone.
+	HeartbeatInterval time.Duration
+	// CrossZoneInterval is the time between two exchanges of a reporting member with other zones.
+	CrossZoneInterval time.Duration
+	// ProbeInterval is the time between two round-trip measurements. Each one measures the
+	// distance to one other region, chosen at random.
+	ProbeInterval time.Duration
+	// ListInterval is the time between two reads of the platform's list of VMs by the member that
+	// reads it for the zone.
+	ListInterval time.Duration
+	Params       membership.Params
+	// Random returns a number in [0,n). Nil means math/rand/v2.
 	Random func(n int) int
-	Scope  tally.Scope // nil means none
-	Logger log.Logger  // nil means none
+	Scope  tally.Scope // nil disables metrics
+	Logger log.Logger  // nil disables logging
 }
 
 // Defaults of Config.
 const (
-	DefaultBeatEvery  = time.Second / 2
-	DefaultCrossEvery = time.Second
-	DefaultProbeEvery = 10 * time.Second
-	DefaultListEvery  = 10 * time.Second
+	DefaultHeartbeatInterval = time.Second / 2
+	DefaultCrossZoneInterval = time.Second
+	DefaultProbeInterval     = 10 * time.Second
+	DefaultListInterval      = 10 * time.Second
 )
 
 const (
-	// reporters is how many members of a zone talk to other zones.
-	reporters = 2
-	// nearTimeout and farTimeout bound an exchange within a zone and between
-	// zones; the latter covers a new connection at 35 ms one way.
-	nearTimeout = 500 * time.Millisecond
-	farTimeout  = 1500 * time.Millisecond
-	// maxExchanges bounds the exchanges in flight at once.
+	// reportersPerZone is the number of members of a zone that exchange with other zones.
+	reportersPerZone = 2
+	// inZoneTimeout and crossZoneTimeout bound an exchange within a zone and between zones. The
+	// latter leaves time for a new connection at a one-way delay of 35 ms.
+	inZoneTimeout    = 500 * time.Millisecond
+	crossZoneTimeout = 1500 * time.Millisecond
+	// maxExchanges bounds the number of exchanges in flight.
 	maxExchanges = 8
-	// pauseAfter is how late a tick must be to count as a pause of the process.
-	pauseAfter = time.Second
+	// pauseThreshold is how late a tick must be to count as a pause of the process.
+	pauseThreshold = time.Second
 )
 
-// Bounds of one message, which keep its size flat as the fleet grows.
+// Limits of one message, which keep its size constant as the fleet grows, and intervals and
+// lifetimes of the facts in it.
 const (
-	maxBeats        = 24
-	maxReportsNear  = 4
-	maxReportsFar   = 10
-	maxRecentFacts  = 8
-	maxPoolsNear    = 2
-	maxPoolsFar     = 6
-	maxSuspects     = 4
-	maxSyncedFacts  = 1024
-	recentWindow    = 5 * time.Second
-	syncEvery       = 2 * time.Second
-	leavingLoadEach = 2 * time.Second
-	poolKeptFor     = 10 * time.Second
-	forgetEvery     = time.Minute
-	// publishEvery bounds the age of what readers see; publishGap bounds how
-	// often facts that others told renew it.
-	publishEvery = time.Second
-	publishGap   = 200 * time.Millisecond
+	maxHeartbeats       = 24
+	maxReportsInZone    = 4
+	maxReportsCrossZone = 10
+	maxRecentFacts      = 8
+	maxPoolsInZone      = 2
+	maxPoolsCrossZone   = 6
+	maxSuspects         = 4
+	maxSyncedFacts      = 1024
+	recentWindow        = 5 * time.Second
+	syncInterval        = 2 * time.Second
+	leavingLoadInterval = 2 * time.Second
+	poolFactTTL         = 10 * time.Second
+	expiryInterval      = time.Minute
+	// maxPublishInterval bounds the age of the published view. minPublishInterval limits how
+	// often facts received from other members cause a new one.
+	maxPublishInterval = time.Second
+	minPublishInterval = 200 * time.Millisecond
 )
 
 func (c Config) withDefaults() Config {
-	def := func(d *time.Duration, v time.Duration) {
+	setDefault := func(d *time.Duration, v time.Duration) {
 		if *d <= 0 {
 			*d = v
 		}
 	}
-	def(&c.BeatEvery, DefaultBeatEvery)
-	def(&c.CrossEvery, DefaultCrossEvery)
-	def(&c.ProbeEvery, DefaultProbeEvery)
-	def(&c.ListEvery, DefaultListEvery)
+	setDefault(&c.HeartbeatInterval, DefaultHeartbeatInterval)
+	setDefault(&c.CrossZoneInterval, DefaultCrossZoneInterval)
+	setDefault(&c.ProbeInterval, DefaultProbeInterval)
+	setDefault(&c.ListInterval, DefaultListInterval)
 	if c.Started.IsZero() {
 		c.Started = time.Now()
 	}
--- a/node/member/exchange.go
+++ b/node/member/exchange.go
@@ -11,10 +11,10 @@
 	"heatherlock/steering/membership"
 )
 
-// news is the part that requests and replies share.
-type news struct {
+// payload is the content that heartbeat requests and replies have in common.
+type payload struct {
 	from          membership.ID
-	beat          uint32
+	heartbeat     uint32
 	configVersion int64
 	members       []*peerpb.MemberFact
 	liveness      *peerpb.Liveness
@@ -23,15 +23,15 @@
 	suspects      []*peerpb.SuspectFact
 }
 
-// hooked is what to hand to the hooks once m.mu is free.
-type hooked struct {
+// hookCalls holds the arguments of the hooks to call once m.mu is released.
+type hookCalls struct {
 	pools       []*peerpb.PoolFact
 	suspects    []*peerpb.SuspectFact
 	peerAddress string
 	version     int64
 }
 
-func (m *Members) runHooks(h hooked) {
+func (m *Members) runHooks(h hookCalls) {
 	if len(h.pools) > 0 {
 		m.config.Hooks.OnPools(h.pools)
 	}
@@ -43,38 +43,38 @@
 	}
 }
 
-// own is what the other parts of this entry VM contribute; it is asked for
+// localState is what other parts of this entry VM contribute to a heartbeat. It is collected
 // before m.mu is taken.
-type own struct {
+type localState struct {
 	pools         []*peerpb.PoolFact
 	suspects      []*peerpb.SuspectFact
 	configVersion int64
 	inFlight      int32
 }
 
-func (m *Members) own() own {
+func (m *Members) localState() localState {
 	h := m.config.Hooks
-	o := own{pools: h.Pools(), suspects: h.Suspects(), configVersion: h.ConfigVersion(), inFlight: h.InFlight()}
+	o := localState{pools: h.Pools(), suspects: h.Suspects(), configVersion: h.ConfigVersion(), inFlight: h.InFlight()}
 	o.suspects = o.suspects[:min(maxSuspects, len(o.suspects))]
 	return o
 }
 
-// tell composes what this member has to say; m.mu is held.
-func (m *Members) tell(o own, far bool, now time.Time) news {
+// composePayload returns this member's side of an exchange. The caller holds m.mu.
+func (m *Members) composePayload(o localState, crossZone bool, now time.Time) payload {
 	m.refreshSelf(o, now)
-	m.pools.learn(o.pools, 0, now)
-	m.turn++
-	n := news{
-		from: m.self.ID(), beat: m.beat, configVersion: o.configVersion, suspects: o.suspects,
+	m.pools.mergeNewer(o.pools, 0, now)
+	m.relayRound++
+	n := payload{
+		from: m.self.ID(), heartbeat: m.heartbeat, configVersion: o.configVersion, suspects: o.suspects,
 		members: factsToWire(m.view.Recent(recentWindow, maxRecentFacts, now)),
 	}
-	reports := m.view.Reports(maxReportsNear, m.turn*maxReportsNear, now)
-	if far {
-		reports = append(m.view.Reports(maxReportsFar-1, m.turn*maxReportsFar, now), m.view.OwnReport(m.beat, now))
-		n.pools = m.pools.pick(maxPoolsFar, m.config.Random, now)
+	reports := m.view.Reports(maxReportsInZone, m.relayRound*maxReportsInZone, now)
+	if crossZone {
+		reports = append(m.view.Reports(maxReportsCrossZone-1, m.relayRound*maxReportsCrossZone, now), m.view.OwnReport(m.heartbeat, now))
+		n.pools = m.pools.sample(maxPoolsCrossZone, m.config.Random, now)
 	} else {
-		n.liveness = livenessToWire(m.view.Beats(maxBeats, now), o.configVersion)
-		n.pools = m.pools.pick(maxPoolsNear, m.config.Random, now)
+		n.liveness = livenessToWire(m.view.Beats(maxHeartbeats, now), o.configVersion)
+		n.pools = m.pools.sample(maxPoolsInZone, m.config.Random, now)
 	}
 	for _, r := range reports {
 		n.reports = append(n.reports, reportToWire(r))
@@ -82,34 +82,35 @@
 	return n
 }
 
-// refreshSelf updates this member's own fact. Its load is told only while it
-// leaves: that is when somebody waits for it to reach zero.
-func (m *Members) refreshSelf(o own, now time.Time) {
+// refreshSelf updates this member's own fact. The fact includes the load only while this member
+// is leaving, because only then does another part wait for the load to reach zero.
+func (m *Members) refreshSelf(o localState, now time.Time) {
 	status, load := membership.Live, membership.Load{}
 	if m.leaving {
 		status = membership.Leaving
-		load = membership.Load{Beat: uint64(m.beat), InFlight: o.inFlight}
-		if now.Sub(m.lastLoad) < leavingLoadEach {
+		load = membership.Load{Beat: uint64(m.heartbeat), InFlight: o.inFlight}
+		if now.Sub(m.loadUpdatedAt) < leavingLoadInterval {
 			load = m.selfLoad
 		}
 		if load != m.selfLoad {
-			m.selfLoad, m.lastLoad = load, now
+			m.selfLoad, m.loadUpdatedAt = load, now
 		}
 	}
-	if o.configVersion != m.version {
-		m.version, m.versionAt = o.configVersion, now
+	if o.configVersion != m.configVersionInForce {
+		m.configVersionInForce, m.configVersionSince = o.configVersion, now
 	}
 	m.view.SetSelf(status, load, o.configVersion, now)
 }
 
-// hear takes in what another member said; m.mu is held. An exchange's own
-// length is added to ages, which is more than they can have lost on the way.
-func (m *Members) hear(n news, took time.Duration, now time.Time) hooked {
+// applyPayload merges what another member sent. The caller holds m.mu. took is the duration of
+// the exchange; it is added to the ages in the payload and is an upper bound of the time the
+// payload was in transit.
+func (m *Members) applyPayload(n payload, took time.Duration, now time.Time) hookCalls {
 	changed := false
 	for _, w := range n.members {
 		changed = m.view.Merge(factFromWire(w), now) || changed
 	}
-	changed = m.view.Hear(membership.Beat{ID: n.from, Beat: n.beat, ConfigVersion: n.configVersion}, now) || changed
+	changed = m.view.Hear(membership.Beat{ID: n.from, Beat: n.heartbeat, ConfigVersion: n.configVersion}, now) || changed
 	for _, b := range livenessFromWire(n.liveness, n.configVersion) {
 		changed = m.view.Hear(b, now) || changed
 	}
@@ -117,74 +118,74 @@
 		changed = m.view.HearReport(reportFromWire(w), now) || changed
 	}
 	m.changed = m.changed || changed
-	if m.changed && now.Sub(m.publishedAt) >= publishGap {
+	if m.changed && now.Sub(m.publishedAt) >= minPublishInterval {
 		m.publish(now)
 	}
 	for _, s := range n.suspects {
 		s.AgeMs += ageMs(took)
 	}
-	h := hooked{pools: m.pools.learn(n.pools, took, now), suspects: n.suspects, version: n.configVersion}
+	h := hookCalls{pools: m.pools.mergeNewer(n.pools, took, now), suspects: n.suspects, version: n.configVersion}
 	if address, ok := m.view.AddressOf(n.from); ok {
 		h.peerAddress = address
 	}
 	return h
 }
 
-// Beat answers another member's beat; it is served on the peer listener.
+// Beat answers another member's heartbeat. The peer listener serves it.
 func (m *Members) Beat(_ context.Context, r *peerpb.BeatRequest) (*peerpb.BeatReply, error) {
-	o := m.own()
-	reply, h := m.answer(r, o, time.Now())
+	o := m.localState()
+	reply, h := m.handleHeartbeat(r, o, time.Now())
 	m.runHooks(h)
 	m.scope.Counter("beats_answered").Inc(1)
 	m.countBytes(r, reply)
 	return reply, nil
 }
 
-func (m *Members) answer(r *peerpb.BeatRequest, o own, now time.Time) (*peerpb.BeatReply, hooked) {
+func (m *Members) handleHeartbeat(r *peerpb.BeatRequest, o localState, now time.Time) (*peerpb.BeatReply, hookCalls) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.noticePause(now)
 	from := membership.IDOf(steering.VM(r.FromVm), steering.Incarnation(r.FromIncarnation))
-	h := m.hear(news{from: from, beat: r.Beat, configVersion: r.ConfigVersion, members: r.Members, liveness: r.Liveness,
+	h := m.applyPayload(payload{from: from, heartbeat: r.Beat, configVersion: r.ConfigVersion, members: r.Members, liveness: r.Liveness,
 		reports: r.Reports, pools: r.Pools, suspects: r.Suspects}, 0, now)
 	zone, known := m.view.ZoneOf(from)
-	n := m.tell(o, known && zone != m.self.Place.Zone, now)
-	reply := &peerpb.BeatReply{From: uint32(n.from), Beat: n.beat, ConfigVersion: n.configVersion, Members: n.members,
+	n := m.composePayload(o, known && zone != m.self.Place.Zone, now)
+	reply := &peerpb.BeatReply{From: uint32(n.from), Beat: n.heartbeat, ConfigVersion: n.configVersion, Members: n.members,
 		Liveness: n.liveness, Reports: n.reports, Pools: n.pools, Suspects: n.suspects, ViewDigest: m.view.Digest()}
-	if theirs, ok := bucketsFromWire(r.Buckets); ok {
-		reply.Members = factsToWire(m.view.Differing(theirs, maxSyncedFacts))
+	if peerBuckets, ok := bucketsFromWire(r.Buckets); ok {
+		reply.Members = factsToWire(m.view.Differing(peerBuckets, maxSyncedFacts))
 		reply.Buckets = bucketsToWire(m.view.Buckets())
 	}
 	return reply, h
 }
 
-// request composes a beat; m.mu is taken.
-func (m *Members) request(far bool) *peerpb.BeatRequest {
-	o := m.own()
+// request returns a heartbeat request. It takes m.mu.
+func (m *Members) request(crossZone bool) *peerpb.BeatRequest {
+	o := m.localState()
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	n := m.tell(o, far, now)
-	return &peerpb.BeatRequest{FromVm: string(m.self.VM), FromIncarnation: string(m.self.Incarnation), Beat: n.beat,
+	n := m.composePayload(o, crossZone, now)
+	return &peerpb.BeatRequest{FromVm: string(m.self.VM), FromIncarnation: string(m.self.Incarnation), Beat: n.heartbeat,
 		ConfigVersion: n.configVersion, Members: n.members, Liveness: n.liveness, Reports: n.reports, Pools: n.pools,
 		Suspects: n.suspects, ViewDigest: m.view.Digest()}
 }
 
-// take hears a reply and tells whether the views still differ.
-func (m *Members) take(reply *peerpb.BeatReply, took time.Duration) (differ bool) {
+// applyReply merges a reply and reports whether the two views still differ.
+func (m *Members) applyReply(reply *peerpb.BeatReply, took time.Duration) (viewsDiffer bool) {
 	now := time.Now()
 	m.mu.Lock()
 	m.noticePause(now)
-	m.settle(now.Add(-took))
-	h := m.hear(news{from: membership.ID(reply.From), beat: reply.Beat, configVersion: reply.ConfigVersion, members: reply.Members,
+	m.markSettled(now.Add(-took))
+	h := m.applyPayload(payload{from: membership.ID(reply.From), heartbeat: reply.Beat, configVersion: reply.ConfigVersion, members: reply.Members,
 		liveness: reply.Liveness, reports: reply.Reports, pools: reply.Pools, suspects: reply.Suspects}, took, now)
-	differ = reply.ViewDigest != m.view.Digest()
+	viewsDiffer = reply.ViewDigest != m.view.Digest()
 	m.mu.Unlock()
 	m.runHooks(h)
-	return differ
+	return viewsDiffer
 }
 
-// countBytes counts the messages of an exchange, without HTTP headers.
+// countBytes counts the encoded sizes of the messages of an exchange, without HTTP headers.
 func (m *Members) countBytes(messages ...proto.Message) {
 	for _, message := range messages {
 		m.scope.Counter("beat_bytes").Inc(int64(proto.Size(message)))
--- a/node/member/fleet_test.go
+++ b/node/member/fleet_test.go
@@ -22,12 +22,12 @@
 	"heatherlock/steering"
 )
 
-// oneWay is the delay of a message in tests.
-const oneWay = 5 * time.Millisecond
+// oneWayDelay is the simulated network delay of a message.
+const oneWayDelay = 5 * time.Millisecond
 
-var errNoRoute = errors.New("connection timed out")
+var errTimeout = errors.New("connection timed out")
 
-// node is one entry VM in a test.
+// node is one simulated entry VM.
 type node struct {
 	*Members
 	fleet  *fleet
@@ -35,60 +35,61 @@
 	zone   steering.Zone
 	cancel context.CancelFunc
 	pauses []time.Duration
-	// frozen holds the process still while it is open.
-	frozen chan struct{}
-	config int64
+	// resumed is non-nil while the process is paused and is closed when it resumes.
+	resumed chan struct{}
+	config  int64
 }
 
-// fleet is a set of entry VMs over a network that can be cut, with virtual time.
+// fleet is a set of entry VMs in virtual time, connected by a network that can be partitioned.
 type fleet struct {
 	t     *testing.T
 	store *standin.Store
 
-	mu        sync.Mutex
-	byAddress map[string]*node
-	cut       map[[2]steering.Zone]bool // from, to
-	cutVM     map[[2]steering.VM]bool
-	calls     int
-	bytes     int
-	started   int
+	mu               sync.Mutex
+	byAddress        map[string]*node
+	droppedZonePairs map[[2]steering.Zone]bool // from, to
+	droppedVMPairs   map[[2]steering.VM]bool
+	calls            int
+	bytes            int
+	started          int
 }
 
 func newFleet(t *testing.T) *fleet {
 	return &fleet{t: t, store: standin.NewStore(standin.Options{}), byAddress: map[string]*node{},
-		cut: map[[2]steering.Zone]bool{}, cutVM: map[[2]steering.VM]bool{}}
+		droppedZonePairs: map[[2]steering.Zone]bool{}, droppedVMPairs: map[[2]steering.VM]bool{}}
 }
 
-// peers is the network as one node sees it.
-type peers struct{ from *node }
+// peerNetwork is the network as one node sees it.
+type peerNetwork struct{ from *node }
 
+// route is the connection from one node to an address.
 type route struct {
 	peerpb.Peer
 	from    *node
 	address string
 }
 
-func (p peers) To(address string) peerpb.Peer { return route{from: p.from, address: address} }
+func (p peerNetwork) To(address string) peerpb.Peer { return route{from: p.from, address: address} }
 
-// Beat carries one call, or fails like a network would: at once for a closed
-// port, after the timeout for a cut.
+// Beat delivers one call or fails as a network does: immediately for a closed port, after the
+// timeout for a partition.
 func (r route) Beat(ctx context.Context, request *peerpb.BeatRequest) (*peerpb.BeatReply, error) {
 	f := r.from.fleet
-	defer r.from.thaw(context.Background()) // a frozen process sees no timeout pass
-	time.Sleep(oneWay)
+	defer r.from.waitUntilResumed(context.Background()) // a paused process does not run its timeouts
+	time.Sleep(oneWayDelay)
 	to, ok := f.route(r.from, r.address)
 	if to == nil && ok {
 		return nil, errors.New("connection refused")
 	}
-	if !ok || !to.thaw(ctx) {
+	if !ok || !to.waitUntilResumed(ctx) {
 		<-ctx.Done()
-		return nil, errNoRoute
+		return nil, errTimeout
 	}
 	reply, err := to.Beat(ctx, proto.CloneOf(request))
-	time.Sleep(oneWay)
-	if _, ok := f.route(to, r.from.Self().PeerAddress); !ok || !r.from.thaw(ctx) {
+	time.Sleep(oneWayDelay)
+	if _, ok := f.route(to, r.from.Self().PeerAddress); !ok || !r.from.waitUntilResumed(ctx) {
 		<-ctx.Done()
-		return nil, errNoRoute
+		return nil, errTimeout
 	}
 	f.count(request, reply)
 	return reply, err
@@ -103,8 +104,8 @@
 	}
 }
 
-// route returns the node at an address, nil for a closed port, and false when
-// messages from a node do not get there.
+// route returns the node at an address, or nil for a closed port. It returns false if messages
+// from the node do not arrive there.
 func (f *fleet) route(from *node, address string) (*node, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -112,39 +113,39 @@
 	if to == nil {
 		return nil, true
 	}
-	return to, !f.cut[[2]steering.Zone{from.zone, to.zone}] && !f.cutVM[[2]steering.VM{from.vm, to.vm}]
+	return to, !f.droppedZonePairs[[2]steering.Zone{from.zone, to.zone}] && !f.droppedVMPairs[[2]steering.VM{from.vm, to.vm}]
 }
 
-// thaw waits while the process is frozen; false when ctx ends first.
-func (n *node) thaw(ctx context.Context) bool {
+// waitUntilResumed waits while the process is paused. It returns false if ctx ends first.
+func (n *node) waitUntilResumed(ctx context.Context) bool {
 	n.fleet.mu.Lock()
-	frozen := n.frozen
+	resumed := n.resumed
 	n.fleet.mu.Unlock()
-	if frozen == nil {
+	if resumed == nil {
 		return true
 	}
 	select {
-	case <-frozen:
+	case <-resumed:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// freeze stops the process for a time, as a paused VM would.
-func (n *node) freeze(d time.Duration) {
-	frozen := make(chan struct{})
+// pauseFor stops the process for the given time, like a paused VM.
+func (n *node) pauseFor(d time.Duration) {
+	resumed := make(chan struct{})
 	n.fleet.mu.Lock()
-	n.frozen = frozen
+	n.resumed = resumed
 	n.fleet.mu.Unlock()
 	time.Sleep(d)
 	n.fleet.mu.Lock()
-	n.frozen = nil
+	n.resumed = nil
 	n.fleet.mu.Unlock()
-	close(frozen)
+	close(resumed)
 }
 
-// start runs an entry VM; its address is new each time.
+// start runs an entry VM at a new address.
 func (f *fleet) start(vm steering.VM, zone steering.Zone, seeds ...string) *node {
 	f.started++
 	address := fmt.Sprintf("10.0.0.%d:1", f.started)
@@ -154,17 +155,17 @@
 	n.Members = New(Config{
 		Self: seam.Member{VM: vm, Zone: zone, Region: steering.Region(zone[:1]), PeerAddress: address,
 			Incarnation: steering.Incarnation(fmt.Sprint("i", f.started))},
-		Seeds: seeds, Platform: f.store.As(string(vm), string(zone)), Peers: peers{n},
+		Seeds: seeds, Platform: f.store.As(string(vm), string(zone)), Peers: peerNetwork{n},
 		Random: func(limit int) int {
-			if limit == jitterChoices || limit >= 1<<20 { // a loop's pause, drawn without a lock held
-				n.thaw(context.Background())
+			if limit == jitterChoices || limit >= 1<<20 { // a loop's interval, drawn without a lock held
+				n.waitUntilResumed(context.Background())
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			return random.IntN(limit)
 		},
 		Hooks: Hooks{
-			ConfigVersion: func() int64 { n.thaw(context.Background()); return n.config },
+			ConfigVersion: func() int64 { n.waitUntilResumed(context.Background()); return n.config },
 			OnPause:       func(d time.Duration) { n.pauses = append(n.pauses, d) },
 		},
 	})
@@ -178,7 +179,7 @@
 	return n
 }
 
-// kill ends a process without notice.
+// kill stops a process without notice.
 func (n *node) kill() {
 	n.cancel()
 	n.fleet.mu.Lock()
@@ -186,21 +187,21 @@
 	n.fleet.mu.Unlock()
 }
 
-// isolate cuts a zone off from the other zones and the platform, or heals it.
-func (f *fleet) isolate(zone steering.Zone, on bool) {
+// setPartitioned partitions a zone from the other zones and the platform, or heals the partition.
+func (f *fleet) setPartitioned(zone steering.Zone, on bool) {
 	f.store.CutOff(string(zone), on)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, n := range f.byAddress {
 		if n.zone != zone {
-			f.cut[[2]steering.Zone{zone, n.zone}] = on
-			f.cut[[2]steering.Zone{n.zone, zone}] = on
+			f.droppedZonePairs[[2]steering.Zone{zone, n.zone}] = on
+			f.droppedZonePairs[[2]steering.Zone{n.zone, zone}] = on
 		}
 	}
 }
 
-// see returns how a node sees a VM now.
-func (n *node) see(vm steering.VM) seam.Member {
+// viewOf returns a VM as the node's view shows it now.
+func (n *node) viewOf(vm steering.VM) seam.Member {
 	for _, m := range n.All() {
 		if m.VM == vm {
 			return m
@@ -209,10 +210,11 @@
 	return seam.Member{State: seam.MemberGone}
 }
 
-// within waits until a condition holds for all nodes and fails after a limit.
-func (f *fleet) within(limit time.Duration, what string, nodes []*node, holds func(*node) bool) time.Duration {
+// waitFor waits until a condition holds at all nodes and returns the time that took. It fails the
+// test after the limit.
+func (f *fleet) waitFor(limit time.Duration, what string, nodes []*node, holds func(*node) bool) time.Duration {
 	f.t.Helper()
-	begun := time.Now()
+	startedAt := time.Now()
 	for {
 		missing := ""
 		for _, n := range nodes {
@@ -221,23 +223,23 @@
 			}
 		}
 		if missing == "" {
-			return time.Since(begun)
+			return time.Since(startedAt)
 		}
-		assert.Assert(f.t, time.Since(begun) < limit, "not within %s at %s: %s", limit, missing, what)
+		assert.Assert(f.t, time.Since(startedAt) < limit, "condition does not hold within %s at %s: %s", limit, missing, what)
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// sees is the condition that a node sees a VM's incarnation in a state.
-func sees(target *node, state seam.MemberState) func(*node) bool {
+// seesState returns the condition that a node sees the incarnation of target in the given state.
+func seesState(target *node, state seam.MemberState) func(*node) bool {
 	return func(n *node) bool {
-		m := n.see(target.vm)
+		m := n.viewOf(target.vm)
 		return m.State == state && m.Incarnation == target.Self().Incarnation
 	}
 }
 
-// run starts perZone entry VMs in each zone, waits until all know all, runs a
-// test and ends every process.
+// run starts perZone entry VMs in each zone, waits until all of them see each other as live, runs
+// the test and stops every process.
 func run(t *testing.T, perZone int, zones []steering.Zone, test func(*fleet, []*node)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -248,9 +250,9 @@
 				nodes = append(nodes, f.start(steering.VM(fmt.Sprintf("%s-%d", zone, i)), zone))
 			}
 		}
-		f.within(15*time.Second, "everybody is live to everybody", nodes, func(n *node) bool {
+		f.waitFor(15*time.Second, "all members see each other as live", nodes, func(n *node) bool {
 			for _, target := range nodes {
-				if !sees(target, seam.MemberLive)(n) {
+				if !seesState(target, seam.MemberLive)(n) {
 					return false
 				}
 			}
@@ -260,7 +262,7 @@
 	})
 }
 
-// stop ends every process.
+// stop stops every process.
 func (f *fleet) stop() {
 	f.mu.Lock()
 	running := slices.Collect(maps.Values(f.byAddress))
@@ -271,7 +273,7 @@
 	time.Sleep(time.Minute)
 }
 
-// without leaves one node out.
+// without returns the nodes except one.
 func without(nodes []*node, out *node) []*node {
 	var rest []*node
 	for _, n := range nodes {
--- a/node/member/gossip.go
+++ b/node/member/gossip.go
@@ -10,51 +10,51 @@
 	"heatherlock/steering/membership"
 )
 
-// Run exchanges beats and reads the platform's list until ctx ends.
+// Run exchanges heartbeats and reads the platform's list until ctx ends.
 func (m *Members) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { m.readLists(ctx) })
-	wg.Go(func() { m.every(ctx, m.hurried(m.config.CrossEvery), m.talkFar) })
-	wg.Go(func() { m.every(ctx, steadily(m.config.ProbeEvery), m.probe) })
-	wg.Go(func() { m.every(ctx, steadily(forgetEvery), m.forget) })
-	m.every(ctx, m.hurried(m.config.BeatEvery), m.tick)
+	wg.Go(func() { m.readListLoop(ctx) })
+	wg.Go(func() { m.runPeriodically(ctx, m.adaptiveInterval(m.config.CrossZoneInterval), m.exchangeCrossZone) })
+	wg.Go(func() { m.runPeriodically(ctx, fixedInterval(m.config.ProbeInterval), m.probeRegion) })
+	wg.Go(func() { m.runPeriodically(ctx, fixedInterval(expiryInterval), m.removeExpired) })
+	m.runPeriodically(ctx, m.adaptiveInterval(m.config.HeartbeatInterval), m.tick)
 	return ctx.Err()
 }
 
 const (
-	// jitterPercent is how much a loop's pause varies either way.
+	// jitterPercent is how much a loop's interval varies in either direction.
 	jitterPercent = 10
 	jitterChoices = 2*jitterPercent + 1
 )
 
 const (
-	// hurryFor is how long after a change of configuration members exchange
-	// more often, hurryFactor how much: operators wait to see it in force.
-	hurryFor    = 3 * time.Second
-	hurryFactor = 3
+	// After a change of configuration, members exchange fastExchangeFactor times as often for
+	// fastExchangeDuration, because operators wait for the change to be in force.
+	fastExchangeDuration = 3 * time.Second
+	fastExchangeFactor   = 3
 )
 
-// hurried gives a loop's pause, shorter after a change of configuration.
-func (m *Members) hurried(d time.Duration) func() time.Duration {
+// adaptiveInterval returns a loop's interval, which is shorter after a change of configuration.
+func (m *Members) adaptiveInterval(d time.Duration) func() time.Duration {
 	return func() time.Duration {
-		version := m.config.Hooks.ConfigVersion()
+		configVersionInForce := m.config.Hooks.ConfigVersion()
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		if version != m.version || time.Since(m.versionAt) < hurryFor {
-			return d / hurryFactor
+		if configVersionInForce != m.configVersionInForce || time.Since(m.configVersionSince) < fastExchangeDuration {
+			return d / fastExchangeFactor
 		}
 		return d
 	}
 }
 
-func steadily(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
+func fixedInterval(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
 
-// every calls f at a rate, each time a little jittered so that members do not
-// fall into step.
-func (m *Members) every(ctx context.Context, pause func() time.Duration, f func(context.Context)) {
+// runPeriodically calls f until ctx ends. It adds jitter to each interval so that members do not
+// synchronize.
+func (m *Members) runPeriodically(ctx context.Context, interval func() time.Duration, f func(context.Context)) {
 	for {
-		d := pause()
+		d := interval()
 		jitter := d * time.Duration(m.config.Random(jitterChoices)-jitterPercent) / 100
 		select {
 		case <-ctx.Done():
@@ -65,10 +65,10 @@
 	}
 }
 
-// tick advances this member's beat and exchanges with one of its zone.
+// tick advances the heartbeat number and exchanges with a member of the own zone.
 func (m *Members) tick(ctx context.Context) {
 	if p, ok := m.nextTick(time.Now()); ok {
-		m.start(ctx, p)
+		m.startExchange(ctx, p)
 	}
 }
 
@@ -77,76 +77,75 @@
 	defer m.mu.Unlock()
 	m.noticePause(now)
 	m.lastTick = now
-	m.beat++
-	if m.changed || now.Sub(m.publishedAt) >= publishEvery {
+	m.heartbeat++
+	if m.changed || now.Sub(m.publishedAt) >= maxPublishInterval {
 		m.publish(now)
 	}
-	return m.nearPartner(now)
+	return m.inZonePartner(now)
 }
 
-// talkFar exchanges with a member of another zone if this member reports for
-// its zone, or is alone in it.
-func (m *Members) talkFar(ctx context.Context) {
+// exchangeCrossZone exchanges with a member of another zone if this member is a reporter of its
+// zone. A member that is alone in its zone always is.
+func (m *Members) exchangeCrossZone(ctx context.Context) {
 	m.mu.Lock()
 	now := time.Now()
 	p, ok := partner{}, false
-	if m.reports(now) {
-		p, ok = m.farPartner(reportDuty, func(x membership.Member) string { return string(x.Place.Zone) }, now)
+	if m.isReporter(now) {
+		p, ok = m.crossZonePartner(reporterRole, func(x membership.Member) string { return string(x.Place.Zone) }, now)
 	}
 	m.mu.Unlock()
 	if ok {
-		m.start(ctx, p)
+		m.startExchange(ctx, p)
 	}
 }
 
-// probe measures the distance to another region.
-func (m *Members) probe(ctx context.Context) {
+// probeRegion measures the round trip to another region.
+func (m *Members) probeRegion(ctx context.Context) {
 	m.mu.Lock()
-	p, ok := m.farPartner("probe\x00"+string(m.self.VM), m.otherRegion, time.Now())
+	p, ok := m.crossZonePartner("probe\x00"+string(m.self.VM), m.otherRegion, time.Now())
 	m.mu.Unlock()
 	if ok {
-		m.start(ctx, p)
+		m.startExchange(ctx, p)
 	}
 }
 
-func (m *Members) forget(context.Context) {
+func (m *Members) removeExpired(context.Context) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.view.Forget(time.Now())
 }
 
-// start exchanges with a partner in the background, unless too many exchanges
-// are waiting already.
-func (m *Members) start(ctx context.Context, p partner) {
+// startExchange exchanges with a partner in the background. It skips the exchange if maxExchanges
+// are in flight.
+func (m *Members) startExchange(ctx context.Context, p partner) {
 	select {
-	case m.inFlight <- struct{}{}:
+	case m.exchangeSlots <- struct{}{}:
 	default:
 		m.scope.Counter("beats_skipped").Inc(1)
 		return
 	}
 	go func() {
-		defer func() { <-m.inFlight }()
+		defer func() { <-m.exchangeSlots }()
 		m.exchange(ctx, p)
 	}()
 }
 
-// exchange sends a beat, takes in the reply, and synchronizes facts when the
-// views differ.
+// exchange sends a heartbeat, merges the reply, and synchronizes facts if the views differ.
 func (m *Members) exchange(ctx context.Context, p partner) {
-	differ, ok := m.call(ctx, p, m.request(p.far))
-	if ok && differ && m.maySync(time.Now()) {
+	viewsDiffer, ok := m.callPartner(ctx, p, m.request(p.crossZone))
+	if ok && viewsDiffer && m.syncAllowed(time.Now()) {
 		m.sync(ctx, p)
 	}
 }
 
-// call makes one call and records how it ended. It returns whether the views
-// differ and whether the call succeeded.
-func (m *Members) call(ctx context.Context, p partner, request *peerpb.BeatRequest) (differ, ok bool) {
+// callPartner makes one call and records its outcome. It reports whether the views differ and
+// whether the call succeeded.
+func (m *Members) callPartner(ctx context.Context, p partner, request *peerpb.BeatRequest) (viewsDiffer, ok bool) {
 	reply, took, ok := m.send(ctx, p, request)
 	if !ok {
 		return false, false
 	}
-	return m.take(reply, took), true
+	return m.applyReply(reply, took), true
 }
 
 func (m *Members) send(ctx context.Context, p partner, request *peerpb.BeatRequest) (*peerpb.BeatReply, time.Duration, bool) {
@@ -158,9 +157,9 @@
 	if ctx.Err() != nil {
 		return nil, 0, false
 	}
-	// Another incarnation at the address means that the one called is not there.
-	ok := err == nil && (p.id == anyOne || membership.ID(reply.From) == p.id)
-	m.record(p, ok, took)
+	// If another incarnation answers at the address, the expected one no longer runs there.
+	ok := err == nil && (p.id == anyIncarnation || membership.ID(reply.From) == p.id)
+	m.recordCall(p, ok, took)
 	if err != nil {
 		return nil, 0, false
 	}
@@ -168,8 +167,8 @@
 	return reply, took, true
 }
 
-// record keeps first-hand evidence of a call and the distance it showed.
-func (m *Members) record(p partner, ok bool, took time.Duration) {
+// recordCall records the outcome of a call as evidence, and the round trip it took.
+func (m *Members) recordCall(p partner, ok bool, took time.Duration) {
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -186,36 +185,36 @@
 	if known := m.published.Load().byVM[p.vm]; !ok || known == nil || known.State != seam.MemberLive {
 		m.publish(now)
 	}
-	if ok && p.far && p.region != m.self.Place.Region {
-		m.distance[p.region] = smooth(m.distance[p.region], took)
+	if ok && p.crossZone && p.region != m.self.Place.Region {
+		m.roundTrips[p.region] = smoothRoundTrip(m.roundTrips[p.region], took)
 	}
 }
 
-// smooth follows the lower figures quickly and the higher ones slowly: a new
-// connection or a busy peer makes a round trip longer, nothing makes it shorter.
-func smooth(old, sample time.Duration) time.Duration {
-	const slow = 8
+// smoothRoundTrip follows lower samples at once and higher ones slowly: a new connection or a
+// busy peer makes a round trip longer, but nothing makes it shorter.
+func smoothRoundTrip(old, sample time.Duration) time.Duration {
+	const increaseDivisor = 8
 	if old == 0 || sample < old {
 		return sample
 	}
-	return old + (sample-old)/slow
+	return old + (sample-old)/increaseDivisor
 }
 
-// maySync bounds how often this member asks for whole facts.
-func (m *Members) maySync(now time.Time) bool {
+// syncAllowed limits how often this member synchronizes complete facts.
+func (m *Members) syncAllowed(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if now.Sub(m.lastSync) < syncEvery {
+	if now.Sub(m.lastSync) < syncInterval {
 		return false
 	}
 	m.lastSync = now
 	return true
 }
 
-// sync fetches the facts of the buckets that differ, then sends this member's
-// own facts of those that still do.
+// sync fetches the facts of the buckets that differ, then sends this member's facts of the
+// buckets that still differ.
 func (m *Members) sync(ctx context.Context, p partner) {
-	request := m.request(p.far)
+	request := m.request(p.crossZone)
 	m.mu.Lock()
 	request.Buckets = bucketsToWire(m.view.Buckets())
 	m.mu.Unlock()
@@ -224,40 +223,40 @@
 		return
 	}
 	m.scope.Counter("syncs").Inc(1)
-	m.take(reply, took)
-	theirs, ok := bucketsFromWire(reply.Buckets)
+	m.applyReply(reply, took)
+	peerBuckets, ok := bucketsFromWire(reply.Buckets)
 	if !ok {
 		return
 	}
 	m.mu.Lock()
-	missing := m.view.Differing(theirs, maxSyncedFacts)
+	missing := m.view.Differing(peerBuckets, maxSyncedFacts)
 	m.mu.Unlock()
 	if len(missing) == 0 {
 		return
 	}
-	request = m.request(p.far)
+	request = m.request(p.crossZone)
 	request.Members = append(request.Members, factsToWire(missing)...)
-	m.call(ctx, p, request)
+	m.callPartner(ctx, p, request)
 }
 
-// Leave announces that this entry VM is leaving; it tells a few members at once.
+// Leave marks this entry VM as leaving and sends that to a few members at once.
 func (m *Members) Leave() {
 	now := time.Now()
 	m.mu.Lock()
 	m.leaving = true
-	m.refreshSelf(own{configVersion: m.config.Hooks.ConfigVersion(), inFlight: m.config.Hooks.InFlight()}, now)
+	m.refreshSelf(localState{configVersion: m.config.Hooks.ConfigVersion(), inFlight: m.config.Hooks.InFlight()}, now)
 	m.publish(now)
 	var partners []partner
 	for range leaveFanout {
-		if p, ok := m.nearPartner(now); ok {
+		if p, ok := m.inZonePartner(now); ok {
 			partners = append(partners, p)
 		}
 	}
 	m.mu.Unlock()
 	for _, p := range partners {
-		m.start(context.Background(), p)
+		m.startExchange(context.Background(), p)
 	}
 }
 
-// leaveFanout is how many members are told at once that this one leaves.
+// leaveFanout is the number of exchanges that Leave starts at once.
 const leaveFanout = 3
--- a/node/member/members.go
+++ b/node/member/members.go
@@ -14,44 +14,44 @@
 	"heatherlock/steering/membership"
 )
 
-// Members is this entry VM's view of the others. It implements seam.Members.
+// Members is this entry VM's view of the other entry VMs. It implements seam.Members.
 type Members struct {
-	config   Config
-	self     membership.Fact
-	scope    tally.Scope
-	logger   log.Logger
-	inFlight chan struct{} // bounds exchanges
+	config        Config
+	self          membership.Fact
+	scope         tally.Scope
+	logger        log.Logger
+	exchangeSlots chan struct{} // limits concurrent exchanges
 
-	// published is the view that readers use; it is replaced whole.
+	// published is the view that readers use. It is replaced as a whole.
 	published atomic.Pointer[published]
-	listed    atomic.Bool // the platform's list was read
+	listRead  atomic.Bool // set once the platform's list was read
 
-	mu       sync.Mutex
-	view     *membership.View
-	beat     uint32
-	leaving  bool
-	lastTick time.Time
+	mu        sync.Mutex
+	view      *membership.View
+	heartbeat uint32
+	leaving   bool
+	lastTick  time.Time
 	// settled is false from a pause until a peer or the platform has answered.
-	settled  bool
-	pausedAt time.Time // when the last pause was noticed
-	lastSync time.Time
-	lastLoad time.Time
-	selfLoad membership.Load
-	// version is the configuration in force here, since versionAt.
-	version   int64
-	versionAt time.Time
-	turn      int // rotates through the reports to relay
-	pools     *poolTable
-	distance  map[steering.Region]time.Duration
-	// changed says that facts changed since publishedAt.
-	changed     bool
-	publishedAt time.Time
-	order       []steering.VM // members of the zone still to be called this round
+	settled       bool
+	pausedAt      time.Time // when the last pause was detected
+	lastSync      time.Time
+	loadUpdatedAt time.Time
+	selfLoad      membership.Load
+	// configVersionInForce is the configuration version in force here, since configVersionSince.
+	configVersionInForce int64
+	configVersionSince   time.Time
+	relayRound           int // selects the reports to relay in turn
+	pools                *poolTable
+	roundTrips           map[steering.Region]time.Duration
+	// changed is set if facts changed since publishedAt.
+	changed        bool
+	publishedAt    time.Time
+	roundRemaining []steering.VM // members of the zone still to be called in this round
 }
 
 var _ seam.Members = (*Members)(nil)
 
-// New returns a view that knows this entry VM only. Nothing is called before Run.
+// New returns a view that contains only this entry VM. No calls are made before Run.
 func New(c Config) *Members {
 	c = c.withDefaults()
 	now := time.Now()
@@ -63,15 +63,15 @@
 	}
 	m := &Members{
 		config: c, self: self, scope: c.Scope.SubScope("member"), logger: log.With(c.Logger, "part", "member"),
-		inFlight: make(chan struct{}, maxExchanges),
-		view:     membership.NewView(self, c.Params, now), settled: true, lastTick: now,
-		pools: newPoolTable(), distance: map[steering.Region]time.Duration{},
+		exchangeSlots: make(chan struct{}, maxExchanges),
+		view:          membership.NewView(self, c.Params, now), settled: true, lastTick: now,
+		pools: newPoolTable(), roundTrips: map[steering.Region]time.Duration{},
 	}
 	m.publish(now)
 	return m
 }
 
-// published is one state of the view as readers see it; it never changes.
+// published is an immutable copy of the view for readers.
 type published struct {
 	self          seam.Member
 	all           []seam.Member
@@ -79,18 +79,18 @@
 	byVM          map[steering.VM]*publishedMember
 	byIncarnation map[steering.Incarnation]seam.Member
 	zones         []membership.ZoneStatus
-	zoneKnown     bool // see ZoneKnown
+	zoneKnown     bool // see Members.ZoneKnown
 }
 
 type publishedMember struct {
 	seam.Member
-	// noted is when Evidence last recorded success, so that the data path
-	// takes the lock once a second per member at most.
-	noted atomic.Int64
+	// successRecordedAt is when Evidence last recorded a success in Unix nanoseconds. It lets the
+	// data path take the lock at most once a second per member.
+	successRecordedAt atomic.Int64
 }
 
-// evidenceEvery is how often success with a live member is recorded.
-const evidenceEvery = time.Second
+// evidenceInterval limits how often successful calls to a live member are recorded.
+const evidenceInterval = time.Second
 
 // Self implements seam.Members.
 func (m *Members) Self() seam.Member { return m.published.Load().self }
@@ -98,9 +98,9 @@
 // All implements seam.Members.
 func (m *Members) All() []seam.Member { return m.published.Load().all }
 
-// InZone implements seam.Members: the live members, or the suspect ones where
-// none is live. When all of a zone look dead the signal is more likely wrong
-// than the zone, and trying costs a refused round trip.
+// InZone implements seam.Members. It returns the live members, or the suspect ones if none is
+// live: if all members of a zone appear to have failed, the signal is more likely wrong than the
+// zone, and an attempt costs only a refused round trip.
 func (m *Members) InZone(zone steering.Zone) []seam.Member { return m.published.Load().usable[zone] }
 
 // ByIncarnation implements seam.Members.
@@ -109,7 +109,7 @@
 	return member, ok
 }
 
-// Zones returns what is known of each zone, in order of name.
+// Zones returns the status of each zone, ordered by name.
 func (m *Members) Zones() []membership.ZoneStatus { return m.published.Load().zones }
 
 // Evidence implements seam.Members.
@@ -119,10 +119,10 @@
 	if !ok {
 		return
 	}
-	if reachable && known.State == seam.MemberLive && now.UnixNano()-known.noted.Load() < int64(evidenceEvery) {
+	if reachable && known.State == seam.MemberLive && now.UnixNano()-known.successRecordedAt.Load() < int64(evidenceInterval) {
 		return
 	}
-	known.noted.Store(now.UnixNano())
+	known.successRecordedAt.Store(now.UnixNano())
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.noticePause(now)
@@ -133,9 +133,9 @@
 	m.publish(now)
 }
 
-// Settled tells whether what this process knows is from after its last pause:
-// a peer or the platform has answered since. Whoever holds something that
-// others may have taken over must wait for it, and then look at Self.
+// Settled reports whether the state of this process is newer than its last pause: a peer or the
+// platform has answered since, and this incarnation was not replaced. A holder of anything that
+// others may have taken over must wait until Settled returns true and then check Self.
 func (m *Members) Settled() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -143,23 +143,23 @@
 	return m.settled && !m.view.Replaced()
 }
 
-// Distance returns the round trip measured to a region, or 0 when none was.
-func (m *Members) Distance(region steering.Region) time.Duration {
+// RoundTrip returns the round trip measured to a region, or 0 if there is none.
+func (m *Members) RoundTrip(region steering.Region) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.distance[region]
+	return m.roundTrips[region]
 }
 
-// noticePause compares the time with the last tick; m.mu is held.
+// noticePause detects a pause of this process by a late tick. The caller holds m.mu.
 //
-// What can go wrong: a paused process wakes up, still believes what it
-// believed, and acts on it, although others have moved on. One would notice
-// two owners of one thing. Every entry into the view looks for a missing tick
-// first; the clocks are compared with and without the monotonic reading,
-// because a suspended VM may stop the latter.
+// After a pause the process would act on outdated state although other members have taken over
+// its work, and two owners would use the same resource. Every method that
+// records received information in the view, and Settled, therefore checks for a late tick first.
+// The gap is computed with and without the monotonic clock, because a suspended VM may stop that
+// clock.
 func (m *Members) noticePause(now time.Time) {
 	gap := max(now.Sub(m.lastTick), now.Round(0).Sub(m.lastTick.Round(0)))
-	if gap <= m.config.BeatEvery+pauseAfter {
+	if gap <= m.config.HeartbeatInterval+pauseThreshold {
 		return
 	}
 	m.lastTick = now
@@ -171,15 +171,15 @@
 	go m.config.Hooks.OnPause(gap)
 }
 
-// settle records that an answer arrived to a call begun at a time. An answer to
-// a call from before a pause may itself be from before it, and settles nothing.
-func (m *Members) settle(begun time.Time) {
-	if !begun.Before(m.pausedAt) {
+// markSettled records that a call started at startedAt was answered. The answer to a call from
+// before the last pause may itself predate the pause, so it does not settle the view.
+func (m *Members) markSettled(startedAt time.Time) {
+	if !startedAt.Before(m.pausedAt) {
 		m.settled = true
 	}
 }
 
-// publish replaces what readers see; m.mu is held.
+// publish replaces the view that readers use. The caller holds m.mu.
 func (m *Members) publish(now time.Time) {
 	m.changed, m.publishedAt = false, now
 	p := &published{
@@ -189,9 +189,9 @@
 		zones:         m.view.Zones(now),
 	}
 	suspects := map[steering.Zone][]seam.Member{}
-	p.zoneKnown = m.listed.Load()
+	p.zoneKnown = m.listRead.Load()
 	for _, fact := range m.view.Members(now) {
-		p.zoneKnown = p.zoneKnown && !m.untried(fact)
+		p.zoneKnown = p.zoneKnown && !m.onlyListed(fact)
 		member := toSeam(fact)
 		p.add(member)
 		if member.State == seam.MemberSuspect {
@@ -219,8 +219,8 @@
 	}
 }
 
-// logChanges writes a line per member of the zone whose state changed, and one
-// per zone that fell silent or came back.
+// logChanges logs each member of the own zone whose state changed and each zone that became
+// silent or reported again.
 func (m *Members) logChanges(old, now *published) {
 	if old == nil {
 		return
--- a/node/member/partners.go
+++ b/node/member/partners.go
@@ -9,36 +9,36 @@
 	"heatherlock/steering/membership"
 )
 
-// partner is a member to exchange with; vm is empty for a seed.
+// partner is a member to exchange with. vm is empty for a seed.
 type partner struct {
 	vm steering.VM
-	// id is the incarnation expected at the address; anyOne for a seed or a
-	// member that is known from the platform's list only.
-	id      membership.ID
-	region  steering.Region
-	address string
-	far     bool
+	// id is the incarnation expected at the address, or anyIncarnation for a seed or a member
+	// that is known only from the platform's list.
+	id        membership.ID
+	region    steering.Region
+	address   string
+	crossZone bool
 }
 
-// anyOne accepts whatever incarnation answers.
-const anyOne = membership.ID(0)
+// anyIncarnation accepts a reply from any incarnation.
+const anyIncarnation = membership.ID(0)
 
 func (p partner) timeout() time.Duration {
-	if p.far {
-		return farTimeout
+	if p.crossZone {
+		return crossZoneTimeout
 	}
-	return nearTimeout
+	return inZoneTimeout
 }
 
-// nearPartner chooses whom to exchange with; m.mu is held. Every third time it
-// is a member that is due to be called again, if there is one; else each
-// member of the zone in its turn, in random order; and a seed while nobody is
-// known.
-func (m *Members) nearPartner(now time.Time) (partner, bool) {
-	const retryEach = 3
+// inZonePartner chooses the next member to exchange with. The caller holds m.mu. A member that is
+// due for a retry comes first: immediately after its first failure, later on every third
+// heartbeat. Otherwise it is the next member of the zone, each called once per round in random
+// order, or a seed if no member can be called.
+func (m *Members) inZonePartner(now time.Time) (partner, bool) {
+	const retryPeriod = 3
 	if due := m.view.Retry(now); len(due) > 0 {
 		chosen := due[m.config.Random(len(due))]
-		if chosen.Failures == 1 || m.beat%retryEach == 0 {
+		if chosen.Failures == 1 || m.heartbeat%retryPeriod == 0 {
 			return m.partnerOf(chosen)
 		}
 	}
@@ -52,20 +52,21 @@
 	if p, ok := m.nextInRound(usable); ok {
 		return p, true
 	}
-	return m.seed()
+	return m.seedPartner()
 }
 
-// nextInRound takes the next member of the round, or begins a new round.
+// nextInRound returns the next usable member of the round and starts a new round when the current
+// one is over.
 func (m *Members) nextInRound(usable map[steering.VM]partner) (partner, bool) {
 	if len(usable) == 0 {
 		return partner{}, false
 	}
 	for {
-		if len(m.order) == 0 {
-			m.order = m.shuffled(usable)
+		if len(m.roundRemaining) == 0 {
+			m.roundRemaining = m.shuffled(usable)
 		}
-		vm := m.order[0]
-		m.order = m.order[1:]
+		vm := m.roundRemaining[0]
+		m.roundRemaining = m.roundRemaining[1:]
 		if p, ok := usable[vm]; ok {
 			return p, true
 		}
@@ -85,58 +86,59 @@
 	return vms
 }
 
-// seed chooses a seed other than this member itself.
-func (m *Members) seed() (partner, bool) {
+// seedPartner returns a random seed other than this member's own address.
+func (m *Members) seedPartner() (partner, bool) {
 	seeds := slices.DeleteFunc(slices.Clone(m.config.Seeds), func(s string) bool { return s == m.self.Place.PeerAddress })
 	if len(seeds) == 0 {
 		return partner{}, false
 	}
-	return partner{address: seeds[m.config.Random(len(seeds))], far: true}, true
+	return partner{address: seeds[m.config.Random(len(seeds))], crossZone: true}, true
 }
 
-// partnerOf returns false for a member that cannot or need not be called.
+// partnerOf returns false for a member that cannot be called (no peer address) or need not be
+// (gone, or this member itself).
 func (m *Members) partnerOf(member membership.Member) (partner, bool) {
 	if member.VM == m.self.VM || member.State == membership.StateGone || member.Place.PeerAddress == "" {
 		return partner{}, false
 	}
-	p := partner{vm: member.VM, id: anyOne, region: member.Place.Region, address: member.Place.PeerAddress,
-		far: member.Place.Zone != m.self.Place.Zone}
+	p := partner{vm: member.VM, id: anyIncarnation, region: member.Place.Region, address: member.Place.PeerAddress,
+		crossZone: member.Place.Zone != m.self.Place.Zone}
 	if member.Known() {
 		p.id = member.ID()
 	}
 	return p, true
 }
 
-// reports tells whether this member is one of those that talk to other zones.
-func (m *Members) reports(now time.Time) bool {
-	return slices.Contains(m.duty(reportDuty, reporters, now), m.self.VM)
+// isReporter reports whether this member exchanges with other zones.
+func (m *Members) isReporter(now time.Time) bool {
+	return slices.Contains(m.roleHolders(reporterRole, reportersPerZone, now), m.self.VM)
 }
 
-// reportDuty is the duty to talk to other zones; both sides rank alike, so that
-// those who talk are mostly those who are called.
-const reportDuty = "report"
+// reporterRole is the role of exchanging with other zones. Callers and callees are ranked the
+// same way, so the members that make these calls are mostly those that receive them.
+const reporterRole = "report"
 
-// duty ranks the zone's live members for a duty and returns the first n.
-func (m *Members) duty(name string, n int, now time.Time) []steering.VM {
+// roleHolders ranks the zone's live members for a role and returns the first n.
+func (m *Members) roleHolders(role string, n int, now time.Time) []steering.VM {
 	var live []steering.VM
 	for _, member := range m.view.ZoneMembers(now) {
 		if member.State == membership.StateLive && member.Known() {
 			live = append(live, member.VM)
 		}
 	}
-	ranked := membership.Rank(name+"\x00"+string(m.self.Place.Zone), live)
+	ranked := membership.Rank(role+"\x00"+string(m.self.Place.Zone), live)
 	return ranked[:min(n, len(ranked))]
 }
 
-// farPartner chooses one of a few groups of members and then one of the
-// group's first few, as a rank orders them; m.mu is held. Choosing among few
-// keeps connections in use: one to each member of the fleet would be closed as
-// idle before its next use, and a new one costs a handshake. Members that could
-// not be reached lately are passed over where there are others.
-func (m *Members) farPartner(duty string, groupOf func(membership.Member) string, now time.Time) (partner, bool) {
+// crossZonePartner chooses a random group of members and then one of the first few members of
+// that group in rank order. The caller holds m.mu. Choosing among few members keeps connections
+// in use: a connection to each member of the fleet would be closed as idle before its next use,
+// and a new one costs a handshake. Members whose last call failed are skipped if there are
+// others.
+func (m *Members) crossZonePartner(role string, groupOf func(membership.Member) string, now time.Time) (partner, bool) {
 	groups := map[string][]membership.Member{}
 	for _, member := range m.view.Members(now) {
-		if p, ok := m.partnerOf(member); ok && p.far {
+		if p, ok := m.partnerOf(member); ok && p.crossZone {
 			groups[groupOf(member)] = append(groups[groupOf(member)], member)
 		}
 	}
@@ -146,13 +148,13 @@
 	}
 	names := slices.Sorted(maps.Keys(groups))
 	name := names[m.config.Random(len(names))]
-	first := firstOf(duty+"\x00"+name, groups[name], reporters)
+	first := topRanked(role+"\x00"+name, groups[name], reportersPerZone)
 	return m.partnerOf(first[m.config.Random(len(first))])
 }
 
-// firstOf ranks members for a duty and returns the first n that are not known
-// to be out of reach, or the first n of all.
-func firstOf(duty string, members []membership.Member, n int) []membership.Member {
+// topRanked ranks members for a role and returns the first n of those that are live and whose
+// last call did not fail. If there are none, it returns the first n of all members.
+func topRanked(role string, members []membership.Member, n int) []membership.Member {
 	byVM := map[steering.VM]membership.Member{}
 	var reachable, all []steering.VM
 	for _, member := range members {
@@ -165,7 +167,7 @@
 	if len(reachable) == 0 {
 		reachable = all
 	}
-	ranked := membership.Rank(duty, reachable)
+	ranked := membership.Rank(role, reachable)
 	var first []membership.Member
 	for _, vm := range ranked[:min(n, len(ranked))] {
 		first = append(first, byVM[vm])
@@ -173,7 +175,7 @@
 	return first
 }
 
-// otherRegion groups members by region, this member's own left out.
+// otherRegion returns the region of a member as its group, or an empty name for the own region.
 func (m *Members) otherRegion(member membership.Member) string {
 	if member.Place.Region == m.self.Place.Region {
 		return ""
--- a/node/member/pools.go
+++ b/node/member/pools.go
@@ -12,14 +12,15 @@
 	"heatherlock/steering/spill"
 )
 
-// poolTable relays the newest known figures of pools; Members.mu guards it.
+// poolTable keeps the newest known fact of each pool, to relay it to other members. Members.mu
+// guards it.
 type poolTable struct {
 	facts map[spill.Pool]poolEntry
 }
 
 type poolEntry struct {
-	fact *peerpb.PoolFact
-	at   time.Time
+	fact       *peerpb.PoolFact
+	measuredAt time.Time
 }
 
 func newPoolTable() *poolTable { return &poolTable{facts: map[spill.Pool]poolEntry{}} }
@@ -28,27 +29,27 @@
 	return spill.Pool{Place: steering.Place(f.Place), Service: steering.Service(f.Service)}
 }
 
-// learn keeps the facts that are newer than those known and returns them.
-func (t *poolTable) learn(facts []*peerpb.PoolFact, extraAge time.Duration, now time.Time) []*peerpb.PoolFact {
-	var news []*peerpb.PoolFact
+// mergeNewer stores the facts that are newer than the known ones and returns them.
+func (t *poolTable) mergeNewer(facts []*peerpb.PoolFact, extraAge time.Duration, now time.Time) []*peerpb.PoolFact {
+	var newer []*peerpb.PoolFact
 	for _, f := range facts {
-		at := now.Add(-time.Duration(f.AgeMs)*time.Millisecond - extraAge)
+		measuredAt := now.Add(-time.Duration(f.AgeMs)*time.Millisecond - extraAge)
 		old, known := t.facts[poolOf(f)]
-		if now.Sub(at) > poolKeptFor || (known && !at.After(old.at)) {
+		if now.Sub(measuredAt) > poolFactTTL || (known && !measuredAt.After(old.measuredAt)) {
 			continue
 		}
-		t.facts[poolOf(f)] = poolEntry{fact: f, at: at}
-		news = append(news, f)
+		t.facts[poolOf(f)] = poolEntry{fact: f, measuredAt: measuredAt}
+		newer = append(newer, f)
 	}
-	return news
+	return newer
 }
 
-// pick returns up to limit facts: those with draining targets first, because
-// operators wait for them, then a sample that starts at a random point.
-func (t *poolTable) pick(limit int, random func(int) int, now time.Time) []*peerpb.PoolFact {
+// sample returns up to limit facts: those with draining targets first, because operators wait for
+// them, then others from a random starting point.
+func (t *poolTable) sample(limit int, random func(int) int, now time.Time) []*peerpb.PoolFact {
 	entries := make([]poolEntry, 0, len(t.facts))
 	for pool, e := range t.facts {
-		if now.Sub(e.at) > poolKeptFor {
+		if now.Sub(e.measuredAt) > poolFactTTL {
 			delete(t.facts, pool)
 			continue
 		}
@@ -68,7 +69,7 @@
 	picked := make([]*peerpb.PoolFact, 0, limit)
 	for _, e := range entries[:min(limit, len(entries))] {
 		f := proto.CloneOf(e.fact)
-		f.AgeMs = ageMs(now.Sub(e.at))
+		f.AgeMs = ageMs(now.Sub(e.measuredAt))
 		picked = append(picked, f)
 	}
 	return picked
--- a/node/member/remote.go
+++ b/node/member/remote.go
@@ -13,27 +13,27 @@
 	"heatherlock/steering/spill"
 )
 
-// RemoteConfig holds what Remote needs.
+// RemoteConfig configures a Remote.
 type RemoteConfig struct {
 	Members *Members
 	Configs seam.Configs
 	Params  spill.Params
-	Scope   tally.Scope // nil means none
+	Scope   tally.Scope // nil disables metrics
 }
 
-// Remote keeps hints about places outside the own zone. It implements
-// seam.Remote; the decision is in steering/spill.
+// Remote keeps hints about the free slots of places outside the own zone. It implements
+// seam.Remote. Package steering/spill orders the places.
 type Remote struct {
 	members *Members
 	configs seam.Configs
 	scope   tally.Scope
 
-	mu     sync.Mutex
-	table  *spill.Table
-	forgot time.Time
-	// sites holds the places per service of the snapshot of that version.
-	version int64
-	sites   map[steering.Service][]*routing.Place
+	mu         sync.Mutex
+	table      *spill.Table
+	lastExpiry time.Time
+	// placesByService holds the places of each service in the snapshot of that version.
+	version         int64
+	placesByService map[steering.Service][]*routing.Place
 }
 
 var _ seam.Remote = (*Remote)(nil)
@@ -47,7 +47,7 @@
 		table: spill.NewTable(c.Params), version: -1}
 }
 
-// OnPools takes in headroom that beats carried; give it to Hooks.OnPools.
+// OnPools records the free slots that heartbeats carried. It is meant for Hooks.OnPools.
 func (r *Remote) OnPools(facts []*peerpb.PoolFact) {
 	now := time.Now()
 	r.mu.Lock()
@@ -72,8 +72,8 @@
 	r.table.Refused(spill.Pool{Place: place, Service: service}, refusal.Reason, refusal.RetryAfter, time.Now())
 }
 
-// Candidates implements seam.Remote. Work is counted against the first place's
-// hint, because that is where it goes next.
+// Candidates implements seam.Remote. The request is counted against the hint of the first place,
+// because it is sent there next.
 func (r *Remote) Candidates(service steering.Service, home steering.Place) []steering.Place {
 	snapshot := r.configs.Snapshot()
 	if snapshot == nil {
@@ -82,7 +82,7 @@
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.forget(now)
+	r.removeExpired(now)
 	places := r.table.Order(service, r.candidates(snapshot, service, home), now)
 	if len(places) == 0 {
 		r.scope.Counter("no_candidate").Inc(1)
@@ -92,39 +92,39 @@
 	return places
 }
 
-// forget drops old hints once a second.
-func (r *Remote) forget(now time.Time) {
-	if now.Sub(r.forgot) > time.Second {
-		r.forgot = now
+// removeExpired drops expired hints, at most once a second.
+func (r *Remote) removeExpired(now time.Time) {
+	if now.Sub(r.lastExpiry) > time.Second {
+		r.lastExpiry = now
 		r.table.Forget(now)
 	}
 }
 
-// candidates lists the places outside the own zone that have targets for the
-// service and an entry VM to hand work to.
+// candidates lists the places outside the own zone that have targets for the service and whose
+// zone has a live entry VM to forward to.
 func (r *Remote) candidates(snapshot *routing.Snapshot, service steering.Service, home steering.Place) []spill.Candidate {
 	self := r.members.Self()
 	var list []spill.Candidate
-	for _, place := range r.sitesOf(snapshot, service) {
+	for _, place := range r.placesWith(snapshot, service) {
 		if place.Zone == self.Zone || !r.reachable(place.Zone) {
 			continue
 		}
-		list = append(list, spill.Candidate{Place: place.Name, Distance: r.distance(place, self.Region, home, snapshot)})
+		list = append(list, spill.Candidate{Place: place.Name, Distance: r.distanceRank(place, self.Region, home, snapshot)})
 	}
 	return list
 }
 
-func (r *Remote) sitesOf(snapshot *routing.Snapshot, service steering.Service) []*routing.Place {
+func (r *Remote) placesWith(snapshot *routing.Snapshot, service steering.Service) []*routing.Place {
 	if r.version != snapshot.Version {
 		r.version = snapshot.Version
-		r.sites = map[steering.Service][]*routing.Place{}
+		r.placesByService = map[steering.Service][]*routing.Place{}
 		for _, place := range snapshot.Places {
 			for _, name := range servicesOf(place) {
-				r.sites[name] = append(r.sites[name], place)
+				r.placesByService[name] = append(r.placesByService[name], place)
 			}
 		}
 	}
-	return r.sites[service]
+	return r.placesByService[service]
 }
 
 func servicesOf(place *routing.Place) []steering.Service {
@@ -144,18 +144,19 @@
 	return len(usable) > 0 && usable[0].State == seam.MemberLive
 }
 
-// Ranks of distance; regions further away follow in steps of their round trip.
+// Distance ranks. Regions beyond the home region are ranked by their round trip in units of
+// distanceStep.
 const (
 	distanceHome = iota
 	distanceOwnRegion
 	distanceHomeRegion
-	distanceElsewhere
+	distanceOtherRegion
 )
 
-// distanceStep is the difference in round trip that makes a region further.
+// distanceStep is the difference in round trip between two ranks.
 const distanceStep = 10 * time.Millisecond
 
-func (r *Remote) distance(place *routing.Place, own steering.Region, home steering.Place, snapshot *routing.Snapshot) int {
+func (r *Remote) distanceRank(place *routing.Place, own steering.Region, home steering.Place, snapshot *routing.Snapshot) int {
 	homePlace := snapshot.Places[home]
 	switch {
 	case place.Name == home:
@@ -165,5 +166,5 @@
 	case homePlace != nil && place.Region == homePlace.Region:
 		return distanceHomeRegion
 	}
-	return distanceElsewhere + int(r.members.Distance(place.Region)/distanceStep)
+	return distanceOtherRegion + int(r.members.RoundTrip(place.Region)/distanceStep)
 }
--- a/node/member/remote_test.go
+++ b/node/member/remote_test.go
@@ -12,28 +12,28 @@
 	"heatherlock/steering/routing"
 )
 
-// fixedConfigs is one snapshot that never changes.
-type fixedConfigs struct{ snapshot *routing.Snapshot }
+// staticConfigs provides one snapshot that never changes.
+type staticConfigs struct{ snapshot *routing.Snapshot }
 
-func (c fixedConfigs) Snapshot() *routing.Snapshot       { return c.snapshot }
-func (c fixedConfigs) Subscribe(func(*routing.Snapshot)) {}
+func (c staticConfigs) Snapshot() *routing.Snapshot       { return c.snapshot }
+func (c staticConfigs) Subscribe(func(*routing.Snapshot)) {}
 
-var _ seam.Configs = fixedConfigs{}
+var _ seam.Configs = staticConfigs{}
 
 func placeIn(name steering.Place, zone steering.Zone) *routing.Place {
 	return &routing.Place{Name: name, Zone: zone, Region: steering.Region(zone[:1]), Targets: []routing.Target{{Service: "tickets"}}}
 }
 
-// Symptom: work that the own zone cannot take is sent to a zone that nobody
-// reaches, to a full place, or far away though a near one is free. Sequence:
-// one zone of the region is full, then refuses, and another zone is cut off.
-// Cause: an order that looks at less than reachability, refusals and headroom.
+// Guards against forwarding to a zone that cannot be reached, to a full place, or to a distant
+// place while a near one has free slots. One zone of the region is full and then refuses, and
+// another zone is partitioned, so the order has to consider reachability, refusals and free
+// slots.
 func TestRemoteOrdersReachablePlaces(t *testing.T) {
 	run(t, 2, threeZones, func(f *fleet, nodes []*node) {
 		snapshot := &routing.Snapshot{Version: 1, Places: map[steering.Place]*routing.Place{
 			"own": placeIn("own", "norte-a"), "near": placeIn("near", "norte-b"), "far": placeIn("far", "sur-a"),
 		}}
-		remote := NewRemote(RemoteConfig{Members: nodes[0].Members, Configs: fixedConfigs{snapshot}})
+		remote := NewRemote(RemoteConfig{Members: nodes[0].Members, Configs: staticConfigs{snapshot}})
 		first := func() steering.Place {
 			places := remote.Candidates("tickets", "own")
 			if len(places) == 0 {
@@ -48,9 +48,9 @@
 		assert.Equal(t, first(), steering.Place("near"))
 		remote.Refused("near", "tickets", steering.Refuse(steering.ReasonRampLimited, 2*time.Second, "full"))
 		assert.DeepEqual(t, remote.Candidates("tickets", "own"), []steering.Place{"far"})
-		f.isolate("sur-a", true)
-		f.within(15*time.Second, "the far zone is suspect", nodes[:1], func(n *node) bool {
-			return sees(nodes[4], seam.MemberSuspect)(n) && sees(nodes[5], seam.MemberSuspect)(n)
+		f.setPartitioned("sur-a", true)
+		f.waitFor(15*time.Second, "the far zone is suspect", nodes[:1], func(n *node) bool {
+			return seesState(nodes[4], seam.MemberSuspect)(n) && seesState(nodes[5], seam.MemberSuspect)(n)
 		})
 		remote.Refused("near", "tickets", steering.Refuse(steering.ReasonRampLimited, 2*time.Second, "full"))
 		assert.Equal(t, first(), steering.Place(""))
--- a/node/member/vmlist.go
+++ b/node/member/vmlist.go
@@ -11,18 +11,18 @@
 	"heatherlock/steering/membership"
 )
 
-// firstListWithin spreads the first reads of a fleet that starts together.
-const firstListWithin = 2 * time.Second
+// firstReadSpread is the period over which the members of a fleet that starts together spread
+// their first reads.
+const firstReadSpread = 2 * time.Second
 
-// readLists reads the platform's list of VMs once at the start and then, only
-// while this member has the duty for its zone, at a low rate. What it finds
-// reaches the others in beats.
-func (m *Members) readLists(ctx context.Context) {
+// readListLoop reads the platform's list of VMs once at the start, and later at a low rate while
+// this member is the list reader of its zone. Heartbeats carry the result to the other members.
+func (m *Members) readListLoop(ctx context.Context) {
 	if m.config.Platform == nil {
 		return
 	}
-	wait := time.Duration(m.config.Random(int(firstListWithin)))
-	backoff := objects.NewBackoff(m.config.ListEvery, listBackoffMax, m.random)
+	wait := time.Duration(m.config.Random(int(firstReadSpread)))
+	backoff := objects.NewBackoff(m.config.ListInterval, maxListBackoff, m.randomFraction)
 	first := true
 	for {
 		select {
@@ -30,8 +30,8 @@
 			return
 		case <-time.After(wait):
 		}
-		wait = m.config.ListEvery/2 + time.Duration(m.config.Random(int(m.config.ListEvery)))
-		if !first && !m.hasListDuty(time.Now()) {
+		wait = m.config.ListInterval/2 + time.Duration(m.config.Random(int(m.config.ListInterval)))
+		if !first && !m.isListReader(time.Now()) {
 			continue
 		}
 		if err := m.readList(ctx); err != nil {
@@ -43,35 +43,36 @@
 	}
 }
 
-// ZoneKnown reports whether the published view holds the platform's list, and
-// each entry VM that it names in this zone was heard from or called in vain.
-// One that is only listed counts as suspect, and this entry VM would take its
-// pools for its own.
+// ZoneKnown reports whether the published view includes the platform's list and every listed
+// entry VM of this zone either sent a heartbeat or was called without success. A member that is
+// only listed counts as suspect; before ZoneKnown returns true, this entry VM would therefore claim
+// the pools that such a member owns.
 func (m *Members) ZoneKnown() bool { return m.published.Load().zoneKnown }
 
-// untried tells whether a member of the zone is only listed so far.
-func (m *Members) untried(mate membership.Member) bool {
-	return mate.Place.Zone == m.self.Place.Zone && mate.VM != m.self.VM &&
-		!mate.Known() && mate.Failures == 0 && mate.State != membership.StateGone
+// onlyListed reports whether a member of the own zone is known from the list alone and was not
+// called yet.
+func (m *Members) onlyListed(other membership.Member) bool {
+	return other.Place.Zone == m.self.Place.Zone && other.VM != m.self.VM &&
+		!other.Known() && other.Failures == 0 && other.State != membership.StateGone
 }
 
-// listBackoffMax bounds the pause after failed reads of the list.
-const listBackoffMax = time.Minute
+// maxListBackoff bounds the delay after failed reads of the list.
+const maxListBackoff = time.Minute
 
-// random adapts Config.Random for a backoff.
-func (m *Members) random() float64 {
+// randomFraction returns a number in [0,1) from Config.Random, as objects.NewBackoff expects it.
+func (m *Members) randomFraction() float64 {
 	const steps = 1 << 20
 	return float64(m.config.Random(steps)) / steps
 }
 
-func (m *Members) hasListDuty(now time.Time) bool {
+func (m *Members) isListReader(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return slices.Contains(m.duty("list", 1, now), m.self.VM)
+	return slices.Contains(m.roleHolders("list", 1, now), m.self.VM)
 }
 
 func (m *Members) readList(ctx context.Context) error {
-	begun := time.Now()
+	startedAt := time.Now()
 	vms, err := m.config.Platform.VMs(ctx)
 	if err != nil {
 		m.scope.Counter("list_failed").Inc(1)
@@ -82,10 +83,10 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.noticePause(now)
-	m.settle(begun)
+	m.markSettled(startedAt)
 	m.scope.Counter("list_read").Inc(1)
-	m.listed.Store(true)
-	if m.view.Platform(listedFrom(vms), now) {
+	m.listRead.Store(true)
+	if m.view.Platform(toListed(vms), now) {
 		m.publish(now)
 	}
 	return nil
--- a/node/member/wire.go
+++ b/node/member/wire.go
@@ -10,15 +10,15 @@
 	"heatherlock/steering/membership"
 )
 
-// states maps the decision's states to the seam's.
-var states = map[membership.State]seam.MemberState{
+// memberStates maps the states of package membership to those of package seam.
+var memberStates = map[membership.State]seam.MemberState{
 	membership.StateLive:    seam.MemberLive,
 	membership.StateSuspect: seam.MemberSuspect,
 	membership.StateLeaving: seam.MemberLeaving,
 	membership.StateGone:    seam.MemberGone,
 }
 
-// stateNames are the words of logs and counters.
+// stateNames are the state names in logs and metrics.
 var stateNames = map[seam.MemberState]string{
 	seam.MemberLive: "live", seam.MemberSuspect: "suspect", seam.MemberLeaving: "leaving", seam.MemberGone: "gone",
 }
@@ -27,11 +27,12 @@
 	return seam.Member{
 		VM: m.VM, Incarnation: m.Incarnation, Zone: m.Place.Zone, Region: m.Place.Region,
 		CallerAddress: m.Place.CallerAddress, PeerAddress: m.Place.PeerAddress, OperatorAddress: m.Place.OperatorAddress,
-		State: states[m.State], Heard: m.Heard, ConfigVersion: m.ConfigVersion, InFlight: int(m.Load.InFlight),
+		State: memberStates[m.State], Heard: m.Heard, ConfigVersion: m.ConfigVersion, InFlight: int(m.Load.InFlight),
 	}
 }
 
-// wireStatus uses the seam's numbers on the wire; MemberSuspect never travels.
+// wireStatus maps statuses to the numbers that seam.MemberState has. MemberSuspect is never sent,
+// because suspicion applies to one observer only.
 var wireStatus = map[membership.Status]uint32{
 	membership.Live:    uint32(seam.MemberLive),
 	membership.Leaving: uint32(seam.MemberLeaving),
@@ -73,42 +74,43 @@
 	return wire
 }
 
-// doubtBit marks a doubted member in a packed beat.
-const doubtBit = 1
+// suspectedBit marks a member as suspected by the sender. It is the lowest bit of a packed
+// heartbeat number.
+const suspectedBit = 1
 
-func livenessToWire(beats []membership.Beat, configVersion int64) *peerpb.Liveness {
+func livenessToWire(heartbeats []membership.Beat, configVersion int64) *peerpb.Liveness {
 	w := &peerpb.Liveness{}
-	lagging := false
-	for _, b := range beats {
+	anyLag := false
+	for _, b := range heartbeats {
 		packed := b.Beat << 1
 		if b.Doubted {
-			packed |= doubtBit
+			packed |= suspectedBit
 		}
 		w.Member = append(w.Member, uint32(b.ID))
 		w.Beat = append(w.Beat, packed)
 		lag := uint32(max(0, configVersion-b.ConfigVersion))
 		w.ConfigLag = append(w.ConfigLag, lag)
-		lagging = lagging || lag > 0
+		anyLag = anyLag || lag > 0
 	}
-	if !lagging {
+	if !anyLag {
 		w.ConfigLag = nil
 	}
 	return w
 }
 
-// livenessFromWire drops entries that lack a part.
+// livenessFromWire ignores entries without a member ID or a heartbeat number.
 func livenessFromWire(w *peerpb.Liveness, configVersion int64) []membership.Beat {
 	n := min(len(w.GetMember()), len(w.GetBeat()))
-	beats := make([]membership.Beat, n)
+	heartbeats := make([]membership.Beat, n)
 	for i := range n {
-		beats[i] = membership.Beat{
-			ID: membership.ID(w.Member[i]), Beat: w.Beat[i] >> 1, Doubted: w.Beat[i]&doubtBit != 0, ConfigVersion: configVersion,
+		heartbeats[i] = membership.Beat{
+			ID: membership.ID(w.Member[i]), Beat: w.Beat[i] >> 1, Doubted: w.Beat[i]&suspectedBit != 0, ConfigVersion: configVersion,
 		}
 		if i < len(w.ConfigLag) {
-			beats[i].ConfigVersion -= int64(w.ConfigLag[i])
+			heartbeats[i].ConfigVersion -= int64(w.ConfigLag[i])
 		}
 	}
-	return beats
+	return heartbeats
 }
 
 func reportToWire(r membership.Report) *peerpb.ZoneReport {
@@ -129,7 +131,7 @@
 
 func bucketsToWire(b membership.Buckets) []uint32 { return b[:] }
 
-// bucketsFromWire returns false for a message without buckets.
+// bucketsFromWire returns false if the message has no buckets.
 func bucketsFromWire(w []uint32) (membership.Buckets, bool) {
 	var b membership.Buckets
 	if len(w) != len(b) {
@@ -139,15 +141,15 @@
 	return b, true
 }
 
-// listedStatus maps the platform's words.
+// listedStatus maps the platform's VM states to statuses.
 var listedStatus = map[objects.VMState]membership.Status{
 	objects.VMLive:    membership.Live,
 	objects.VMLeaving: membership.Leaving,
 	objects.VMGone:    membership.Gone,
 }
 
-// listedFrom leaves out lines whose state is not known.
-func listedFrom(vms []objects.VM) []membership.Listed {
+// toListed converts the list of VMs. It skips entries whose state is unknown.
+func toListed(vms []objects.VM) []membership.Listed {
 	var list []membership.Listed
 	for _, vm := range vms {
 		status, ok := listedStatus[vm.State]
@@ -163,7 +165,8 @@
 	return list
 }
 
-// ageMs rounds an age up, so that a fact never gets younger on its way.
+// ageMs rounds an age up to milliseconds, so that a fact never becomes younger when it is
+// relayed.
 func ageMs(age time.Duration) uint32 {
 	return uint32(max(0, (age+time.Millisecond-1)/time.Millisecond))
 }
