--- a/node/capshare/borrow.go
+++ b/node/capshare/borrow.go
@@ -15,16 +15,18 @@
 )
 
 const (
-	// lendersPerRound bounds the holders asked for one shortage.
+	// lendersPerRound bounds the number of holders asked for one shortage.
 	lendersPerRound = 3
-	// maxBorrowTimeout bounds one request for a loan; it is less than the term
-	// in any case.
+	// maxBorrowTimeout bounds one loan request. The timeout is always shorter than the term of
+	// the loan.
 	maxBorrowTimeout = 500 * time.Millisecond
-	// maxEmptyFor bounds how long a holder that had nothing is left alone.
-	maxEmptyFor = time.Second
+	// maxLenderBackoff bounds the time during which a holder that lent nothing is not asked
+	// again.
+	maxLenderBackoff = time.Second
 )
 
-// Borrow answers a peer's request for a loan.
+// Borrow answers a peer's loan request. A request for no permits only returns the number of
+// permits in use.
 func (k *Caps) Borrow(_ context.Context, in *peerpb.BorrowRequest) (*peerpb.BorrowReply, error) {
 	reply := &peerpb.BorrowReply{Nonce: in.Nonce}
 	sh := k.share(in.Cap)
@@ -46,15 +48,15 @@
 	return reply, nil
 }
 
-// borrowLoop asks other holders for loans while permits are short, one request
-// at a time, so that its rate is bounded by the round trip and, once all had
-// nothing to lend, by emptyFor.
+// borrowLoop asks other holders for loans while permits are short. It sends one request at a
+// time, so the request rate is bounded by the round trip and, once all holders had nothing to
+// lend, by the lender backoff.
 func (k *Caps) borrowLoop(ctx context.Context, sh *share) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-sh.hungry:
+		case <-sh.loanWanted:
 		}
 		k.borrow(ctx, sh)
 	}
@@ -62,7 +64,7 @@
 
 func (k *Caps) borrow(ctx context.Context, sh *share) {
 	for range lendersPerRound {
-		lender, ask, ok := k.prepare(sh)
+		lender, ask, ok := k.nextLoan(sh)
 		if !ok {
 			return
 		}
@@ -72,8 +74,9 @@
 	}
 }
 
-// prepare chooses a lender and starts a request, unless nothing is short.
-func (k *Caps) prepare(sh *share) (lender seam.Member, ask caps.LoanAsk, ok bool) {
+// nextLoan chooses a lender and starts a loan request. It returns false if no permit is missing
+// or there is nobody to ask.
+func (k *Caps) nextLoan(sh *share) (lender seam.Member, ask caps.LoanAsk, ok bool) {
 	now := time.Now()
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -91,15 +94,15 @@
 	return lenders[0], sh.holder.Ask(now, want), true
 }
 
-// lenders lists the holders to ask, those of the own zone first, each time from
-// another one on; sh.mu is held.
+// lenders returns the holders to ask: those of the own zone first, then those of the own region.
+// Within each group the order rotates from call to call. The caller holds sh.mu.
 func (k *Caps) lenders(sh *share, now time.Time) []seam.Member {
 	if sh.seats == nil {
 		return nil
 	}
 	var found []seam.Member
 	for _, seat := range sh.seats.Seats {
-		if seat.VM == sh.self.VM || seat.Permits == 0 || now.Before(sh.empty[seat.VM]) {
+		if seat.VM == sh.self.VM || seat.Permits == 0 || now.Before(sh.backoffUntil[seat.VM]) {
 			continue
 		}
 		m, known := k.config.Members.ByIncarnation(seat.Incarnation)
@@ -110,15 +113,16 @@
 	if len(found) == 0 {
 		return nil
 	}
-	sh.turn++
-	first := sh.turn % len(found)
+	sh.lenderOffset++
+	first := sh.lenderOffset % len(found)
 	found = slices.Concat(found[first:], found[:first])
-	slices.SortStableFunc(found, func(a, b seam.Member) int { return cmp.Compare(sh.far(a), sh.far(b)) })
+	slices.SortStableFunc(found, func(a, b seam.Member) int { return cmp.Compare(sh.distanceRank(a), sh.distanceRank(b)) })
 	return found
 }
 
-// far orders members by distance.
-func (s *share) far(m seam.Member) int {
+// distanceRank returns 0 for a member of the own zone, 1 for one of the own region, and 2 for any
+// other.
+func (s *share) distanceRank(m seam.Member) int {
 	switch {
 	case m.Zone == s.self.Zone:
 		return 0
@@ -128,8 +132,8 @@
 	return 2
 }
 
-// borrowFrom asks one holder, a second time with the same nonce when the first
-// answer is lost, and reports whether permits came.
+// borrowFrom asks one holder and reports whether it lent permits. If the call fails, borrowFrom
+// retries it once with the same nonce, so that a lost reply does not lend twice.
 func (k *Caps) borrowFrom(ctx context.Context, sh *share, lender seam.Member, ask caps.LoanAsk) bool {
 	request := &peerpb.BorrowRequest{
 		FromVm: string(sh.self.VM), FromIncarnation: string(sh.self.Incarnation),
@@ -146,22 +150,23 @@
 	if err != nil {
 		level.Debug(k.config.Log).Log("part", "capshare", "msg", "loan", "cap", sh.name, "lender", lender.VM, "err", err)
 		k.metrics.borrowFailed.Inc(1)
-		sh.leaveAlone(now, lender.VM)
+		sh.backOffLender(now, lender.VM)
 		return false
 	}
 	gained := sh.holder.Granted(now, reply.Nonce, int(reply.Permits), time.Duration(reply.TermMs)*time.Millisecond)
 	k.metrics.borrowed.Inc(int64(gained))
 	if gained == 0 {
-		sh.leaveAlone(now, lender.VM)
+		sh.backOffLender(now, lender.VM)
 		return false
 	}
-	sh.release()
+	sh.signalFreed()
 	return true
 }
 
-// leaveAlone keeps requests away from a holder that had nothing.
-func (s *share) leaveAlone(now time.Time, vm steering.VM) {
-	s.empty[vm] = now.Add(min(s.holder.Terms().Window/2, maxEmptyFor))
+// backOffLender excludes a holder from loan requests for a while, because it had nothing to lend
+// or did not answer.
+func (s *share) backOffLender(now time.Time, vm steering.VM) {
+	s.backoffUntil[vm] = now.Add(min(s.holder.Terms().Window/2, maxLenderBackoff))
 }
 
 func (k *Caps) callBorrow(ctx context.Context, sh *share, lender seam.Member, in *peerpb.BorrowRequest) (*peerpb.BorrowReply, error) {
--- a/node/capshare/capshare.go
+++ b/node/capshare/capshare.go
@@ -15,32 +15,32 @@
 	"heatherlock/steering/routing"
 )
 
-// stepEvery is how often seats are looked at besides every new snapshot:
-// members come and go without one.
-const stepEvery = time.Second
+// checkInterval is how often the seats are checked in addition to the check at every new snapshot,
+// because members join and leave without one.
+const checkInterval = time.Second
 
 // Caps holds this entry VM's permits. It implements seam.CapGate.
 type Caps struct {
-	config  Config
-	self    seam.Member
-	metrics metrics
-	vms     vmList
-	surveys surveys
+	config     Config
+	self       seam.Member
+	metrics    metrics
+	vms        vmList
+	usagePolls usagePolls
 
-	// bound is what Admit reads; it is replaced whole.
-	bound atomic.Pointer[boundTable]
+	// capTable is the table that Admit reads. It is replaced as a whole.
+	capTable atomic.Pointer[routeTable]
 
 	mu    sync.Mutex
 	byCap map[string]*share
-	// running starts the loops of a share, spawn a short piece of work; both are
-	// nil unless Run runs.
-	running func(*share)
-	spawn   func(func(context.Context))
+	// startLoops starts the loops of a share and startTask a short background task. Both are nil
+	// unless Run is running.
+	startLoops func(*share)
+	startTask  func(func(context.Context))
 }
 
 var _ seam.CapGate = (*Caps)(nil)
 
-// New returns a Caps without permits.
+// New returns a Caps that holds no permits.
 func New(c Config) (*Caps, error) {
 	c, err := c.withDefaults()
 	if err != nil {
@@ -53,8 +53,8 @@
 		byCap:   map[string]*share{},
 	}
 	k.vms.firstSeen = map[seatKey]time.Time{}
-	k.surveys.known = map[string]*survey{}
-	k.bound.Store(&boundTable{})
+	k.usagePolls.latest = map[string]*usagePoll{}
+	k.capTable.Store(&routeTable{})
 	if s := c.Configs.Snapshot(); s != nil {
 		k.onSnapshot(s)
 	}
@@ -62,7 +62,7 @@
 	return k, nil
 }
 
-// Run keeps the seats until ctx ends.
+// Run maintains the seats until ctx ends.
 func (k *Caps) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	start := func(s *share) {
@@ -75,12 +75,12 @@
 		<-ctx.Done()
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		k.running, k.spawn = nil, nil
+		k.startLoops, k.startTask = nil, nil
 		return ctx.Err()
 	})
 	k.mu.Lock()
-	k.running = start
-	k.spawn = func(work func(context.Context)) {
+	k.startLoops = start
+	k.startTask = func(work func(context.Context)) {
 		group.Go(func() error { work(ctx); return nil })
 	}
 	for _, s := range k.byCap {
@@ -90,19 +90,20 @@
 	return group.Wait()
 }
 
-// background runs a short piece of work beside Run, and reports whether it does.
-func (k *Caps) background(work func(context.Context)) bool {
+// runInBackground starts a short task under Run and reports whether it did. It returns false if
+// Run is not running.
+func (k *Caps) runInBackground(work func(context.Context)) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.spawn == nil {
+	if k.startTask == nil {
 		return false
 	}
-	k.spawn(work)
+	k.startTask(work)
 	return true
 }
 
-// onSnapshot puts the caps of a snapshot into force at once; the platform is
-// called later, by each share's loop.
+// onSnapshot applies the caps of a snapshot immediately. The platform is called later, by each
+// share's loop.
 func (k *Caps) onSnapshot(s *routing.Snapshot) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -116,15 +117,15 @@
 	}
 	for _, name := range names {
 		if sh := k.shareOf(s, name, now); sh != nil {
-			sh.follow(now, s)
-			sh.wake()
+			sh.applySnapshot(now, s)
+			sh.requestCheck()
 		}
 	}
-	k.bound.Store(newBoundTable(s, k.byCap, k.self.Zone))
+	k.capTable.Store(newRouteTable(s, k.byCap, k.self.Zone))
 }
 
-// capNames lists the caps of a snapshot, with those that only their seats
-// remind of.
+// capNames returns the sorted names of the caps of a snapshot, including deleted caps that still
+// have seats.
 func capNames(s *routing.Snapshot) []string {
 	var names []string
 	for name := range s.Caps {
@@ -139,7 +140,8 @@
 	return names
 }
 
-// shareOf returns the share of a cap in which this entry VM takes part, or did.
+// shareOf returns the share of a cap. It creates one if this entry VM takes part in the cap or
+// has a seat from earlier, and returns nil otherwise.
 func (k *Caps) shareOf(s *routing.Snapshot, name string, now time.Time) *share {
 	if sh := k.byCap[name]; sh != nil {
 		return sh
@@ -148,10 +150,10 @@
 		return nil
 	}
 	sh := newShare(name, k.self, ruleOf(s, name), now)
-	sh.follow(now, s)
+	sh.applySnapshot(now, s)
 	k.byCap[name] = sh
-	if k.running != nil {
-		k.running(sh)
+	if k.startLoops != nil {
+		k.startLoops(sh)
 	}
 	return sh
 }
@@ -160,20 +162,20 @@
 	return seats != nil && slices.ContainsFunc(seats.Seats, func(s routing.CapSeat) bool { return s.VM == vm })
 }
 
-// ruleOf returns the version of a cap that a snapshot puts into force. A cap
-// that was deleted has no permits from that version on.
+// ruleOf returns the version of a cap that a snapshot puts into force. A deleted cap has no
+// permits from that version on.
 func ruleOf(s *routing.Snapshot, name string) caps.Rule {
 	c := s.Caps[name]
 	if c == nil {
-		return caps.Rule{Version: s.Version, Window: minWindow}
+		return caps.Rule{Version: s.Version, Window: deletedCapWindow}
 	}
 	return caps.Rule{Version: c.Version, Requests: c.Requests, Window: c.Window}
 }
 
-// minWindow stands for the window of a deleted cap; nothing is admitted by it.
-const minWindow = 100 * time.Millisecond
+// deletedCapWindow is the window of a deleted cap. Nothing is admitted under it.
+const deletedCapWindow = 100 * time.Millisecond
 
-// receivingZones lists the zones of the places that a cap's shift moves work to.
+// receivingZones returns the zones of the places that a cap's shift moves requests to.
 func receivingZones(s *routing.Snapshot, name string) []steering.Zone {
 	c := s.Caps[name]
 	if c == nil || s.Shifts[c.Shift] == nil {
@@ -188,33 +190,34 @@
 	return zones
 }
 
-// share returns the share of a cap, nil when there is none.
+// share returns the share of a cap, or nil if there is none.
 func (k *Caps) share(name string) *share {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.byCap[name]
 }
 
-// Use is what this entry VM holds of a cap.
-type Use struct {
+// Usage is the number of permits of a cap that this entry VM holds and uses.
+type Usage struct {
 	Own   int // permits of the own seat
-	InUse int // own and borrowed permits that are taken
+	InUse int // own and borrowed permits in use
 	Free  int
 }
 
-// Use returns what this entry VM holds of a cap.
-func (k *Caps) Use(name string) (Use, bool) {
+// Usage returns this entry VM's usage of a cap. It returns false if this entry VM has no share of
+// the cap.
+func (k *Caps) Usage(name string) (Usage, bool) {
 	sh := k.share(name)
 	if sh == nil {
-		return Use{}, false
+		return Usage{}, false
 	}
 	now := time.Now()
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	return Use{Own: sh.holder.Own(), InUse: sh.holder.InUse(now), Free: sh.holder.Free(now)}, true
+	return Usage{Own: sh.holder.Own(), InUse: sh.holder.InUse(now), Free: sh.holder.Free(now)}, true
 }
 
-// Refused returns how many requests a cap refused here so far.
+// Refused returns the number of requests that this entry VM has refused because of a cap.
 func (k *Caps) Refused(name string) int64 {
 	if sh := k.share(name); sh != nil {
 		return sh.refused.Load()
--- a/node/capshare/config.go
+++ b/node/capshare/config.go
@@ -13,25 +13,24 @@
 	"heatherlock/peer/peerpb"
 )
 
-// DefaultListLag is the longest that the platform's list of VMs is taken to
-// lag behind.
+// DefaultListLag is the assumed upper bound on how far the platform's list of VMs lags.
 const DefaultListLag = time.Minute
 
-// Config holds what a Caps needs.
+// Config configures Caps.
 type Config struct {
 	Configs  seam.Configs
 	Members  seam.Members
 	Platform objects.API
-	// Peer returns the client of the entry VM at a peer address.
+	// Peer returns a client for the entry VM at a peer address.
 	Peer func(address string) peerpb.Peer
-	// Leading says whether this entry VM is its zone's reader now.
+	// Leading reports whether this entry VM is currently its zone's reader.
 	Leading func() bool
-	// Settled says whether what this process knows is from after its last
-	// pause; nil means that it always is.
+	// Settled reports whether the state of this process is newer than its last pause. Nil means
+	// that it always is.
 	Settled func() bool
-	// ListLag defaults to DefaultListLag.
+	// ListLag is the longest that the platform's list of VMs may lag. Zero means DefaultListLag.
 	ListLag time.Duration
-	// Random returns a number in [0,1) for jitter; nil means math/rand/v2.
+	// Random returns a number in [0,1) for jitter. Nil means math/rand/v2.
 	Random func() float64
 	Scope  tally.Scope
 	Log    log.Logger
@@ -48,7 +47,7 @@
 	case c.Peer == nil:
 		return c, errors.New("capshare: no peer clients given; set Config.Peer")
 	case c.Leading == nil:
-		return c, errors.New("capshare: nobody says who leads; set Config.Leading")
+		return c, errors.New("capshare: no check for the zone reader given; set Config.Leading")
 	}
 	if c.Settled == nil {
 		c.Settled = func() bool { return true }
--- a/node/capshare/fleet_test.go
+++ b/node/capshare/fleet_test.go
@@ -23,14 +23,14 @@
 )
 
 const (
-	capName = "evening"
-	home    = steering.Place("centro")
-	service = steering.Service("tickets")
-	spread  = 300 * time.Millisecond // of a snapshot
+	capName       = "evening"
+	home          = steering.Place("centro")
+	service       = steering.Service("tickets")
+	snapshotDelay = 300 * time.Millisecond // delay until a snapshot is distributed
 )
 
-// fleet is a set of entry VMs joined by function calls, with the stand-in as
-// their platform. It runs under synctest.
+// fleet is a set of entry VMs connected by function calls, with a simulated platform. It runs
+// under synctest.
 type fleet struct {
 	t     testing.TB
 	store *standin.Store
@@ -38,25 +38,25 @@
 
 	running sync.WaitGroup
 
-	mu     sync.Mutex
-	nodes  []*entryVM
-	cap    routing.Cap
-	lives  int
-	lose   int // every lose-th message between peers is lost; 0 loses none
-	sent   int
-	starts []time.Time
+	mu           sync.Mutex
+	nodes        []*entryVM
+	cap          routing.Cap
+	incarnations int
+	loseEvery    int // every loseEvery-th message between peers is lost; 0 loses none
+	messages     int
+	sentAt       []time.Time
 }
 
-// entryVM is one process life. It is its own seam.Configs and seam.Members.
+// entryVM is one incarnation of an entry VM. It is its own seam.Configs and seam.Members.
 type entryVM struct {
-	fleet *fleet
-	self  seam.Member
-	caps  *Caps
-	stop  context.CancelFunc
-	dead  bool
-	cut   bool // gets no snapshots
-	// woken is set between a pause and the first word from others.
-	woken atomic.Bool
+	fleet       *fleet
+	self        seam.Member
+	caps        *Caps
+	stop        context.CancelFunc
+	stopped     bool
+	noSnapshots bool // receives no snapshots
+	// paused is set from the end of a pause until the first message from another entry VM.
+	paused atomic.Bool
 
 	subscribers []func(*routing.Snapshot)
 	snapshot    *routing.Snapshot
@@ -70,7 +70,7 @@
 	for _, vm := range vms {
 		f.start(vm)
 	}
-	f.running.Go(f.spreadLoop)
+	f.running.Go(f.distributeLoop)
 	return f
 }
 
@@ -88,25 +88,25 @@
 	f.cap = routing.Cap{Name: capName, Version: stored.Version, Shift: "move", Requests: requests, Window: time.Second}
 }
 
-// zoneOf: a VM's name is its zone with a number.
+// zoneOf returns the zone of a VM, whose name is the zone followed by a number.
 func zoneOf(vm string) steering.Zone { return steering.Zone(vm[:len(vm)-2]) }
 
 func (f *fleet) start(vm string) *entryVM {
 	f.mu.Lock()
-	f.lives++
-	inc := fmt.Sprintf("life-%d", f.lives)
+	f.incarnations++
+	inc := fmt.Sprintf("life-%d", f.incarnations)
 	n := &entryVM{fleet: f, self: seam.Member{
 		VM: steering.VM(vm), Incarnation: steering.Incarnation(inc), Zone: zoneOf(vm), Region: "sur",
 		PeerAddress: inc, State: seam.MemberLive,
 	}}
-	n.snapshot = f.current()
+	n.snapshot = f.currentSnapshot()
 	f.nodes = append(f.nodes, n)
 	f.mu.Unlock()
 	f.store.SetVM(objects.VM{Name: vm, State: objects.VMLive})
 	var err error
 	n.caps, err = New(Config{
 		Configs: n, Members: n, Platform: f.store.As(vm, string(n.self.Zone)), Peer: f.peer,
-		Leading: func() bool { return f.leads(n) }, Settled: func() bool { return !n.woken.Load() }, Random: rand.New(rand.NewPCG(1, uint64(f.lives))).Float64,
+		Leading: func() bool { return f.isZoneReader(n) }, Settled: func() bool { return !n.paused.Load() }, Random: rand.New(rand.NewPCG(1, uint64(f.incarnations))).Float64,
 	})
 	assert.NilError(f.t, err)
 	ctx, stop := context.WithCancel(f.ctx)
@@ -115,28 +115,28 @@
 	return n
 }
 
-// kill ends a process; the platform lists its VM as gone some time later.
+// kill stops a process. The platform's list shows its VM as live until the test changes that.
 func (f *fleet) kill(n *entryVM) {
 	f.mu.Lock()
-	n.dead = true
+	n.stopped = true
 	f.mu.Unlock()
 	n.stop()
 }
 
-// leads makes the first live VM of each zone its reader.
-func (f *fleet) leads(n *entryVM) bool {
+// isZoneReader makes the first running VM of each zone the zone's reader.
+func (f *fleet) isZoneReader(n *entryVM) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, other := range f.nodes {
-		if !other.dead && other.self.Zone == n.self.Zone {
+		if !other.stopped && other.self.Zone == n.self.Zone {
 			return other == n
 		}
 	}
 	return false
 }
 
-// current builds the snapshot from what the platform holds; f.mu is held.
-func (f *fleet) current() *routing.Snapshot {
+// currentSnapshot builds the snapshot from the platform's current objects. The caller holds f.mu.
+func (f *fleet) currentSnapshot() *routing.Snapshot {
 	limit := f.cap
 	s := &routing.Snapshot{
 		Version: f.store.Revision(),
@@ -155,7 +155,7 @@
 	return s
 }
 
-// seats returns the stored record.
+// seats returns the stored record, or nil if there is none.
 func (f *fleet) seats() *routing.CapSeats {
 	stored, err := f.store.As("test", "").Get(context.WithoutCancel(f.ctx), routing.KindCapSeats, capName)
 	if err != nil {
@@ -167,31 +167,31 @@
 	return &seats
 }
 
-// spreadLoop gives every node that is not cut off the newest snapshot.
-func (f *fleet) spreadLoop() {
+// distributeLoop delivers the newest snapshot to every node that receives snapshots.
+func (f *fleet) distributeLoop() {
 	for f.ctx.Err() == nil {
-		time.Sleep(spread)
+		time.Sleep(snapshotDelay)
 		f.mu.Lock()
-		s := f.current()
+		s := f.currentSnapshot()
 		nodes := slices.Clone(f.nodes)
 		f.mu.Unlock()
 		for _, n := range nodes {
-			n.give(s)
+			n.deliver(s)
 		}
 	}
 }
 
-func (n *entryVM) give(s *routing.Snapshot) {
+func (n *entryVM) deliver(s *routing.Snapshot) {
 	n.fleet.mu.Lock()
-	if n.dead || n.cut || s.Version < n.snapshot.Version {
+	if n.stopped || n.noSnapshots || s.Version < n.snapshot.Version {
 		n.fleet.mu.Unlock()
 		return
 	}
 	n.snapshot = s
 	subscribers := slices.Clone(n.subscribers)
 	n.fleet.mu.Unlock()
-	for _, told := range subscribers {
-		told(s)
+	for _, notify := range subscribers {
+		notify(s)
 	}
 }
 
@@ -215,7 +215,7 @@
 	var all []seam.Member
 	for _, other := range n.fleet.nodes {
 		m := other.self
-		if other.dead {
+		if other.stopped {
 			m.State = seam.MemberGone
 		}
 		all = append(all, m)
@@ -238,19 +238,19 @@
 
 func (n *entryVM) Evidence(steering.VM, bool) {}
 
-// peerCalls is the way to one entry VM.
-type peerCalls struct {
+// peerClient is the client for one entry VM.
+type peerClient struct {
 	peerpb.Peer
 	fleet   *fleet
 	address string
 }
 
-func (f *fleet) peer(address string) peerpb.Peer { return peerCalls{fleet: f, address: address} }
+func (f *fleet) peer(address string) peerpb.Peer { return peerClient{fleet: f, address: address} }
 
 var errLost = errors.New("message lost")
 
-// Borrow loses requests and answers in turn.
-func (p peerCalls) Borrow(ctx context.Context, in *peerpb.BorrowRequest) (*peerpb.BorrowReply, error) {
+// Borrow loses some requests and some replies.
+func (p peerClient) Borrow(ctx context.Context, in *peerpb.BorrowRequest) (*peerpb.BorrowReply, error) {
 	time.Sleep(time.Millisecond)
 	to, lost := p.route()
 	if to == nil || lost {
@@ -264,21 +264,21 @@
 	return reply, err
 }
 
-func (p peerCalls) route() (to *entryVM, lost bool) {
+func (p peerClient) route() (to *entryVM, lost bool) {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
-	p.fleet.sent++
+	p.fleet.messages++
 	for _, n := range p.fleet.nodes {
-		if string(n.self.Incarnation) == p.address && !n.dead {
+		if string(n.self.Incarnation) == p.address && !n.stopped {
 			to = n
 		}
 	}
-	return to, p.fleet.lose > 0 && p.fleet.sent%p.fleet.lose == 0
+	return to, p.fleet.loseEvery > 0 && p.fleet.messages%p.fleet.loseEvery == 0
 }
 
-// demand sends requests through a node, one after each pause, for a time. It
-// returns how many were let through.
-func (f *fleet) demand(n *entryVM, pause, duration time.Duration) int {
+// sendRequests sends requests through a node for the given time, with a pause after each. It
+// returns the number of admitted requests.
+func (f *fleet) sendRequests(n *entryVM, pause, duration time.Duration) int {
 	place := steering.Place("sur-1")
 	if n.self.Zone == "sur-b" {
 		place = "sur-2"
@@ -294,8 +294,8 @@
 		}
 		permit.Done(true)
 		f.mu.Lock()
-		if !n.dead {
-			f.starts = append(f.starts, time.Now())
+		if !n.stopped {
+			f.sentAt = append(f.sentAt, time.Now())
 			admitted++
 		}
 		f.mu.Unlock()
@@ -303,14 +303,15 @@
 	return admitted
 }
 
-// peak returns the most starts in any window that ends between from and to.
+// peak returns the largest number of requests sent in any window that ends between from
+// and to.
 func (f *fleet) peak(from, to time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	slices.SortFunc(f.starts, time.Time.Compare)
+	slices.SortFunc(f.sentAt, time.Time.Compare)
 	peak, first := 0, 0
-	for i, at := range f.starts {
-		for !f.starts[first].After(at.Add(-time.Second)) {
+	for i, at := range f.sentAt {
+		for !f.sentAt[first].After(at.Add(-time.Second)) {
 			first++
 		}
 		if !at.Before(from) && !at.After(to) {
@@ -320,7 +321,7 @@
 	return peak
 }
 
-func (f *fleet) seated() int {
+func (f *fleet) permitsInSeats() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	seats := f.seats()
--- a/node/capshare/gate.go
+++ b/node/capshare/gate.go
@@ -12,27 +12,26 @@
 	"heatherlock/steering/routing"
 )
 
-// admitWait bounds the wait for a permit. The request holds a target's slot
-// meanwhile, so the wait is only as long as asking a few holders of the same
-// region takes.
-const admitWait = 25 * time.Millisecond
-
-// passage is a way that requests of a service take under a shift.
-type passage struct {
-	service     steering.Service // empty stands for those not named otherwise
+// maxPermitWait bounds the wait for a permit. The request holds a target's slot meanwhile, so the
+// bound is only the time that asking a few holders of the same region takes.
+const maxPermitWait = 25 * time.Millisecond
+
+// route identifies the requests of a service that a shift moves from one place to another.
+type route struct {
+	service     steering.Service // empty for services that no shift names
 	home, place steering.Place
 }
 
-// boundTable says which caps bind which requests. It is immutable.
-type boundTable struct {
-	byPassage map[passage][]*share
+// routeTable maps routes to the caps that apply to them. It is immutable.
+type routeTable struct {
+	byRoute map[route][]*share
 }
 
-// newBoundTable lists the caps that bind work admitted in a zone, in order of
-// name.
-func newBoundTable(s *routing.Snapshot, shares map[string]*share, zone steering.Zone) *boundTable {
-	t := &boundTable{byPassage: map[passage][]*share{}}
-	services := boundServices(s)
+// newRouteTable returns the caps that apply to requests admitted in a zone, ordered by name for
+// each route.
+func newRouteTable(s *routing.Snapshot, shares map[string]*share, zone steering.Zone) *routeTable {
+	t := &routeTable{byRoute: map[route][]*share{}}
+	services := servicesOfShifts(s)
 	for _, name := range capNames(s) {
 		c := s.Caps[name]
 		if c == nil || s.Shifts[c.Shift] == nil || shares[name] == nil {
@@ -45,9 +44,8 @@
 	return t
 }
 
-// boundServices lists the services that shifts name, and the empty one for the
-// rest.
-func boundServices(s *routing.Snapshot) []steering.Service {
+// servicesOfShifts returns the services that shifts name, and the empty service for all others.
+func servicesOfShifts(s *routing.Snapshot) []steering.Service {
 	services := []steering.Service{""}
 	for _, shift := range s.Shifts {
 		if !slices.Contains(services, shift.Service) {
@@ -57,8 +55,8 @@
 	return services
 }
 
-// add lists a share for a service if its shift moves that service.
-func (t *boundTable) add(s *routing.Snapshot, shift *routing.Shift, sh *share, service steering.Service, zone steering.Zone) {
+// add adds a share to the routes of a service if the shift moves that service.
+func (t *routeTable) add(s *routing.Snapshot, shift *routing.Shift, sh *share, service steering.Service, zone steering.Zone) {
 	if shift.Service != "" && shift.Service != service {
 		return
 	}
@@ -67,42 +65,42 @@
 			continue
 		}
 		for _, from := range shift.From {
-			way := passage{service, from, to}
-			t.byPassage[way] = append(t.byPassage[way], sh)
+			key := route{service, from, to}
+			t.byRoute[key] = append(t.byRoute[key], sh)
 		}
 	}
 }
 
-// of returns the shares whose caps bind a request; the slice must not be
+// sharesFor returns the shares of the caps that apply to a request. The slice must not be
 // changed.
-func (t *boundTable) of(service steering.Service, home, place steering.Place) []*share {
-	if shares, named := t.byPassage[passage{service, home, place}]; named {
+func (t *routeTable) sharesFor(service steering.Service, home, place steering.Place) []*share {
+	if shares, found := t.byRoute[route{service, home, place}]; found {
 		return shares
 	}
-	return t.byPassage[passage{"", home, place}]
+	return t.byRoute[route{"", home, place}]
 }
 
-// noCap is the permit of a request that no cap binds.
-type noCap struct{}
+// uncapped is the permit of a request to which no cap applies.
+type uncapped struct{}
 
-func (noCap) Done(bool) {}
+func (uncapped) Done(bool) {}
 
-// taken are the permits of one request.
-type taken struct {
+// takenPermits are the permits of one request.
+type takenPermits struct {
 	shares  []*share
 	permits []caps.Permit
-	// one is where the permit is kept in the usual case of one cap.
-	one [1]caps.Permit
+	// inline stores the permit in the usual case of one cap, to save an allocation.
+	inline [1]caps.Permit
 }
 
 // Done implements seam.CapPermit.
-func (t *taken) Done(sent bool) {
+func (t *takenPermits) Done(sent bool) {
 	now := time.Now()
 	for i, sh := range t.shares {
 		sh.mu.Lock()
 		sh.holder.Done(now, t.permits[i], sent)
 		if !sent {
-			sh.release()
+			sh.signalFreed()
 		}
 		sh.mu.Unlock()
 	}
@@ -110,41 +108,41 @@
 
 // Admit implements seam.CapGate.
 func (k *Caps) Admit(ctx context.Context, service steering.Service, home, place steering.Place) (seam.CapPermit, error) {
-	shares := k.bound.Load().of(service, home, place)
+	shares := k.capTable.Load().sharesFor(service, home, place)
 	if len(shares) == 0 {
-		return noCap{}, nil
+		return uncapped{}, nil
 	}
-	arrive(shares)
+	countDemand(shares)
 	t, short := k.take(shares)
 	if short == nil {
 		return t, nil
 	}
-	timeout := time.NewTimer(admitWait)
+	timeout := time.NewTimer(maxPermitWait)
 	defer timeout.Stop()
 	for {
 		if short.paused {
 			return nil, k.refuse(short)
 		}
-		short.sh.hunger()
-		soon := time.NewTimer(short.next)
+		short.sh.requestLoan()
+		retry := time.NewTimer(short.retryAfter)
 		select {
 		case <-short.freed:
-		case <-soon.C:
+		case <-retry.C:
 		case <-timeout.C:
-			soon.Stop()
+			retry.Stop()
 			return nil, k.refuse(short)
 		case <-ctx.Done():
-			soon.Stop()
+			retry.Stop()
 			return nil, k.refuse(short)
 		}
-		soon.Stop()
+		retry.Stop()
 		if t, short = k.take(shares); short == nil {
 			return t, nil
 		}
 	}
 }
 
-func arrive(shares []*share) {
+func countDemand(shares []*share) {
 	now := time.Now()
 	for _, sh := range shares {
 		sh.mu.Lock()
@@ -153,27 +151,27 @@
 	}
 }
 
-// shortage says which cap had no permit and when that may change.
+// shortage describes which cap had no free permit and when one may become free.
 type shortage struct {
-	sh    *share
-	freed <-chan struct{}
-	next  time.Duration
-	limit int
-	// paused is set while this process only has what it knew before a pause.
+	sh         *share
+	freed      <-chan struct{}
+	retryAfter time.Duration
+	limit      int
+	// paused is set from a pause of this process until its state is confirmed.
 	//
-	// What goes wrong without it: a VM that is suspended for minutes is listed
-	// as gone and its seat goes to others; it wakes with its permits in memory
-	// and starts requests with them, beyond the cap, until it hears of its seat.
+	// Without it, a VM that is suspended for minutes, listed as gone and replaced in its seat
+	// would resume with the permits in its memory. It would start requests with them, beyond the
+	// cap, until it receives the new seats.
 	paused bool
 }
 
-// take takes a permit of every share, or of none.
-func (k *Caps) take(shares []*share) (*taken, *shortage) {
+// take takes a permit from every share, or from none.
+func (k *Caps) take(shares []*share) (*takenPermits, *shortage) {
 	if !k.config.Settled() {
-		return nil, &shortage{sh: shares[0], next: settleWait, paused: true}
+		return nil, &shortage{sh: shares[0], retryAfter: pausedRetryAfter, paused: true}
 	}
-	t := &taken{shares: shares}
-	t.permits = t.one[:0]
+	t := &takenPermits{shares: shares}
+	t.permits = t.inline[:0]
 	for i, sh := range shares {
 		permit, short := sh.take()
 		if short != nil {
@@ -187,32 +185,32 @@
 	return t, nil
 }
 
-// take takes one permit, and asks for a loan ahead when it was the last.
+// take takes one permit. If that was the last free one, it requests a loan in advance.
 func (s *share) take() (caps.Permit, *shortage) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	permit, ok := s.holder.Take(now)
 	if !ok {
-		return permit, &shortage{sh: s, freed: s.freed, next: s.holder.NextFree(now), limit: s.holder.Rule().Requests}
+		return permit, &shortage{sh: s, freed: s.freed, retryAfter: s.holder.NextFree(now), limit: s.holder.Rule().Requests}
 	}
 	if s.holder.Free(now) == 0 {
-		s.hunger()
+		s.requestLoan()
 	}
 	return permit, nil
 }
 
-// settleWait is when to come back to an entry VM that was paused: by then a
-// peer has answered it.
-const settleWait = time.Second
+// pausedRetryAfter is when a caller should retry after this process was paused. A peer has
+// answered by then.
+const pausedRetryAfter = time.Second
 
 func (k *Caps) refuse(short *shortage) error {
 	k.metrics.refused.Inc(1)
 	short.sh.refused.Add(1)
 	if short.paused {
-		return steering.Refuse(steering.ReasonCapReached, short.next,
+		return steering.Refuse(steering.ReasonCapReached, short.retryAfter,
 			fmt.Sprintf("cap %s: this entry VM was paused and has not heard from others since", short.sh.name))
 	}
-	return steering.Refuse(steering.ReasonCapReached, short.next,
+	return steering.Refuse(steering.ReasonCapReached, short.retryAfter,
 		fmt.Sprintf("cap %s of %d per window has no free permit here", short.sh.name, short.limit))
 }
--- a/node/capshare/metrics.go
+++ b/node/capshare/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/uber-go/tally/v4"
 
-// metrics counts what caps do here.
+// metrics holds the counters of the caps at this entry VM.
 type metrics struct {
 	admitted       tally.Counter
 	refused        tally.Counter
--- a/node/capshare/seats.go
+++ b/node/capshare/seats.go
@@ -17,31 +17,31 @@
 )
 
 const (
-	// perSeat spreads the writes of all holders after a change that concerns
-	// them all, for a write made on an outdated record costs a call and fails.
-	perSeat = 20 * time.Millisecond
+	// writeSpreadPerSeat spreads the writes of all holders after a change that affects all of
+	// them, because a write that is based on an outdated record costs a call and fails.
+	writeSpreadPerSeat = 20 * time.Millisecond
 	// writeTimeout bounds a call to the platform.
 	writeTimeout = 5 * time.Second
-	// retryFirst and retryMax bound the pause after a failed write.
-	retryFirst = 100 * time.Millisecond
-	retryMax   = 10 * time.Second
+	// minRetryDelay and maxRetryDelay bound the delay after a failed write.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 10 * time.Second
 )
 
-// seatLoop keeps this entry VM's seat of one cap until ctx ends.
+// seatLoop maintains this entry VM's seat in one cap until ctx ends.
 func (k *Caps) seatLoop(ctx context.Context, sh *share) {
-	backoff := objects.NewBackoff(retryFirst, retryMax, k.config.Random)
-	wait := k.spread(sh)
+	backoff := objects.NewBackoff(minRetryDelay, maxRetryDelay, k.config.Random)
+	wait := k.writeDelay(sh)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(wait):
 		}
-		select { // what woke the loop up is looked at now
-		case <-sh.changed:
+		select { // the call of reconcile below also covers a pending check
+		case <-sh.checkWanted:
 		default:
 		}
-		if err := k.step(ctx, sh); err != nil {
+		if err := k.reconcile(ctx, sh); err != nil {
 			level.Debug(k.config.Log).Log("part", "capshare", "msg", "seats", "cap", sh.name, "err", err)
 			wait = backoff.Next()
 			continue
@@ -51,36 +51,36 @@
 	}
 }
 
-// waitForChange returns when the seats should be looked at again, with the
-// pause to make before that.
+// waitForChange blocks until the seats are to be checked again. It returns the delay before that
+// check.
 func (k *Caps) waitForChange(ctx context.Context, sh *share) time.Duration {
-	timer := time.NewTimer(stepEvery)
+	timer := time.NewTimer(checkInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
 		return 0
-	case <-sh.changed:
+	case <-sh.checkWanted:
 	}
-	return k.spread(sh)
+	return k.writeDelay(sh)
 }
 
-// spread is a random pause that grows with the number of seats.
-func (k *Caps) spread(sh *share) time.Duration {
+// writeDelay returns a random delay that grows with the number of seats.
+func (k *Caps) writeDelay(sh *share) time.Duration {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	seats := 1
 	if sh.seats != nil {
 		seats += len(sh.seats.Seats)
 	}
-	return time.Duration(k.config.Random() * float64(seats) * float64(perSeat))
+	return time.Duration(k.config.Random() * float64(seats) * float64(writeSpreadPerSeat))
 }
 
-// step decides on the seats and writes what was decided.
-func (k *Caps) step(ctx context.Context, sh *share) error {
+// reconcile decides how the seats should change and writes the change.
+func (k *Caps) reconcile(ctx context.Context, sh *share) error {
 	gone := k.goneVMs(ctx, sh)
 	sh.mu.Lock()
-	change, ok := k.plan(sh, gone)
+	change, ok := k.planChange(sh, gone)
 	sh.mu.Unlock()
 	if !ok {
 		return nil
@@ -97,24 +97,24 @@
 	return nil
 }
 
-// plan decides and makes the holder stop using what it is to give up; sh.mu is
-// held.
-func (k *Caps) plan(sh *share, gone func(routing.CapSeat) bool) (caps.Change, bool) {
+// planChange decides how the seats should change, and makes the holder stop using the permits
+// that it is to give up. The caller holds sh.mu.
+func (k *Caps) planChange(sh *share, gone func(routing.CapSeat) bool) (caps.Change, bool) {
 	s := sh.snapshot
 	if s.Caps[sh.name] != nil && s.Shifts[s.Caps[sh.name].Shift] == nil {
-		// A cap whose shift is missing: the two may arrive one after the other,
-		// and seats are not given up for that.
+		// The shift of the cap is missing. The two objects may arrive one after the other, so
+		// seats are not given up for that.
 		return caps.Change{}, false
 	}
-	view := sh.view(nil, k.config.Leading())
-	view.Claimants = k.claimants(s, sh.name)
-	view.Gone = gone
-	change := caps.Plan(view)
+	planView := sh.planView(nil, k.config.Leading())
+	planView.Claimants = k.claimants(s, sh.name)
+	planView.Gone = gone
+	change := caps.Plan(planView)
 	sh.holder.Shrink(time.Now(), change.Keep)
 	return change, true
 }
 
-// claimants lists the entry VMs that should hold a seat.
+// claimants returns the entry VMs that should hold a seat.
 func (k *Caps) claimants(s *routing.Snapshot, name string) []steering.VM {
 	zones := receivingZones(s, name)
 	var vms []steering.VM
@@ -144,17 +144,17 @@
 	return s.seats.Version
 }
 
-// write stores the seats on condition of the record they were made from, and
-// acts on what the platform then shows. After an error that leaves the outcome
-// open the record is read back: the holder goes by the lower of the two numbers
-// until it sees a newer record.
+// write stores the seats on the condition that the record they are based on is unchanged, and
+// applies the record that the platform then holds. If the write conflicts or its outcome is
+// unknown, the record is read back. Until the holder sees a newer record, it uses the lower of
+// the two numbers of permits.
 func (k *Caps) write(ctx context.Context, sh *share, seats *routing.CapSeats) error {
 	value, err := json.Marshal(seats)
 	if err != nil {
 		return errors.Wrap(err, "capshare: encode seats")
 	}
 	k.metrics.writes.Inc(1)
-	stored, err := k.store(ctx, sh.name, seats.Version, value)
+	stored, err := k.putSeats(ctx, sh.name, seats.Version, value)
 	switch objects.KindOf(err) {
 	case "":
 		if err != nil {
@@ -165,23 +165,23 @@
 		if stored, err = k.config.Platform.Get(ctx, routing.KindCapSeats, sh.name); err != nil {
 			return err
 		}
-		// Decide again on the newer record after a pause.
-		sh.wake()
+		// Plan again with the newer record after a delay.
+		sh.requestCheck()
 	default:
 		return err
 	}
-	return sh.learn(stored)
+	return sh.applyStored(stored)
 }
 
-func (k *Caps) store(ctx context.Context, name string, version int64, value []byte) (objects.Object, error) {
+func (k *Caps) putSeats(ctx context.Context, name string, version int64, value []byte) (objects.Object, error) {
 	if version == 0 {
 		return k.config.Platform.Create(ctx, routing.KindCapSeats, name, value)
 	}
 	return k.config.Platform.Update(ctx, routing.KindCapSeats, name, version, value)
 }
 
-// learn acts on a stored record.
-func (s *share) learn(stored objects.Object) error {
+// applyStored applies a record as the platform stores it.
+func (s *share) applyStored(stored objects.Object) error {
 	var seats routing.CapSeats
 	if err := json.Unmarshal(stored.Value, &seats); err != nil {
 		return errors.Wrapf(err, "capshare: CapSeats %s is not readable; delete it on the platform while no entry VM serves its cap", s.name)
@@ -189,6 +189,6 @@
 	seats.Version = stored.Version
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.adopt(time.Now(), &seats)
+	s.applySeats(time.Now(), &seats)
 	return nil
 }
--- a/node/capshare/share.go
+++ b/node/capshare/share.go
@@ -12,46 +12,46 @@
 	"heatherlock/steering/routing"
 )
 
-// share is this entry VM's part in one cap.
+// share is this entry VM's share of one cap.
 type share struct {
 	name string
 	self seam.Member
-	stop context.CancelFunc // ends the loops; does nothing before they run
+	stop context.CancelFunc // stops the loops; does nothing before they run
 
-	// changed is told when the seats should be looked at, hungry when permits
-	// are missing.
-	changed chan struct{}
-	hungry  chan struct{}
-	refused atomic.Int64 // requests refused so far
+	// checkWanted is signaled when the seats should be checked, loanWanted when permits are
+	// missing.
+	checkWanted chan struct{}
+	loanWanted  chan struct{}
+	refused     atomic.Int64 // requests refused so far
 
 	mu     sync.Mutex
 	holder *caps.Holder
-	// seats is the newest record known, from a snapshot or a reply.
+	// seats is the newest known record, from a snapshot or a reply of the platform.
 	seats *routing.CapSeats
-	// snapshot is the configuration last followed.
+	// snapshot is the configuration applied last.
 	snapshot *routing.Snapshot
-	// freed is closed and replaced when permits may have come free.
-	freed chan struct{}
-	empty map[steering.VM]time.Time // lenders that had nothing, until when
-	turn  int
+	// freed is closed and replaced when permits may have become free.
+	freed        chan struct{}
+	backoffUntil map[steering.VM]time.Time // when to ask lenders again that had nothing
+	lenderOffset int
 }
 
 func newShare(name string, self seam.Member, rule caps.Rule, now time.Time) *share {
 	return &share{
 		name: name, self: self, stop: func() {},
-		changed: make(chan struct{}, 1),
-		hungry:  make(chan struct{}, 1),
-		holder:  caps.NewHolder(now, rule),
-		freed:   make(chan struct{}),
-		empty:   map[steering.VM]time.Time{},
+		checkWanted:  make(chan struct{}, 1),
+		loanWanted:   make(chan struct{}, 1),
+		holder:       caps.NewHolder(now, rule),
+		freed:        make(chan struct{}),
+		backoffUntil: map[steering.VM]time.Time{},
 	}
 }
 
-// wake makes the seat loop look again.
-func (s *share) wake() { notify(s.changed) }
+// requestCheck makes the seat loop check the seats.
+func (s *share) requestCheck() { notify(s.checkWanted) }
 
-// hunger makes the borrow loop ask for a loan.
-func (s *share) hunger() { notify(s.hungry) }
+// requestLoan makes the borrow loop ask for a loan.
+func (s *share) requestLoan() { notify(s.loanWanted) }
 
 func notify(c chan struct{}) {
 	select {
@@ -60,25 +60,25 @@
 	}
 }
 
-// follow puts the cap and the seats of a snapshot into force here: a lower cap
-// binds from this moment on, before anything is written.
-func (s *share) follow(now time.Time, snapshot *routing.Snapshot) {
+// applySnapshot puts the cap and the seats of a snapshot into force. A lower cap applies
+// immediately, before any seat is written.
+func (s *share) applySnapshot(now time.Time, snapshot *routing.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.snapshot = snapshot
 	s.holder.Configure(ruleOf(snapshot, s.name))
 	if seats := snapshot.Seats[s.name]; seats != nil {
-		s.adopt(now, seats)
+		s.applySeats(now, seats)
 	} else if s.seats != nil && s.seats.Version < snapshot.Version {
-		// The record was deleted, which happens once no seat is left in it.
+		// The record was deleted, which happens once it contains no seats.
 		s.seats = nil
 		s.holder.Adopt(now, snapshot.Version, 0, 0, false)
 	}
-	s.holder.Shrink(now, caps.Plan(s.view(nil, false)).Keep)
+	s.holder.Shrink(now, caps.Plan(s.planView(nil, false)).Keep)
 }
 
-// adopt acts on a record of the seats unless a newer one is known; s.mu is held.
-func (s *share) adopt(now time.Time, seats *routing.CapSeats) {
+// applySeats applies a record of the seats unless a newer one is known. The caller holds s.mu.
+func (s *share) applySeats(now time.Time, seats *routing.CapSeats) {
 	if s.seats != nil && seats.Version <= s.seats.Version {
 		return
 	}
@@ -92,9 +92,9 @@
 	s.holder.Adopt(now, seats.Version, own, time.Duration(seats.WindowMs)*time.Millisecond, caps.Exceeds(seats, s.holder.Rule()))
 }
 
-// view is what a plan is made from; s.mu is held. Without claimants the plan
-// says only how many permits may be kept.
-func (s *share) view(claimants []steering.VM, leader bool) caps.View {
+// planView returns the input of caps.Plan. The caller holds s.mu. Without claimants, only
+// Change.Keep of the resulting plan is valid.
+func (s *share) planView(claimants []steering.VM, leader bool) caps.View {
 	return caps.View{
 		Self: s.self.VM, Incarnation: s.self.Incarnation,
 		Rule: s.holder.Rule(), Seats: s.seats,
@@ -105,8 +105,8 @@
 	}
 }
 
-// release tells waiting requests that permits may have come free; s.mu is held.
-func (s *share) release() {
+// signalFreed wakes waiting requests because permits may have become free. The caller holds s.mu.
+func (s *share) signalFreed() {
 	close(s.freed)
 	s.freed = make(chan struct{})
 }
--- a/node/capshare/vmlist.go
+++ b/node/capshare/vmlist.go
@@ -11,45 +11,44 @@
 	"heatherlock/steering/routing"
 )
 
-// listEvery bounds how often this entry VM reads the platform's list of VMs.
-const listEvery = 5 * time.Second
+// listInterval bounds how often this entry VM reads the platform's list of VMs.
+const listInterval = 5 * time.Second
 
-// seatKey names the holder of a seat.
+// seatKey identifies the holder of a seat.
 type seatKey struct {
 	vm          steering.VM
 	incarnation steering.Incarnation
 }
 
-// vmList is the platform's list of VMs as last read, with since when each
-// holder of a seat is known here.
+// vmList is the platform's list of VMs as last read, and the times at which this entry VM first
+// saw the holders of seats.
 type vmList struct {
 	mu        sync.Mutex
-	running   map[string]bool
+	present   map[string]bool // listed VMs; false for those that are gone
 	readAt    time.Time
 	firstSeen map[seatKey]time.Time
 }
 
-// goneVMs returns what says whether the platform has shown the holder of a
-// seat as gone. Only the zone's reader reads the list, and only while a holder
-// is not live in its view.
+// goneVMs returns a function that reports whether the platform lists the holder of a seat as
+// gone. Only the zone's reader reads the list, and only while it sees a holder as suspect or
+// gone, or does not see it.
 //
-// What can go wrong: the list lags, and may still show as gone an earlier VM of
-// the same name while its successor holds the seat. One would notice two
-// holders of one permit. So a line counts only when it was read a lag after
-// this entry VM first saw the holder: what it shows is then newer than the
-// holder.
+// The list lags and may still show an earlier VM of the same name as gone while its successor
+// holds the seat. Clearing that seat would give the same permits to two holders. An entry of the
+// list therefore counts only if the list was read at least Config.ListLag after this entry VM
+// first saw the holder: what the list shows is then newer than the holder.
 func (k *Caps) goneVMs(ctx context.Context, sh *share) func(routing.CapSeat) bool {
 	now := time.Now()
-	doubtful := k.noteHolders(sh, now)
-	if doubtful && k.config.Leading() {
+	anyNotReachable := k.recordHolders(sh, now)
+	if anyNotReachable && k.config.Leading() {
 		k.readList(ctx, now)
 	}
 	return k.isGone
 }
 
-// noteHolders records the holders of seats and reports whether one of them is
-// not live in the view.
-func (k *Caps) noteHolders(sh *share, now time.Time) (doubtful bool) {
+// recordHolders records the holders of the seats and reports whether one of the others is suspect,
+// gone or missing in the view.
+func (k *Caps) recordHolders(sh *share, now time.Time) (anyNotReachable bool) {
 	sh.mu.Lock()
 	seats := sh.seats
 	sh.mu.Unlock()
@@ -68,26 +67,26 @@
 		}
 		m, known := k.config.Members.ByIncarnation(seat.Incarnation)
 		if !known || m.State == seam.MemberGone || m.State == seam.MemberSuspect {
-			doubtful = true
+			anyNotReachable = true
 		}
 	}
-	k.vms.forget()
-	return doubtful
+	k.vms.limitSize()
+	return anyNotReachable
 }
 
-// maxHolders bounds the remembered holders; forgetting one only delays the
-// clearing of its seat.
-const maxHolders = 8192
+// maxKnownHolders bounds the recorded holders. Dropping a holder only delays the clearing of its
+// seat.
+const maxKnownHolders = 8192
 
-func (l *vmList) forget() {
-	if len(l.firstSeen) > maxHolders {
+func (l *vmList) limitSize() {
+	if len(l.firstSeen) > maxKnownHolders {
 		clear(l.firstSeen)
 	}
 }
 
 func (k *Caps) readList(ctx context.Context, now time.Time) {
 	k.vms.mu.Lock()
-	due := now.Sub(k.vms.readAt) >= listEvery
+	due := now.Sub(k.vms.readAt) >= listInterval
 	k.vms.mu.Unlock()
 	if !due {
 		return
@@ -98,15 +97,17 @@
 	if err != nil {
 		return
 	}
-	running := make(map[string]bool, len(vms))
+	present := make(map[string]bool, len(vms))
 	for _, vm := range vms {
-		running[vm.Name] = vm.State != objects.VMGone
+		present[vm.Name] = vm.State != objects.VMGone
 	}
 	k.vms.mu.Lock()
 	defer k.vms.mu.Unlock()
-	k.vms.running, k.vms.readAt = running, now
+	k.vms.present, k.vms.readAt = present, now
 }
 
+// isGone reports whether the platform's list shows the holder of a seat as gone. A VM that the list
+// does not contain counts as gone.
 func (k *Caps) isGone(seat routing.CapSeat) bool {
 	k.vms.mu.Lock()
 	defer k.vms.mu.Unlock()
@@ -114,5 +115,5 @@
 	if !known || k.vms.readAt.Before(first.Add(k.config.ListLag)) {
 		return false
 	}
-	return !k.vms.running[string(seat.VM)]
+	return !k.vms.present[string(seat.VM)]
 }
