--- a/node/operator/audit.go
+++ b/node/operator/audit.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// maxDiffFields bounds the fields that one audit line lists.
+	// maxDiffFields is the maximum number of fields that one audit line lists.
 	maxDiffFields = 40
-	// maxDiffValue bounds the length of a value in it.
-	maxDiffValue = 80
+	// maxDiffValueBytes is the length to which a field's value in an audit line is truncated.
+	maxDiffValueBytes = 80
 )
 
-// audit logs an accepted change: who, what, which version, which fields.
-// Objects hold no secrets, and neither does the line.
+// audit logs an accepted change with its author, action, version and changed fields.
+// Objects contain no secrets, so the line contains none either.
 func (s *Server) audit(ctx context.Context, c change, before oas.Object, existed bool, version int64) {
 	action, after := "create", c.object
 	switch {
@@ -36,12 +36,13 @@
 	}
 	s.scope.Tagged(map[string]string{"action": action, "kind": string(c.ref.Kind)}).Counter("operator_changes").Inc(1)
 	_ = level.Info(s.log).Log("msg", "change accepted", "audit", true, "who", identity(ctx), "action", action,
-		"object", c.ref.String(), "version", version, "from_version", c.base, "override", c.override,
+		"object", c.ref.String(), "version", version, "from_version", c.baseVersion, "override", c.override,
 		"diff", Diff(before, after))
 }
 
-// Diff lists the fields of spec that differ, as "path: old -> new", sorted.
-// Either object may be empty.
+// Diff returns the spec fields that differ as sorted lines of the form "path: old -> new",
+// "path: added new" or "path: removed old". Either object may be empty. At most 40 fields are
+// listed; a last line gives the number of the others.
 func Diff(before, after oas.Object) []string {
 	old, now := flatten(before), flatten(after)
 	var lines []string
@@ -65,8 +66,8 @@
 	return lines
 }
 
-// flatten returns each leaf of an object's spec by its path. Client blocks are
-// many and take no detour over JSON.
+// flatten returns the leaf values of an object's spec by their path. Client blocks are read
+// directly, because an object can hold very many and encoding them to JSON would be slow.
 func flatten(o oas.Object) map[string]string {
 	leaves := map[string]string{}
 	switch o.Type {
@@ -92,6 +93,7 @@
 	return leaves
 }
 
+// walk adds the leaf values below value to leaves.
 func walk(path string, value any, leaves map[string]string) {
 	switch v := value.(type) {
 	case map[string]any:
@@ -100,20 +102,20 @@
 		}
 	case []any:
 		for i, item := range v {
-			walk(fmt.Sprintf("%s[%s]", path, label(i, item)), item, leaves)
+			walk(fmt.Sprintf("%s[%s]", path, itemLabel(i, item)), item, leaves)
 		}
 	default:
 		text := fmt.Sprint(v)
-		if len(text) > maxDiffValue {
-			text = text[:maxDiffValue] + "..."
+		if len(text) > maxDiffValueBytes {
+			text = text[:maxDiffValueBytes] + "..."
 		}
 		leaves[path] = text
 	}
 }
 
-// label names an item of a list by its name, so that removing the first item
-// does not show as a change of every other.
-func label(i int, item any) string {
+// itemLabel returns the name or prefix of a list item, or else its index. With names in the
+// path, removing the first item doesn't show as a change to every other item.
+func itemLabel(i int, item any) string {
 	fields, ok := item.(map[string]any)
 	if !ok {
 		return fmt.Sprint(i)
@@ -126,10 +128,11 @@
 	return fmt.Sprint(i)
 }
 
-// sameSpec tells whether two objects declare the same.
+// sameSpec reports whether two objects have equal specs.
 func sameSpec(a, b oas.Object) bool { return reflect.DeepEqual(flatten(a), flatten(b)) }
 
-// facts gathers what is known beside the objects.
+// facts returns the runtime state that the checks use in addition to the objects: the
+// entry VMs, the permits in use of each cap and the percent moved of each shift.
 func (s *Server) facts(set check.Set) check.Facts {
 	facts := check.Facts{Now: time.Now(), EntryVMs: map[string]string{}, PermitsInUse: map[string]int{}, MovedPercent: map[string]int{}}
 	for _, m := range s.runtime.Members() {
--- a/node/operator/auth.go
+++ b/node/operator/auth.go
@@ -11,27 +11,28 @@
 	"heatherlock/api/oas"
 )
 
-// anonymous names operators where no tokens and no certificates are set up.
+// anonymous is the operator name used when neither tokens nor client certificates are
+// configured.
 const anonymous = "anonymous"
 
 type identityKey struct{}
 
-// identity returns the name under which a request was let in.
+// identity returns the name of the authenticated operator.
 func identity(ctx context.Context) string {
 	name, _ := ctx.Value(identityKey{}).(string)
 	return name
 }
 
-// authenticate lets in requests with a client certificate that the listener
-// verified or a known token, and puts the operator's name into the context.
-// A browser sends the token as the password of basic authentication.
+// authenticate accepts requests with a client certificate that the listener verified, or with
+// a known token, and stores the operator's name in the context. A browser sends the token as
+// the password of basic authentication.
 func (s *Server) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		name, ok := s.identify(r)
 		if !ok {
 			s.scope.Counter("operator_unauthorized").Inc(1)
 			w.Header().Set("WWW-Authenticate", `Basic realm="heatherlock", charset="UTF-8"`)
-			writeProblem(w, http.StatusUnauthorized, refuse(oas.ProblemReasonUnauthorized, "send a token of operatorTokens: heatherlock --token-file FILE, or HEATHERLOCK_TOKEN", "no valid token or client certificate"))
+			writeProblem(w, http.StatusUnauthorized, newError(oas.ProblemReasonUnauthorized, "send a token of operatorTokens: heatherlock --token-file FILE, or HEATHERLOCK_TOKEN", "no valid token or client certificate"))
 			return
 		}
 		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), identityKey{}, name)))
@@ -45,10 +46,11 @@
 	if len(s.tokens) == 0 {
 		return anonymous, true
 	}
-	return s.nameOf(tokenIn(r))
+	return s.operatorOf(tokenOf(r))
 }
 
-func tokenIn(r *http.Request) string {
+// tokenOf returns the bearer token or the basic authentication password of a request, or "".
+func tokenOf(r *http.Request) string {
 	if token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer "); ok {
 		return token
 	}
@@ -56,9 +58,10 @@
 	return token
 }
 
-// nameOf compares with every token in constant time, so that the time taken
-// says nothing of how much of a guess was right.
-func (s *Server) nameOf(token string) (string, bool) {
+// operatorOf returns the operator that a token belongs to. It compares the token with every
+// configured one in constant time, so that response times don't reveal how much of a guessed
+// token is correct.
+func (s *Server) operatorOf(token string) (string, bool) {
 	if token == "" {
 		return "", false
 	}
--- a/node/operator/blocks_test.go
+++ b/node/operator/blocks_test.go
@@ -14,8 +14,9 @@
 	standin "heatherlock/standin/platform"
 )
 
-// manyBlocks returns a ClientBlocks object with n blocks from the number on.
-func manyBlocks(name string, first, n int) oas.Object {
+// newClientBlocks returns a ClientBlocks object with n blocks; first is the number of the
+// first block.
+func newClientBlocks(name string, first, n int) oas.Object {
 	blocks := oas.ClientBlocks{Kind: string(oas.KindClientBlocks), Metadata: oas.Metadata{Name: oas.ObjectName(name)}}
 	for i := first; i < first+n; i++ {
 		prefix := fmt.Sprintf("%d.%d.%d.0/24", 10+i>>16, (i>>8)&255, i&255)
@@ -24,17 +25,17 @@
 	return oas.NewClientBlocksObject(blocks)
 }
 
-// Client blocks are compared with those of other objects although they are not
-// held together, and a place that blocks belong to cannot be deleted.
+// Client blocks are checked against those of other ClientBlocks objects, although only one such
+// object is in memory at a time. A place that client blocks refer to can't be deleted.
 func TestBlocksAreCheckedAgainstOtherObjects(t *testing.T) {
 	store := standin.NewStore(standin.Options{})
 	s := newServer(t, store, &fakeRuntime{})
-	declare(t, s)
-	_, err := create(s, manyBlocks("one", 0, 10))
+	createObjects(t, s)
+	_, err := create(s, newClientBlocks("one", 0, 10))
 	assert.NilError(t, err)
-	_, err = create(s, manyBlocks("two", 9, 10))
-	assert.Equal(t, reasonOf(err), oas.ProblemReasonInvalid, "%v", err)
-	_, err = create(s, manyBlocks("two", 10, 10))
+	_, err = create(s, newClientBlocks("two", 9, 10))
+	assert.Equal(t, problemReason(err), oas.ProblemReasonInvalid, "%v", err)
+	_, err = create(s, newClientBlocks("two", 10, 10))
 	assert.NilError(t, err)
 	for _, name := range []string{"a-b"} {
 		for _, kind := range []oas.Kind{oas.KindCap, oas.KindShift} {
@@ -42,7 +43,7 @@
 		}
 	}
 	err = deleteObject(t, s, check.Ref{Kind: oas.KindPlace, Name: "a"})
-	assert.Equal(t, reasonOf(err), oas.ProblemReasonInvalid, "%v", err)
+	assert.Equal(t, problemReason(err), oas.ProblemReasonInvalid, "%v", err)
 	assert.NilError(t, deleteObject(t, s, check.Ref{Kind: oas.KindPlace, Name: "b"}))
 }
 
@@ -54,17 +55,17 @@
 	return err
 }
 
-// BenchmarkChangeAmong680000Blocks changes one of sixteen objects that hold
-// 680,000 client blocks together, over HTTP.
+// BenchmarkChangeAmong680000Blocks updates one of 16 objects over HTTP that together contain
+// 680,000 client blocks.
 func BenchmarkChangeAmong680000Blocks(b *testing.B) {
 	const objects, each = 16, 42500
 	store := standin.NewStore(standin.Options{})
 	s := newServer(b, store, &fakeRuntime{})
-	declare(b, s)
+	createObjects(b, s)
 	var object oas.Object
 	for i := range objects {
 		var err error
-		object, err = create(s, manyBlocks(fmt.Sprintf("b%d", i), i*each, each))
+		object, err = create(s, newClientBlocks(fmt.Sprintf("b%d", i), i*each, each))
 		assert.NilError(b, err)
 	}
 	handler := s.Handler()
--- a/node/operator/config.go
+++ b/node/operator/config.go
@@ -9,43 +9,44 @@
 	"heatherlock/objects"
 )
 
-// Token lets an operator in by a bearer token, of which only the SHA-256 is kept.
+// Token is an operator's bearer token, of which only the SHA-256 digest is stored.
 type Token struct {
 	Name   string
 	SHA256 string // lower-case hex
 }
 
-// Config holds what a Server needs.
+// Config configures a Server. Platform and Runtime are required.
 type Config struct {
 	VM       string
 	Zone     string
 	Platform objects.API
 	Runtime  Runtime
-	// Tokens lists the operators; when empty, and no client certificate is
-	// asked for, everybody on the operators' listener is let in.
+	// Tokens lists the operators. If it is empty and the listener requests no client
+	// certificates, every request is accepted.
 	Tokens []Token
 	Log    log.Logger
 	Scope  tally.Scope
 }
 
 const (
-	// maxObjectBytes leaves room in the platform's limit for what is added to
-	// an object before it is stored.
+	// maxObjectBytes is the maximum size of an encoded object. It is 4 KiB below the platform's
+	// limit, to leave room for what is added to an object before it is stored.
 	maxObjectBytes = objects.MaxValueBytes - 4<<10
-	// maxBodyBytes bounds a request's body. Client blocks may be longer than
-	// one value of the platform, because they are split; checking costs some
-	// ten times the body in memory, which bounds this.
+	// maxBodyBytes is the maximum size of a request body. It exceeds the platform's limit for
+	// one value, because ClientBlocks objects are split into shards. It can't be much larger:
+	// checking a body takes about ten times its size in memory.
 	maxBodyBytes = 2 * objects.MaxValueBytes
-	// maxWatches bounds the operators' watches through one entry VM, because
-	// the platform counts each waiting watch.
+	// maxWatches is the maximum number of concurrent operator watches through one entry VM,
+	// because each waiting watch counts towards the platform's limits.
 	maxWatches = 64
-	// defaultWatchWait is used when the request gives no waitMs.
+	// defaultWatchWait is how long a watch waits if the request has no waitMs.
 	defaultWatchWait = 20 * time.Second
-	// writeAttempts bounds how often a write with an unknown outcome is
-	// repeated; it is conditional, so that repeating is safe.
-	writeAttempts = 5
-	// writePause comes between those attempts.
-	writePause = 100 * time.Millisecond
-	// comeBack is told to operators when the platform gave no time.
-	comeBack = time.Second
+	// maxWriteAttempts is the maximum number of attempts for a write whose outcome is unknown.
+	// Repeating it is safe, because writes are conditional on the object's version.
+	maxWriteAttempts = 5
+	// writeRetryDelay is the delay between write attempts.
+	writeRetryDelay = 100 * time.Millisecond
+	// defaultRetryAfter is the minimum retry delay returned to operators; it also applies if
+	// the platform gave none.
+	defaultRetryAfter = time.Second
 )
--- a/node/operator/deployment.go
+++ b/node/operator/deployment.go
@@ -10,11 +10,11 @@
 
 // GetStatus implements oas.Handler.
 func (s *Server) GetStatus(context.Context) (*oas.DeploymentStatus, error) {
-	return s.deployment(), nil
+	return s.deploymentStatus(), nil
 }
 
-// deployment is the whole system as this entry VM sees it now.
-func (s *Server) deployment() *oas.DeploymentStatus {
+// deploymentStatus returns the state of the whole system as this entry VM currently knows it.
+func (s *Server) deploymentStatus() *oas.DeploymentStatus {
 	d := &oas.DeploymentStatus{
 		AnsweredBy:        s.vm,
 		ConfigVersion:     s.runtime.ConfigVersion(),
@@ -23,15 +23,16 @@
 		Zones:             []oas.ZoneStatus{},
 		Places:            []oas.PlaceStatus{},
 	}
-	inZone := map[string]int64{}
+	zoneVersion := map[string]int64{}
 	for _, z := range s.runtime.Zones() {
 		d.Zones = append(d.Zones, zoneStatus(z))
-		inZone[z.Zone] = z.ConfigVersion
+		zoneVersion[z.Zone] = z.ConfigVersion
 	}
 	for _, m := range s.runtime.Members() {
-		// Every member of a zone has at least the zone's lowest version; news
-		// of a single far member travel more seldom.
-		m.ConfigVersion = max(m.ConfigVersion, inZone[m.Zone])
+		// Every member of a zone has at least the zone's lowest version. That version can be
+		// newer than the member's own entry, because the state of a single remote member is
+		// distributed less often.
+		m.ConfigVersion = max(m.ConfigVersion, zoneVersion[m.Zone])
 		d.Members = append(d.Members, memberStatus(m))
 	}
 	d.Places = placeStatuses(s.runtime.Pools())
@@ -66,7 +67,8 @@
 	return status
 }
 
-// placeStatuses groups pools by place, both sorted by name.
+// placeStatuses groups pools by place. Places are sorted by name, and the pools of a place by
+// service.
 func placeStatuses(pools []PoolFact) []oas.PlaceStatus {
 	places := []oas.PlaceStatus{}
 	pools = slices.Clone(pools)
--- a/node/operator/operator_test.go
+++ b/node/operator/operator_test.go
@@ -25,25 +25,25 @@
 	standin "heatherlock/standin/platform"
 )
 
-// fakeRuntime is what the entry VM would know.
+// fakeRuntime is a Runtime with fixed state.
 type fakeRuntime struct {
-	zones  []ZoneFact
-	moved  int
-	stop   StopFact
-	held   int
-	member []MemberFact
+	zones       []ZoneFact
+	moved       int
+	stop        StopFact
+	permitsHeld int
+	members     []MemberFact
 }
 
 func (f *fakeRuntime) ConfigVersion() int64    { return 1 }
 func (f *fakeRuntime) PlatformReachable() bool { return true }
-func (f *fakeRuntime) Members() []MemberFact   { return f.member }
+func (f *fakeRuntime) Members() []MemberFact   { return f.members }
 func (f *fakeRuntime) Zones() []ZoneFact       { return f.zones }
 func (f *fakeRuntime) Pools() []PoolFact       { return nil }
 func (f *fakeRuntime) Shift(string) (ShiftFact, bool) {
 	return ShiftFact{MovedPercent: f.moved, HeldBy: "warm-up"}, true
 }
 func (f *fakeRuntime) Stop(string) (StopFact, bool) { return f.stop, true }
-func (f *fakeRuntime) Cap(string) (CapFact, bool)   { return CapFact{PermitsHeld: f.held}, true }
+func (f *fakeRuntime) Cap(string) (CapFact, bool)   { return CapFact{PermitsHeld: f.permitsHeld}, true }
 
 func newServer(t testing.TB, store *standin.Store, runtime Runtime) *Server {
 	t.Helper()
@@ -52,15 +52,15 @@
 	return s
 }
 
-func object(t testing.TB, raw string) oas.Object {
+func decodeObject(t testing.TB, raw string) oas.Object {
 	t.Helper()
 	o, problems := check.Decode([]byte(raw))
 	assert.Equal(t, len(problems), 0, "%v", problems)
 	return o
 }
 
-func newService(t testing.TB, timeout int) oas.Object {
-	return object(t, fmt.Sprintf(`{"kind":"Service","metadata":{"name":"tickets"},"spec":{"timeoutMs":%d}}`, timeout))
+func serviceWithTimeout(t testing.TB, timeout int) oas.Object {
+	return decodeObject(t, fmt.Sprintf(`{"kind":"Service","metadata":{"name":"tickets"},"spec":{"timeoutMs":%d}}`, timeout))
 }
 
 func create(s *Server, o oas.Object) (oas.Object, error) {
@@ -75,7 +75,7 @@
 	return s.UpdateObject(context.Background(), o, params)
 }
 
-func reasonOf(err error) oas.ProblemReason {
+func problemReason(err error) oas.ProblemReason {
 	var e *Error
 	if errors.As(err, &e) {
 		return e.Problem.Reason
@@ -83,15 +83,14 @@
 	return ""
 }
 
-// Symptom: an operator is told of a conflict although nobody else wrote.
-// Sequence: the platform stores the change, its reply is lost, the entry VM
-// writes again and meets its own change. Cause: a conflict taken at its word.
+// Guards against reporting a conflict when nobody else wrote. The platform stores the change
+// but its reply is lost, and the entry VM's retry then conflicts with its own change.
 func TestLostReplyIsRecognisedAsOwnWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore(standin.Options{})
 		s := newServer(t, store, &fakeRuntime{})
 		store.LoseReplies(1)
-		created, err := create(s, newService(t, 100))
+		created, err := create(s, serviceWithTimeout(t, 100))
 		assert.NilError(t, err)
 		store.LoseReplies(standin.AllReplies)
 		created.Service.Spec.TimeoutMs = oas.NewOptInt64(200)
@@ -102,23 +101,22 @@
 	})
 }
 
-// Symptom: an operator is told "not changed" and the change is in force.
-// Sequence: the platform stores the change, the reply is lost, then the
-// platform goes down before the entry VM can read back. Cause: reporting the
-// last error instead of what is known.
+// Guards against reporting a change as not made although it is in force. The platform stores
+// the change, its reply is lost, and the platform fails before the entry VM can read the object
+// back. Reporting only the last error would be wrong.
 func TestOutcomeIsUnknownWhenThePlatformGoesDownAfterALostReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore(standin.Options{})
 		s := newServer(t, store, &fakeRuntime{})
 		store.LoseReplies(1)
 		go func() {
-			time.Sleep(writePause / 2)
+			time.Sleep(writeRetryDelay / 2)
 			store.Down(true)
 		}()
-		o := newService(t, 100)
+		o := serviceWithTimeout(t, 100)
 		check.MetadataOf(&o).WriteId = oas.NewOptString("w1")
 		_, err := create(s, o)
-		assert.Equal(t, reasonOf(err), oas.ProblemReasonOutcomeUnknown, "%v", err)
+		assert.Equal(t, problemReason(err), oas.ProblemReasonOutcomeUnknown, "%v", err)
 		store.Down(false)
 		again, err := create(s, o)
 		assert.NilError(t, err, "the same write id is recognised")
@@ -126,37 +124,36 @@
 	})
 }
 
-func TestPlatformOutageIsTypedAndSaysWhenToComeBack(t *testing.T) {
+func TestPlatformOutageIsTypedAndHasRetryAfter(t *testing.T) {
 	store := standin.NewStore(standin.Options{})
 	s := newServer(t, store, &fakeRuntime{})
 	store.Down(true)
-	_, err := create(s, newService(t, 100))
-	assert.Equal(t, reasonOf(err), oas.ProblemReasonUnavailable)
+	_, err := create(s, serviceWithTimeout(t, 100))
+	assert.Equal(t, problemReason(err), oas.ProblemReasonUnavailable)
 	var e *Error
 	assert.Assert(t, errors.As(err, &e) && e.Problem.RetryAfterMs.Value > 0)
 	assert.Equal(t, store.Revision(), int64(0))
 }
 
-// lagging answers lists as they were when it was made.
-type lagging struct {
+// fixedList is a platform whose lists always return the same objects and revision.
+type fixedList struct {
 	objects.API
 	objects  []objects.Object
 	revision int64
 }
 
-func (l lagging) List(context.Context, ...string) ([]objects.Object, int64, error) {
+func (l fixedList) List(context.Context, ...string) ([]objects.Object, int64, error) {
 	return l.objects, l.revision, nil
 }
 
-// Symptom: of two operators who change one object, both are told "accepted" and
-// one change is gone. Sequence: both read version 1 and send back the write id
-// they read; the second one's entry VM reads the set just before the first
-// write, meets the conflict, reads the object and finds "its own" write id.
-// Cause: a write id that does not belong to one change.
+// Guards against a lost update that is reported as accepted to both of two operators. Both read
+// version 1 and send back its write ID. The second operator's entry VM reads the set before the
+// first write, gets a conflict, and would find its own write ID on the stored object if the ID
+// weren't unique to a change.
 func TestRacingOperatorsSeeBothVersions(t *testing.T) {
 	store := standin.NewStore(standin.Options{})
 	s, other := newServer(t, store, &fakeRuntime{}), newServer(t, store, &fakeRuntime{})
-	read, err := create(s, newService(t, 100))
+	read, err := create(s, serviceWithTimeout(t, 100))
 	assert.NilError(t, err)
 	first, second := read, read
 	first.Service.Spec.TimeoutMs = oas.NewOptInt64(200)
@@ -165,10 +162,10 @@
 	assert.NilError(t, err)
 	_, err = update(s, first, "")
 	assert.NilError(t, err)
-	for _, api := range []objects.API{other.platform, lagging{other.platform, listed, revision}} {
+	for _, api := range []objects.API{other.platform, fixedList{other.platform, listed, revision}} {
 		other.platform = api
 		_, err = update(other, second, "")
-		assert.Equal(t, reasonOf(err), oas.ProblemReasonConflict, "%v", err)
+		assert.Equal(t, problemReason(err), oas.ProblemReasonConflict, "%v", err)
 		var e *Error
 		assert.Assert(t, errors.As(err, &e))
 		assert.Equal(t, e.Problem.Stored.Value.Service.Spec.TimeoutMs.Value, int64(200))
@@ -176,15 +173,15 @@
 	}
 }
 
-// Under any mixture of lost replies, outages, stale reads and racing operators:
-// what was accepted took effect exactly once, what was refused not at all, and
-// only what is reported as unknown may be either.
+// With any combination of lost replies, outages, stale reads and concurrent operators, an
+// accepted change takes effect exactly once and a refused change not at all. Only a change that
+// is reported with an unknown outcome may be either.
 func TestAcceptedChangesTakeEffectOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(t *testing.T) {
 			store := standin.NewStore(standin.Options{WritesPerSecond: 1 << 20, ReadsPerSecond: 1 << 20})
 			servers := []*Server{newServer(t, store, &fakeRuntime{}), newServer(t, store, &fakeRuntime{})}
-			held, err := create(servers[0], newService(t, 1))
+			held, err := create(servers[0], serviceWithTimeout(t, 1))
 			assert.NilError(t, err)
 			hands := []oas.Object{held, held}
 			for i := range rapid.IntRange(1, 12).Draw(rt, "steps") {
@@ -192,7 +189,7 @@
 				store.StaleReads(int64(rapid.IntRange(0, 1).Draw(rt, "stale")))
 				down := rapid.IntRange(0, 3).Draw(rt, "down") == 0
 				if down {
-					time.AfterFunc(writePause/2, func() { store.Down(true) })
+					time.AfterFunc(writeRetryDelay/2, func() { store.Down(true) })
 				}
 				who := rapid.IntRange(0, 1).Draw(rt, "who")
 				before := store.Revision()
@@ -200,7 +197,7 @@
 				o.Service.Spec.TimeoutMs = oas.NewOptInt64(int64(i + 100))
 				written, err := update(servers[who], o, "")
 				effects := store.Revision() - before
-				switch reason := reasonOf(err); {
+				switch reason := problemReason(err); {
 				case err == nil && effects != 1:
 					rt.Fatalf("accepted, %d effects", effects)
 				case err == nil:
@@ -210,7 +207,7 @@
 				case reason != oas.ProblemReasonOutcomeUnknown && effects != 0:
 					rt.Fatalf("refused as %s, %d effects", reason, effects)
 				}
-				time.Sleep(writePause)
+				time.Sleep(writeRetryDelay)
 				store.Down(false)
 				store.StaleReads(0)
 				if rapid.Bool().Draw(rt, "read") {
@@ -222,8 +219,8 @@
 	})
 }
 
-// Whatever the operator's pace and the entry VM asked, a watch that resumes from
-// the version it was given sees each change once and in order.
+// A watch that resumes from the returned version receives each change once and in order,
+// however often the operator polls and whichever entry VM it uses.
 func TestWatchMissesAndRepeatsNothing(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		store := standin.NewStore(standin.Options{WritesPerSecond: 1 << 20, ReadsPerSecond: 1 << 20})
@@ -239,7 +236,7 @@
 			}
 			since = reply.Version
 		}
-		held, err := create(servers[0], newService(t, 1))
+		held, err := create(servers[0], serviceWithTimeout(t, 1))
 		assert.NilError(t, err)
 		steps := rapid.IntRange(1, 20).Draw(rt, "steps")
 		for i := range steps {
@@ -259,7 +256,7 @@
 	})
 }
 
-func declare(t testing.TB, s *Server) {
+func createObjects(t testing.TB, s *Server) {
 	t.Helper()
 	for _, raw := range []string{
 		`{"kind":"Service","metadata":{"name":"tickets"},"spec":{}}`,
@@ -268,7 +265,7 @@
 		`{"kind":"Shift","metadata":{"name":"a-b"},"spec":{"from":"a","to":"b","percent":50}}`,
 		`{"kind":"Cap","metadata":{"name":"a-b"},"spec":{"shift":"a-b","requests":9}}`,
 	} {
-		_, err := create(s, object(t, raw))
+		_, err := create(s, decodeObject(t, raw))
 		assert.NilError(t, err)
 	}
 }
@@ -278,12 +275,12 @@
 	store := standin.NewStore(standin.Options{})
 	s := newServer(t, store, &fakeRuntime{})
 	s.log = log.NewJSONLogger(&lines)
-	declare(t, s)
+	createObjects(t, s)
 	limit, err := s.get(context.Background(), check.Ref{Kind: oas.KindCap, Name: "a-b"})
 	assert.NilError(t, err)
 	limit.Cap.Spec.Requests = 0
 	_, err = update(s, limit, "")
-	assert.Equal(t, reasonOf(err), oas.ProblemReasonBreaksPromise)
+	assert.Equal(t, problemReason(err), oas.ProblemReasonBreaksPromise)
 	lines.Reset()
 	stored, err := update(s, limit, "bathhouse closed today")
 	assert.NilError(t, err)
@@ -301,19 +298,19 @@
 
 func conditionOf(t testing.TB, o oas.Object, kind string) oas.Condition {
 	t.Helper()
-	c := conditionNamed(*check.StatusOf(&o), kind)
+	c := findCondition(*check.StatusOf(&o), kind)
 	assert.Equal(t, c.Type, kind, "no such condition")
 	return c
 }
 
-func TestStatusFollowsWhatTheEntryVMKnows(t *testing.T) {
+func TestStatusFollowsRuntimeState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore(standin.Options{})
 		cut := time.Now().Add(-time.Minute)
-		runtime := &fakeRuntime{zones: []ZoneFact{{Zone: "a", ConfigVersion: 9}, {Zone: "b", ConfigVersion: 1, CutOffSince: cut}}, moved: 20, held: 9}
+		runtime := &fakeRuntime{zones: []ZoneFact{{Zone: "a", ConfigVersion: 9}, {Zone: "b", ConfigVersion: 1, CutOffSince: cut}}, moved: 20, permitsHeld: 9}
 		s := newServer(t, store, runtime)
-		declare(t, s)
-		_, err := create(s, object(t, `{"kind":"PlannedStop","metadata":{"name":"s"},"spec":{"what":"place","name":"a","deadline":"1999-01-01T00:00:00Z"}}`))
+		createObjects(t, s)
+		_, err := create(s, decodeObject(t, `{"kind":"PlannedStop","metadata":{"name":"s"},"spec":{"what":"place","name":"a","deadline":"1999-01-01T00:00:00Z"}}`))
 		assert.NilError(t, err)
 		get := func(kind oas.Kind, name string) oas.Object {
 			o, err := s.get(context.Background(), check.Ref{Kind: kind, Name: name})
@@ -331,7 +328,7 @@
 		since := conditionOf(t, shift, ConditionShiftComplete).Since
 		time.Sleep(time.Hour)
 		runtime.zones[1] = ZoneFact{Zone: "b", ConfigVersion: 9}
-		runtime.moved, runtime.held, runtime.stop = 50, 10, StopFact{Complete: true}
+		runtime.moved, runtime.permitsHeld, runtime.stop = 50, 10, StopFact{Complete: true}
 		shift = get(oas.KindShift, "a-b")
 		assert.Equal(t, conditionOf(t, shift, ConditionInForce).Status, true)
 		complete := conditionOf(t, shift, ConditionShiftComplete)
@@ -341,20 +338,19 @@
 	})
 }
 
-// Symptom: two shifts go round in a circle although each was accepted.
-// Sequence: two operators write them at the same moment through different
-// entry VMs, each checked against a set without the other. Cause: the platform
-// makes one object conditional, not a set. It must show in the status.
-func TestProblemThatGotInShowsAsNotAccepted(t *testing.T) {
+// Guards against two shifts that form a cycle without any sign of it in their status. Two
+// operators write them concurrently through different entry VMs, and each is checked against a
+// set without the other: the platform's writes are conditional on one object, not on a set.
+func TestStoredProblemShowsAsNotAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore(standin.Options{})
 		s := newServer(t, store, &fakeRuntime{})
-		declare(t, s)
-		back, err := encode(object(t, `{"kind":"Shift","metadata":{"name":"b-a"},"spec":{"from":"b","to":"a","percent":5}}`))
+		createObjects(t, s)
+		back, err := encode(decodeObject(t, `{"kind":"Shift","metadata":{"name":"b-a"},"spec":{"from":"b","to":"a","percent":5}}`))
 		assert.NilError(t, err)
 		_, err = store.As("x", "x").Create(context.Background(), "Shift", "b-a", back)
 		assert.NilError(t, err)
-		time.Sleep(2 * setMaxAge)
+		time.Sleep(2 * problemsMaxAge)
 		o, err := s.get(context.Background(), check.Ref{Kind: oas.KindShift, Name: "b-a"})
 		assert.NilError(t, err)
 		assert.Equal(t, conditionOf(t, o, ConditionAccepted).Status, false)
@@ -364,7 +360,7 @@
 func TestBigClientBlocksAreSplitAndReadBackWhole(t *testing.T) {
 	store := standin.NewStore(standin.Options{})
 	s := newServer(t, store, &fakeRuntime{})
-	declare(t, s)
+	createObjects(t, s)
 	blocks := oas.ClientBlocks{Kind: "ClientBlocks", Metadata: oas.Metadata{Name: "callers"}}
 	for i := range 30000 {
 		prefix := fmt.Sprintf("10.%d.%d.0/24", i/256, i%256)
@@ -392,8 +388,7 @@
 	assert.Assert(t, len(shards) > 1 && len(left) == 0, "%d shards, %d left", len(shards), len(left))
 }
 
-// Every way of sending something wrong ends in a typed refusal that names the
-// remedy, and changes nothing.
+// Every invalid request gets a problem response with a remedy, and changes nothing.
 func TestBadRequestsAreTyped(t *testing.T) {
 	store := standin.NewStore(standin.Options{})
 	handler := newServer(t, store, &fakeRuntime{}).Handler()
@@ -437,7 +432,7 @@
 	assert.Equal(t, store.Revision(), int64(0))
 }
 
-func TestOnlyKnownOperatorsAreLetIn(t *testing.T) {
+func TestUnknownOperatorsAreRejected(t *testing.T) {
 	sum := sha256.Sum256([]byte("secret"))
 	s, err := New(Config{
 		Platform: standin.NewStore(standin.Options{}).As("x", "x"), Runtime: &fakeRuntime{},
@@ -455,9 +450,9 @@
 
 func TestPageEscapesAndUsesNoOutsideResource(t *testing.T) {
 	store := standin.NewStore(standin.Options{})
-	runtime := &fakeRuntime{member: []MemberFact{{VM: `<script>alert(1)</script>`, State: Live}}}
+	runtime := &fakeRuntime{members: []MemberFact{{VM: `<script>alert(1)</script>`, State: Live}}}
 	s := newServer(t, store, runtime)
-	declare(t, s)
+	createObjects(t, s)
 	draw := func() string {
 		recorder := httptest.NewRecorder()
 		s.Handler().ServeHTTP(recorder, httptest.NewRequest("GET", "/", nil))
@@ -469,7 +464,7 @@
 	assert.Assert(t, !strings.Contains(page, "http://") && !strings.Contains(page, "https://"))
 	assert.Assert(t, strings.Contains(page, "every service: a to b"))
 	store.Down(true)
-	s.pages.readAt = time.Time{}
+	s.cachedPage.readAt = time.Time{}
 	page = draw()
 	assert.Assert(t, strings.Contains(page, "The platform does not answer") && strings.Contains(page, "every service: a to b"))
 }
--- a/node/operator/page.go
+++ b/node/operator/page.go
@@ -19,26 +19,26 @@
 var pageText string
 
 var pageTemplate = template.Must(template.New("page").Funcs(template.FuncMap{
-	"condition": conditionNamed,
+	"condition": findCondition,
 	"age": func(ms int64) string {
 		return (time.Duration(ms) * time.Millisecond).Round(100 * time.Millisecond).String()
 	},
 }).Parse(pageText))
 
-// pageMaxAge is how old the objects on the page may be. All viewers of one
-// entry VM share one reading, so that they cost the platform one call in it.
+// pageMaxAge is how long the objects shown on the page are cached. All viewers of an entry VM's
+// page share the cache, so together they cause one platform call per pageMaxAge.
 const pageMaxAge = 2 * time.Second
 
-// pageObjects are the objects drawn on the page, as last read.
-type pageObjects struct {
-	mu       sync.Mutex
-	readAt   time.Time
-	revision int64
-	objects  []oas.Object
-	failed   string
+// pageCache holds the objects shown on the page, as last read.
+type pageCache struct {
+	mu          sync.Mutex
+	readAt      time.Time
+	revision    int64
+	objects     []oas.Object
+	readFailure string
 }
 
-// pageData is what the template draws.
+// pageData is the data of the page template.
 type pageData struct {
 	Nonce   string
 	Now     time.Time
@@ -50,19 +50,19 @@
 	Stops   []oas.PlannedStop
 }
 
-// page serves the status page. It is read-only, uses no outside resource, and
-// without scripts it reloads itself.
+// page serves the status page. The page is read-only, loads no external resources, and reloads
+// itself if scripts are disabled.
 func (s *Server) page(w http.ResponseWriter, r *http.Request) {
-	wanted, _ := strconv.ParseInt(r.URL.Query().Get("version"), 10, 64)
-	data := pageData{Nonce: rand.Text(), Now: time.Now().UTC().Truncate(time.Second), Status: s.deployment()}
-	s.addObjects(r.Context(), &data, wanted)
+	minRevision, _ := strconv.ParseInt(r.URL.Query().Get("version"), 10, 64)
+	data := pageData{Nonce: rand.Text(), Now: time.Now().UTC().Truncate(time.Second), Status: s.deploymentStatus()}
+	s.addObjects(r.Context(), &data, minRevision)
 	part := "page"
 	if r.URL.Query().Get("part") == "main" {
-		part = "main" // what the script draws again
+		part = "main" // the part that the page's script refreshes
 	}
 	var body bytes.Buffer
 	if err := pageTemplate.ExecuteTemplate(&body, part, data); err != nil {
-		writeProblem(w, http.StatusInternalServerError, fromPlatform(err, check.Ref{}))
+		writeProblem(w, http.StatusInternalServerError, platformError(err, check.Ref{}))
 		return
 	}
 	header := w.Header()
@@ -74,16 +74,16 @@
 	_, _ = w.Write(body.Bytes())
 }
 
-// addObjects puts shifts, caps and stops into data, read again if older than
-// allowed or older than the version that the viewer has heard of.
-func (s *Server) addObjects(ctx context.Context, data *pageData, wanted int64) {
-	s.pages.mu.Lock()
-	defer s.pages.mu.Unlock()
-	if time.Since(s.pages.readAt) > pageMaxAge || wanted > s.pages.revision {
+// addObjects adds the shifts, caps and planned stops to data. It reads them again if the cache
+// is older than pageMaxAge or than minRevision, the revision that the viewer's watch returned.
+func (s *Server) addObjects(ctx context.Context, data *pageData, minRevision int64) {
+	s.cachedPage.mu.Lock()
+	defer s.cachedPage.mu.Unlock()
+	if time.Since(s.cachedPage.readAt) > pageMaxAge || minRevision > s.cachedPage.revision {
 		s.readPage(ctx)
 	}
-	data.Version, data.Failed = s.pages.revision, s.pages.failed
-	for _, o := range s.pages.objects {
+	data.Version, data.Failed = s.cachedPage.revision, s.cachedPage.readFailure
+	for _, o := range s.cachedPage.objects {
 		o = s.withStatus(ctx, o)
 		switch o.Type {
 		case oas.ShiftObject:
@@ -96,25 +96,25 @@
 	}
 }
 
-// readPage reads the objects drawn; when the platform does not answer, those
-// read before stay and the page says so.
+// readPage refreshes the cached objects. If the platform doesn't respond, it keeps the previous
+// ones, and the page says so.
 func (s *Server) readPage(ctx context.Context) {
-	s.pages.readAt = time.Now()
+	s.cachedPage.readAt = time.Now()
 	set, revision, err := s.readSet(ctx)
 	if err != nil {
-		s.pages.failed = "The platform does not answer; objects are as last read."
+		s.cachedPage.readFailure = "The platform does not answer; objects are as last read."
 		return
 	}
-	s.pages.failed, s.pages.revision, s.pages.objects = "", revision, nil
+	s.cachedPage.readFailure, s.cachedPage.revision, s.cachedPage.objects = "", revision, nil
 	for _, ref := range set.Refs() {
 		if o, ok := set.Get(ref); ok {
-			s.pages.objects = append(s.pages.objects, o)
+			s.cachedPage.objects = append(s.cachedPage.objects, o)
 		}
 	}
 }
 
-// conditionNamed finds a condition for the template; a missing one is empty.
-func conditionNamed(status oas.OptObjectStatus, kind string) oas.Condition {
+// findCondition returns the condition of the given type, or a zero Condition if there is none.
+func findCondition(status oas.OptObjectStatus, kind string) oas.Condition {
 	for _, c := range status.Value.Conditions {
 		if c.Type == kind {
 			return c
--- a/node/operator/problem.go
+++ b/node/operator/problem.go
@@ -15,8 +15,8 @@
 	"heatherlock/objects"
 )
 
-// statuses maps each reason to its HTTP status.
-var statuses = map[oas.ProblemReason]int{
+// httpStatuses maps each problem reason to an HTTP status.
+var httpStatuses = map[oas.ProblemReason]int{
 	oas.ProblemReasonInvalid:        http.StatusUnprocessableEntity,
 	oas.ProblemReasonNotFound:       http.StatusNotFound,
 	oas.ProblemReasonExists:         http.StatusConflict,
@@ -30,36 +30,36 @@
 	oas.ProblemReasonInternal:       http.StatusInternalServerError,
 }
 
-// Error is a refusal in the words of the API.
+// Error is a refusal together with the problem that the API returns for it.
 type Error struct {
 	Problem oas.Problem
 	Err     error // cause, for the log; may be nil
 }
 
-// Error implements error; the message ends with the remedy.
+// Error returns the reason, the message and the remedy.
 func (e *Error) Error() string {
 	return fmt.Sprintf("operator: %s: %s; %s", e.Problem.Reason, e.Problem.Message, e.Problem.Remedy)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns Err.
 func (e *Error) Unwrap() error { return e.Err }
 
-func refuse(reason oas.ProblemReason, remedy, format string, args ...any) *Error {
+func newError(reason oas.ProblemReason, remedy, format string, args ...any) *Error {
 	return &Error{Problem: oas.Problem{Reason: reason, Message: fmt.Sprintf(format, args...), Remedy: remedy}}
 }
 
-// refuseProblems turns failed checks into a refusal, or nil if an override
-// covers them.
-func refuseProblems(problems check.Problems, own check.Ref, override string) *Error {
+// problemsError converts failed checks to an Error. It returns nil if there are none, or if
+// they only break promises and override gives a reason.
+func problemsError(problems check.Problems, own check.Ref, override string) *Error {
 	var e *Error
 	switch problems.Class() {
 	case check.Invalid:
-		e = refuse(oas.ProblemReasonInvalid, "correct the fields named", "%s has %d problems", own, len(problems))
+		e = newError(oas.ProblemReasonInvalid, "correct the fields named", "%s has %d problems", own, len(problems))
 	case check.BreaksPromise:
 		if override != "" {
 			return nil
 		}
-		e = refuse(oas.ProblemReasonBreaksPromise, "change it so that nothing is lost, or override with a reason, which is recorded", "%s would break a promise", own)
+		e = newError(oas.ProblemReasonBreaksPromise, "change it so that nothing is lost, or override with a reason, which is recorded", "%s would break a promise", own)
 	default:
 		return nil
 	}
@@ -73,58 +73,58 @@
 	return e
 }
 
-// fromPlatform turns a failed platform call into a refusal.
-func fromPlatform(err error, ref check.Ref) *Error {
+// platformError converts the error of a platform call to an Error.
+func platformError(err error, ref check.Ref) *Error {
 	var pe *objects.Error
 	if !errors.As(err, &pe) {
-		e := refuse(oas.ProblemReasonInternal, "try again; look into the entry VM's log", "unexpected failure")
+		e := newError(oas.ProblemReasonInternal, "try again; look into the entry VM's log", "unexpected failure")
 		e.Err = err
 		return e
 	}
 	var e *Error
 	switch pe.Kind {
 	case objects.NotFound:
-		e = refuse(oas.ProblemReasonNotFound, "list the kind to see what there is", "there is no %s", ref)
+		e = newError(oas.ProblemReasonNotFound, "list the kind to see what there is", "there is no %s", ref)
 	case objects.Conflict:
-		e = refuse(oas.ProblemReasonConflict, "get it again and repeat the change on its new version", "%s was changed by somebody else first", ref)
+		e = newError(oas.ProblemReasonConflict, "get it again and repeat the change on its new version", "%s was changed by somebody else first", ref)
 	case objects.Gone:
-		e = refuse(oas.ProblemReasonGone, "list again and watch from the list's version", "the version to watch from is too old")
+		e = newError(oas.ProblemReasonGone, "list again and watch from the list's version", "the version to watch from is too old")
 	case objects.TooLarge:
-		e = tooLarge(ref)
+		e = tooLargeError(ref)
 	case objects.Unavailable, objects.Throttled:
-		e = refuse(oas.ProblemReasonUnavailable, "come back after the time given; nothing was changed, and the configuration in force stays", "the platform does not answer (%s)", pe.Kind)
-		e.Problem.RetryAfterMs = oas.NewOptInt64(max(pe.RetryAfter, comeBack).Milliseconds())
+		e = newError(oas.ProblemReasonUnavailable, "come back after the time given; nothing was changed, and the configuration in force stays", "the platform does not answer (%s)", pe.Kind)
+		e.Problem.RetryAfterMs = oas.NewOptInt64(max(pe.RetryAfter, defaultRetryAfter).Milliseconds())
 	case objects.Unknown:
-		e = refuse(oas.ProblemReasonOutcomeUnknown, "get the object and compare", "the platform broke off; %s may have been changed", ref)
+		e = newError(oas.ProblemReasonOutcomeUnknown, "get the object and compare", "the platform broke off; %s may have been changed", ref)
 	default:
-		e = refuse(oas.ProblemReasonInternal, "look into the entry VM's log", "the platform refused the call (%s)", pe.Kind)
+		e = newError(oas.ProblemReasonInternal, "look into the entry VM's log", "the platform refused the call (%s)", pe.Kind)
 	}
 	e.Err = err
 	return e
 }
 
-// unreadable is the refusal for a read that may have failed in any way: it
-// changed nothing, whatever the platform says.
-func unreadable(err error, ref check.Ref) *Error {
+// readError converts the error of a platform read to an Error. A read changes nothing, so it
+// returns Unavailable where platformError would return OutcomeUnknown.
+func readError(err error, ref check.Ref) *Error {
 	if objects.KindOf(err) != objects.Unknown {
-		return fromPlatform(err, ref)
+		return platformError(err, ref)
 	}
-	e := refuse(oas.ProblemReasonUnavailable, "come back after the time given", "the platform broke off while reading")
-	e.Problem.RetryAfterMs = oas.NewOptInt64(comeBack.Milliseconds())
+	e := newError(oas.ProblemReasonUnavailable, "come back after the time given", "the platform broke off while reading")
+	e.Problem.RetryAfterMs = oas.NewOptInt64(defaultRetryAfter.Milliseconds())
 	e.Err = err
 	return e
 }
 
-func tooLarge(ref check.Ref) *Error {
-	return refuse(oas.ProblemReasonTooLarge, "split it, for example one ClientBlocks object per region", "%s is too large: at most %d bytes, client blocks at most %d", ref, maxObjectBytes, maxBodyBytes)
+func tooLargeError(ref check.Ref) *Error {
+	return newError(oas.ProblemReasonTooLarge, "split it, for example one ClientBlocks object per region", "%s is too large: at most %d bytes, client blocks at most %d", ref, maxObjectBytes, maxBodyBytes)
 }
 
-// respond converts a refusal to what ogen sends.
-func respond(e *Error) *oas.ProblemStatusCode {
-	return &oas.ProblemStatusCode{StatusCode: statuses[e.Problem.Reason], Response: e.Problem}
+// toResponse converts an Error to the response that ogen sends.
+func toResponse(e *Error) *oas.ProblemStatusCode {
+	return &oas.ProblemStatusCode{StatusCode: httpStatuses[e.Problem.Reason], Response: e.Problem}
 }
 
-// writeProblem sends a refusal outside ogen.
+// writeProblem sends an Error from a handler that isn't generated by ogen.
 func writeProblem(w http.ResponseWriter, status int, e *Error) {
 	body, err := e.Problem.MarshalJSON()
 	if err != nil {
@@ -139,20 +139,21 @@
 	_, _ = w.Write(body)
 }
 
-// handleDecodeError answers requests that ogen could not read.
+// handleDecodeError responds to requests that ogen can't decode.
 func handleDecodeError(_ context.Context, w http.ResponseWriter, _ *http.Request, err error) {
 	status := ogenerrors.ErrorCode(err)
 	reason, remedy := oas.ProblemReasonInvalid, "correct the request; see `heatherlock explain`"
 	if status >= http.StatusInternalServerError {
 		reason, remedy = oas.ProblemReasonInternal, "look into the entry VM's log"
 	}
-	writeProblem(w, status, refuse(reason, remedy, "%s", bounded(err.Error())))
+	writeProblem(w, status, newError(reason, remedy, "%s", truncate(err.Error())))
 }
 
-// maxMessageBytes bounds what a message repeats of a request.
+// maxMessageBytes is the length to which a decoding error is truncated, because it can quote
+// the request.
 const maxMessageBytes = 400
 
-func bounded(s string) string {
+func truncate(s string) string {
 	if len(s) <= maxMessageBytes {
 		return s
 	}
--- a/node/operator/read.go
+++ b/node/operator/read.go
@@ -21,11 +21,11 @@
 	}
 	stored, revision, err := s.platform.List(ctx, kinds...)
 	if err != nil {
-		return nil, unreadable(err, check.Ref{Kind: params.Kind})
+		return nil, readError(err, check.Ref{Kind: params.Kind})
 	}
 	objects, err := decodeAll(stored)
 	if err != nil {
-		return nil, fromPlatform(err, check.Ref{Kind: params.Kind})
+		return nil, platformError(err, check.Ref{Kind: params.Kind})
 	}
 	list := &oas.ObjectList{Version: revision, Items: make([]oas.Object, 0, len(objects))}
 	for _, o := range objects {
@@ -43,25 +43,25 @@
 func (s *Server) get(ctx context.Context, ref check.Ref) (oas.Object, error) {
 	stored, err := s.platform.Get(ctx, string(ref.Kind), ref.Name)
 	if err != nil {
-		return oas.Object{}, unreadable(err, ref)
+		return oas.Object{}, readError(err, ref)
 	}
 	o, err := decode(stored, s.fetchShards(ctx))
 	if err != nil {
-		return o, fromPlatform(err, ref)
+		return o, platformError(err, ref)
 	}
 	return s.withStatus(ctx, o), nil
 }
 
-// WatchObjects implements oas.Handler. The platform's revisions are one
-// sequence, so that a client which continues from the version it was given
-// misses nothing and sees nothing twice, at whichever entry VM it asks.
+// WatchObjects implements oas.Handler. The platform's revisions form a single sequence, so a
+// client that resumes from the returned version receives every event exactly once, even from
+// another entry VM.
 func (s *Server) WatchObjects(ctx context.Context, params oas.WatchObjectsParams) (*oas.WatchReply, error) {
 	select {
 	case s.watches <- struct{}{}:
 		defer func() { <-s.watches }()
 	default:
-		e := refuse(oas.ProblemReasonUnavailable, "watch through another entry VM, or come back after the time given", "this entry VM already has %d watches", maxWatches)
-		e.Problem.RetryAfterMs = oas.NewOptInt64(comeBack.Milliseconds())
+		e := newError(oas.ProblemReasonUnavailable, "watch through another entry VM, or come back after the time given", "this entry VM already has %d watches", maxWatches)
+		e.Problem.RetryAfterMs = oas.NewOptInt64(defaultRetryAfter.Milliseconds())
 		return nil, e
 	}
 	wait := defaultWatchWait
@@ -70,11 +70,11 @@
 	}
 	events, revision, err := s.platform.Watch(ctx, params.Since, wait, watchedKinds(params.Kind)...)
 	if err != nil {
-		return nil, unreadable(err, check.Ref{})
+		return nil, readError(err, check.Ref{})
 	}
 	reply := &oas.WatchReply{Version: revision, Events: []oas.WatchEvent{}}
 	for _, event := range events {
-		converted, err := s.convert(ctx, event)
+		converted, err := s.toWatchEvent(ctx, event)
 		if err != nil {
 			return nil, err
 		}
@@ -83,7 +83,8 @@
 	return reply, nil
 }
 
-// watchedKinds lists the stored kinds whose changes a watch is told of.
+// watchedKinds returns the stored kinds whose changes a watch returns. A watch of shifts
+// includes their progress, which is a stored kind of its own.
 func watchedKinds(kind oas.OptKind) []string {
 	if k, ok := kind.Get(); ok {
 		if k == oas.KindShift {
@@ -98,7 +99,9 @@
 	return append(kinds, dynamic.KindShiftProgress)
 }
 
-func (s *Server) convert(ctx context.Context, event objects.Event) (oas.WatchEvent, error) {
+// toWatchEvent converts a platform event. A change of a shift's progress becomes a status event
+// of the shift.
+func (s *Server) toWatchEvent(ctx context.Context, event objects.Event) (oas.WatchEvent, error) {
 	stored := event.Object
 	e := oas.WatchEvent{Type: oas.WatchEventTypePut, Version: stored.Version, Kind: oas.Kind(stored.Kind), Name: stored.Name}
 	switch {
@@ -113,10 +116,10 @@
 		o, err := decode(stored, s.fetchShards(ctx))
 		var missing *dynamic.MissingShardError
 		if errors.As(err, &missing) {
-			return e, nil // replaced since; a later event tells of it
+			return e, nil // the object was replaced since, and a later event has the new version
 		}
 		if err != nil {
-			return e, fromPlatform(err, check.Ref{Kind: e.Kind, Name: e.Name})
+			return e, platformError(err, check.Ref{Kind: e.Kind, Name: e.Name})
 		}
 		e.Object = oas.NewOptObject(s.withStatus(ctx, o))
 	}
--- a/node/operator/runtime.go
+++ b/node/operator/runtime.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// Runtime is what the entry VM knows of the running system. Every method
-// returns at once; facts carry their age.
+// Runtime provides the entry VM's knowledge of the running system. Its methods don't block. The
+// Age of a fact is the time since the state was reported.
 type Runtime interface {
-	// ConfigVersion is the configuration in force here; 0 before the first.
+	// ConfigVersion returns the version of the configuration in force on this entry VM, or 0
+	// before the first.
 	ConfigVersion() int64
-	// PlatformReachable tells whether the platform answered this zone lately.
+	// PlatformReachable reports whether the platform recently responded to this zone.
 	PlatformReachable() bool
 	Members() []MemberFact
 	Zones() []ZoneFact
 	Pools() []PoolFact
-	// Shift, Stop and Cap return what is known of one object; ok is false
-	// when nothing is.
+	// Shift, Stop and Cap return the state of one object; ok is false if nothing is known.
 	Shift(name string) (fact ShiftFact, ok bool)
 	Stop(name string) (fact StopFact, ok bool)
 	Cap(name string) (fact CapFact, ok bool)
 }
 
-// MemberFact is one entry VM.
+// MemberFact is the state of one entry VM.
 type MemberFact struct {
 	VM              string
-	Incarnation     string // empty until heard from
+	Incarnation     string // empty until the first heartbeat is received
 	Zone            string
 	Region          string
 	OperatorAddress string
@@ -31,7 +31,7 @@
 	ConfigVersion   int64
 }
 
-// MemberState is the state of an entry VM, in the words of the API.
+// MemberState is the state of an entry VM as the API names it.
 type MemberState string
 
 // States of an entry VM.
@@ -42,18 +42,18 @@
 	Gone    MemberState = "gone"
 )
 
-// ZoneFact is one availability zone.
+// ZoneFact is the state of one availability zone.
 type ZoneFact struct {
 	Zone   string
 	Region string
 	// ConfigVersion is the lowest version in force in the zone.
 	ConfigVersion int64
 	Age           time.Duration
-	// CutOffSince is set while nothing is heard from the zone.
+	// CutOffSince is the time since which the zone has been unreachable; zero if it is reachable.
 	CutOffSince time.Time
 }
 
-// PoolFact is the slots of one service at one place.
+// PoolFact is the load of one service's slots at one place.
 type PoolFact struct {
 	Place    string
 	Zone     string
@@ -65,27 +65,27 @@
 	Age      time.Duration
 }
 
-// ShiftFact is a shift in motion.
+// ShiftFact is the progress of a shift.
 type ShiftFact struct {
 	MovedPercent int
-	// HeldBy says what holds it back; empty when nothing does.
+	// HeldBy is the reason why the shift makes no further step; empty if it isn't held.
 	HeldBy    string
 	Remaining time.Duration
 }
 
-// StopFact is a planned stop.
+// StopFact is the state of a planned stop.
 type StopFact struct {
-	// InFlight counts the requests that what is stopped still runs.
+	// InFlight is the number of requests that the stopped part of the system is still running.
 	InFlight int
-	// Complete is set when everybody who may still run some has reported.
+	// Complete is set once every entry VM that may still have such requests has reported.
 	Complete bool
 }
 
-// CapFact is a cap at work.
+// CapFact is the use of a cap's permits.
 type CapFact struct {
-	// PermitsHeld is the sum over the seats of all entry VMs.
+	// PermitsHeld is the number of permits allocated to all entry VMs together.
 	PermitsHeld int
-	// PermitsInUse counts those in use now, if InUseKnown.
+	// PermitsInUse is the number of permits in use; valid only if InUseKnown is set.
 	PermitsInUse int
 	InUseKnown   bool
 }
--- a/node/operator/server.go
+++ b/node/operator/server.go
@@ -19,25 +19,25 @@
 
 // Server serves the resource API and the status page.
 type Server struct {
-	vm       string
-	platform objects.API
-	runtime  Runtime
-	tokens   []Token
-	log      log.Logger
-	scope    tally.Scope
-	api      http.Handler
-	recent   recentSet
-	since    sinceTracker
-	pages    pageObjects
-	watches  chan struct{}
+	vm             string
+	platform       objects.API
+	runtime        Runtime
+	tokens         []Token
+	log            log.Logger
+	scope          tally.Scope
+	api            http.Handler
+	cachedProblems problemCache
+	transitions    transitionTracker
+	cachedPage     pageCache
+	watches        chan struct{}
 }
 
 var _ oas.Handler = (*Server)(nil)
 
-// New returns a server. Platform and Runtime are required.
+// New returns a Server. It returns an error if Platform or Runtime is missing.
 func New(c Config) (*Server, error) {
 	if c.Platform == nil || c.Runtime == nil {
-		return nil, errors.New("operator: Platform and Runtime are required; give both")
+		return nil, errors.New("operator: Config.Platform and Config.Runtime must be set")
 	}
 	if c.Log == nil {
 		c.Log = log.NewNopLogger()
@@ -56,13 +56,14 @@
 		oas.WithMethodNotAllowed(methodNotAllowed),
 	)
 	if err != nil {
-		return nil, errors.Wrap(err, "operator")
+		return nil, errors.Wrap(err, "operator: create the API server")
 	}
 	s.api = api
 	return s, nil
 }
 
-// Handler serves /v1/ and the status page at /, for operators who are let in.
+// Handler returns the handler for the API at /v1/ and the status page at /. It authenticates
+// every request.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/v1/", s.checkBody(s.api))
@@ -71,30 +72,30 @@
 }
 
 func notFound(w http.ResponseWriter, _ *http.Request) {
-	writeProblem(w, http.StatusNotFound, refuse(oas.ProblemReasonNotFound, "use a path of the resource API under /v1/", "there is no such path"))
+	writeProblem(w, http.StatusNotFound, newError(oas.ProblemReasonNotFound, "use a path of the resource API under /v1/", "there is no such path"))
 }
 
 func methodNotAllowed(w http.ResponseWriter, _ *http.Request, allowed string) {
 	w.Header().Set("Allow", allowed)
-	writeProblem(w, http.StatusMethodNotAllowed, refuse(oas.ProblemReasonInvalid, "use one of "+allowed, "the method is not allowed here"))
+	writeProblem(w, http.StatusMethodNotAllowed, newError(oas.ProblemReasonInvalid, "use one of "+allowed, "the method is not allowed here"))
 }
 
 // NewError implements oas.Handler.
 func (s *Server) NewError(_ context.Context, err error) *oas.ProblemStatusCode {
 	var e *Error
 	if !errors.As(err, &e) {
-		e = refuse(oas.ProblemReasonInternal, "try again; look into the entry VM's log", "unexpected failure")
+		e = newError(oas.ProblemReasonInternal, "try again; look into the entry VM's log", "unexpected failure")
 		e.Err = err
 	}
 	if e.Err != nil {
 		_ = level.Warn(s.log).Log("msg", "operator request failed", "reason", e.Problem.Reason, "err", e.Err)
 	}
-	return respond(e)
+	return toResponse(e)
 }
 
-// checkBody reads the object of a write and checks it against the schema before
-// ogen decodes it: ogen stops at the first fault and drops unknown fields, so
-// that a misspelt field would silently take its default.
+// checkBody reads the body of a write and checks it against the schema before ogen decodes it.
+// ogen stops at the first error and drops unknown fields, so a misspelled field would silently
+// take its default.
 func (s *Server) checkBody(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodPost && r.Method != http.MethodPut {
@@ -103,12 +104,12 @@
 		}
 		raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 		if err != nil {
-			s.refuseBody(w, err)
+			s.writeBodyError(w, err)
 			return
 		}
 		if _, problems := check.Decode(raw); len(problems) > 0 {
 			s.scope.Tagged(map[string]string{"reason": string(oas.ProblemReasonInvalid)}).Counter("operator_refusals").Inc(1)
-			e := refuseProblems(problems, problems[0].Object, "")
+			e := problemsError(problems, problems[0].Object, "")
 			writeProblem(w, http.StatusUnprocessableEntity, e)
 			return
 		}
@@ -121,11 +122,11 @@
 	})
 }
 
-func (s *Server) refuseBody(w http.ResponseWriter, err error) {
+func (s *Server) writeBodyError(w http.ResponseWriter, err error) {
 	var big *http.MaxBytesError
 	if errors.As(err, &big) {
-		writeProblem(w, http.StatusRequestEntityTooLarge, tooLarge(check.Ref{}))
+		writeProblem(w, http.StatusRequestEntityTooLarge, tooLargeError(check.Ref{}))
 		return
 	}
-	writeProblem(w, http.StatusBadRequest, refuse(oas.ProblemReasonInvalid, "send the whole body", "the body ended early"))
+	writeProblem(w, http.StatusBadRequest, newError(oas.ProblemReasonInvalid, "send the whole body", "the body ended early"))
 }
--- a/node/operator/shards.go
+++ b/node/operator/shards.go
@@ -9,17 +9,17 @@
 	"heatherlock/objects"
 )
 
-// encode fills in the value to store and returns the shards it refers to.
+// encode sets the value to store and returns the shards that the value refers to.
 func (c *change) encode() ([]objects.Object, error) {
 	if c.object.Type == oas.ClientBlocksObject {
 		return c.encodeBlocks()
 	}
 	value, err := encode(c.object)
 	if err != nil {
-		return nil, fromPlatform(err, c.ref)
+		return nil, platformError(err, c.ref)
 	}
 	if len(value) > maxObjectBytes {
-		return nil, tooLarge(c.ref)
+		return nil, tooLargeError(c.ref)
 	}
 	c.value = value
 	return nil, nil
@@ -31,26 +31,25 @@
 	blocks.Metadata.Version.Reset()
 	split, err := dynamic.SplitBlocks(&blocks)
 	if err != nil {
-		return nil, fromPlatform(err, c.ref)
+		return nil, platformError(err, c.ref)
 	}
 	c.value = split.Manifest
 	return split.Shards, nil
 }
 
-// putShards stores the shards that a value to be written refers to, and returns
-// those that nothing will refer to after the write, with the versions they have
-// before it.
+// putShards stores the shards that the value to be written refers to. It returns the shards
+// that nothing refers to after the write, with their versions from before the write.
 //
-// What goes wrong: one operator's clean-up removes a shard that another one,
-// who writes on the version just stored, has found present and refers to. A
-// reader would notice by a manifest that names a missing shard. A shard found
-// present is therefore written again unless the version it is based on names
-// it: its version changes, and the clean-up, which knows the older one, fails.
+// Two operators can race: after one stores a version, its cleanup deletes a shard that the
+// other, writing on top of that version, found present and refers to. The manifest would then
+// name a missing shard. Therefore a shard that is already present is written again unless the
+// base version names it. This changes the shard's version, so a cleanup that knows the older
+// version fails.
 func (s *Server) putShards(ctx context.Context, c change, shards []objects.Object) ([]objects.Object, error) {
 	if c.ref.Kind != oas.KindClientBlocks {
 		return nil, nil
 	}
-	named, err := s.shardsNamed(ctx, c)
+	named, err := s.baseShardNames(ctx, c)
 	if err != nil {
 		return nil, err
 	}
@@ -65,42 +64,43 @@
 	return s.staleShards(ctx, named, shards)
 }
 
-// shardsNamed returns the shards of the version that the change is based on.
-func (s *Server) shardsNamed(ctx context.Context, c change) ([]string, error) {
-	if c.base == 0 {
+// baseShardNames returns the names of the shards of the version that the change is based on.
+func (s *Server) baseShardNames(ctx context.Context, c change) ([]string, error) {
+	if c.baseVersion == 0 {
 		return nil, nil
 	}
 	stored, err := s.platform.Get(ctx, string(c.ref.Kind), c.ref.Name)
 	if err != nil {
-		return nil, unreadable(err, c.ref)
+		return nil, readError(err, c.ref)
 	}
 	names, err := dynamic.ShardNames(stored.Value)
 	if err != nil {
-		return nil, fromPlatform(err, c.ref)
+		return nil, platformError(err, c.ref)
 	}
 	return names, nil
 }
 
 func (s *Server) putShard(ctx context.Context, shard objects.Object) error {
 	var last error
-	for range writeAttempts {
+	for range maxWriteAttempts {
 		_, last = s.platform.Create(ctx, dynamic.KindShard, shard.Name, shard.Value)
 		if objects.KindOf(last) == objects.Conflict {
-			last = s.touchShard(ctx, shard)
+			last = s.rewriteShard(ctx, shard)
 		}
 		if last == nil {
 			return nil
 		}
-		if !pause(ctx) {
+		if !waitToRetry(ctx) {
 			break
 		}
 	}
-	e := unreadable(last, refOf(shard))
+	e := readError(last, refOf(shard))
 	e.Problem.Remedy = "apply the object again; the version in force is unchanged"
 	return e
 }
 
-func (s *Server) touchShard(ctx context.Context, shard objects.Object) error {
+// rewriteShard stores an existing shard again, which gives it a new version.
+func (s *Server) rewriteShard(ctx context.Context, shard objects.Object) error {
 	stored, err := s.platform.Get(ctx, dynamic.KindShard, shard.Name)
 	if err != nil {
 		return err
@@ -109,7 +109,7 @@
 	return err
 }
 
-// staleShards returns the shards named before and not any more.
+// staleShards returns the stored shards that named lists and that aren't among shards.
 func (s *Server) staleShards(ctx context.Context, named []string, shards []objects.Object) ([]objects.Object, error) {
 	var stale []objects.Object
 	for _, name := range named {
@@ -121,15 +121,15 @@
 			continue
 		}
 		if err != nil {
-			return nil, unreadable(err, refOf(objects.Object{Kind: dynamic.KindShard, Name: name}))
+			return nil, readError(err, refOf(objects.Object{Kind: dynamic.KindShard, Name: name}))
 		}
 		stale = append(stale, stored)
 	}
 	return stale, nil
 }
 
-// removeShards removes shards that nothing refers to. One that stays costs
-// space and nothing else, so that failures are counted and passed over.
+// removeShards deletes shards that nothing refers to. Failures are only counted, because a
+// leftover shard does no harm beyond the space it takes.
 func (s *Server) removeShards(ctx context.Context, stale []objects.Object) {
 	for _, shard := range stale {
 		if _, err := s.platform.Delete(ctx, dynamic.KindShard, shard.Name, shard.Version); err != nil {
--- a/node/operator/status.go
+++ b/node/operator/status.go
@@ -11,17 +11,17 @@
 	"heatherlock/api/oas"
 )
 
-// Types of condition.
+// Condition types.
 const (
-	ConditionAccepted      = "Accepted"      // no rule is broken
+	ConditionAccepted      = "Accepted"      // the object breaks no rule, or an override was given
 	ConditionInForce       = "InForce"       // every zone has this version
-	ConditionShiftComplete = "ShiftComplete" // the whole percent has moved
-	ConditionDrained       = "Drained"       // nothing is in flight any more
-	ConditionInTime        = "InTime"        // the deadline has not passed with work left
-	ConditionCapHolding    = "CapHolding"    // entry VMs together hold no more permits than the cap gives
+	ConditionShiftComplete = "ShiftComplete" // the declared percentage has been moved
+	ConditionDrained       = "Drained"       // no requests are in flight any more
+	ConditionInTime        = "InTime"        // the deadline hasn't passed with requests in flight
+	ConditionCapHolding    = "CapHolding"    // the entry VMs together hold at most the cap's permits
 )
 
-// Conditions lists the types of condition that each kind can have.
+// Conditions lists the condition types of each kind.
 var Conditions = map[oas.Kind][]string{
 	oas.KindService:      {ConditionAccepted, ConditionInForce},
 	oas.KindPlace:        {ConditionAccepted, ConditionInForce},
@@ -31,7 +31,7 @@
 	oas.KindPlannedStop:  {ConditionAccepted, ConditionInForce, ConditionDrained, ConditionInTime},
 }
 
-// withStatus returns the object with its status as seen now.
+// withStatus returns the object with its current status.
 func (s *Server) withStatus(ctx context.Context, o oas.Object) oas.Object {
 	b := statusBuilder{server: s, ref: check.RefOf(o), version: versionOf(o)}
 	b.accepted(ctx, o)
@@ -59,7 +59,7 @@
 func (b *statusBuilder) add(kind string, holds bool, reason, format string, args ...any) {
 	b.status.Conditions = append(b.status.Conditions, oas.Condition{
 		Type: kind, Status: holds, Reason: reason, Message: fmt.Sprintf(format, args...),
-		Since:           b.server.since.seen(b.ref, kind, holds, time.Now()),
+		Since:           b.server.transitions.transitionTime(b.ref, kind, holds, time.Now()),
 		ObservedVersion: b.version,
 	})
 }
@@ -76,8 +76,9 @@
 	b.add(ConditionAccepted, true, "Checked", "no rule is broken")
 }
 
-// inForce tells for each zone whether it has this version. A zone that is cut
-// off keeps the version it had; it is named, not left out.
+// inForce adds the condition InForce and each zone's state, and reports whether every zone has
+// this version. An unreachable zone keeps the version it had; it is listed with the time since
+// which it has been unreachable.
 func (b *statusBuilder) inForce() bool {
 	zones := b.server.runtime.Zones()
 	var behind, cutOff []string
@@ -183,13 +184,14 @@
 	}
 }
 
-// maxTracked bounds the conditions whose start is remembered.
-const maxTracked = 20000
+// maxTrackedConditions is the maximum number of conditions whose transition time is tracked. If
+// it is reached, all are forgotten.
+const maxTrackedConditions = 20000
 
-// sinceTracker remembers since when each condition has been as it is.
-type sinceTracker struct {
-	mu    sync.Mutex
-	known map[conditionKey]conditionSince
+// transitionTracker tracks when each condition last changed.
+type transitionTracker struct {
+	mu     sync.Mutex
+	states map[conditionKey]conditionState
 }
 
 type conditionKey struct {
@@ -197,23 +199,23 @@
 	kind string
 }
 
-type conditionSince struct {
+type conditionState struct {
 	holds bool
 	since time.Time
 }
 
-// seen returns since when the condition has been as given.
-func (t *sinceTracker) seen(ref check.Ref, kind string, holds bool, now time.Time) time.Time {
+// transitionTime records the condition's state and returns the time since which it has had it.
+func (t *transitionTracker) transitionTime(ref check.Ref, kind string, holds bool, now time.Time) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	key := conditionKey{ref, kind}
-	if was, ok := t.known[key]; ok && was.holds == holds {
+	if was, ok := t.states[key]; ok && was.holds == holds {
 		return was.since
 	}
-	if t.known == nil || len(t.known) >= maxTracked {
-		t.known = map[conditionKey]conditionSince{}
+	if t.states == nil || len(t.states) >= maxTrackedConditions {
+		t.states = map[conditionKey]conditionState{}
 	}
 	now = now.UTC().Truncate(time.Millisecond)
-	t.known[key] = conditionSince{holds, now}
+	t.states[key] = conditionState{holds, now}
 	return now
 }
