--- a/node/shiftdriver/driver.go
+++ b/node/shiftdriver/driver.go
@@ -20,16 +20,16 @@
 )
 
 const (
-	// lookEvery is how often each shift is looked at.
-	lookEvery = 500 * time.Millisecond
-	// writeTimeout bounds a call to the platform.
+	// evaluateInterval is the time between two evaluations of each shift.
+	evaluateInterval = 500 * time.Millisecond
+	// writeTimeout is the timeout of a platform call.
 	writeTimeout = 5 * time.Second
-	// retryFirst and retryMax bound the pause after a failed write.
-	retryFirst = 500 * time.Millisecond
-	retryMax   = 10 * time.Second
+	// initialBackoff and maxBackoff are the shortest and longest delay after a failed write.
+	initialBackoff = 500 * time.Millisecond
+	maxBackoff     = 10 * time.Second
 )
 
-// Pool is what a place reported of one service.
+// Pool is the load that a place reported for one service.
 type Pool struct {
 	Place   steering.Place
 	Service steering.Service
@@ -39,18 +39,18 @@
 	Age     time.Duration
 }
 
-// Config holds what a Driver needs.
+// Config configures a Driver.
 type Config struct {
 	Configs  seam.Configs
 	Members  seam.Members
 	Platform objects.API
-	// Leader says whether this entry VM is its zone's reader now, and its epoch.
+	// Leader reports whether this entry VM is currently its zone's reader, and its epoch.
 	Leader func() (epoch int64, leading bool)
-	// Pools returns the newest word on each pool.
+	// Pools returns the most recent report on each pool.
 	Pools func() []Pool
-	// CapRefusals returns how many requests a cap refused here so far.
+	// CapRefusals returns the number of requests that a cap has refused on this entry VM.
 	CapRefusals func(name string) int64
-	// TTL is how long clients keep look-up answers.
+	// TTL is how long clients cache lookup responses. It must be positive.
 	TTL    time.Duration
 	Random func() float64
 	Scope  tally.Scope
@@ -59,25 +59,25 @@
 
 // Driver advances the shifts that this entry VM drives.
 type Driver struct {
-	config  Config
-	self    seam.Member
-	tracks  map[string]*track
-	retry   time.Time // no write before
-	backoff *objects.Backoff
-	writes  tally.Counter
-	steps   tally.Counter
-	failed  tally.Counter
+	config        Config
+	self          seam.Member
+	states        map[string]*shiftState
+	noWriteBefore time.Time // earliest time of the next write, after a failed one
+	backoff       *objects.Backoff
+	writes        tally.Counter
+	steps         tally.Counter
+	failed        tally.Counter
 }
 
-// New returns a Driver.
+// New returns a Driver. It returns an error if a required field of the Config is missing.
 func New(c Config) (*Driver, error) {
 	switch {
 	case c.Configs == nil || c.Members == nil || c.Platform == nil:
-		return nil, errors.New("shiftdriver: configuration, members or platform missing; set Config.Configs, Members and Platform")
+		return nil, errors.New("shiftdriver: Config.Configs, Members and Platform must be set")
 	case c.Leader == nil || c.Pools == nil || c.CapRefusals == nil:
 		return nil, errors.New("shiftdriver: Config.Leader, Pools and CapRefusals must be set")
 	case c.TTL <= 0:
-		return nil, errors.New("shiftdriver: no time to live of look-ups given; set Config.TTL")
+		return nil, errors.New("shiftdriver: Config.TTL must be positive")
 	}
 	if c.Scope == nil {
 		c.Scope = tally.NoopScope
@@ -87,15 +87,15 @@
 	}
 	scope := c.Scope.SubScope("shift")
 	return &Driver{
-		config: c, self: c.Members.Self(), tracks: map[string]*track{},
-		backoff: objects.NewBackoff(retryFirst, retryMax, c.Random),
+		config: c, self: c.Members.Self(), states: map[string]*shiftState{},
+		backoff: objects.NewBackoff(initialBackoff, maxBackoff, c.Random),
 		writes:  scope.Counter("progress_writes"), steps: scope.Counter("steps"), failed: scope.Counter("progress_failed"),
 	}, nil
 }
 
-// Run drives until ctx ends.
+// Run evaluates the shifts at a fixed interval until ctx is canceled.
 func (d *Driver) Run(ctx context.Context) error {
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(evaluateInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -104,40 +104,41 @@
 		case <-ticker.C:
 		}
 		if s := d.config.Configs.Snapshot(); s != nil {
-			d.lookAll(ctx, s, time.Now())
+			d.evaluateAll(ctx, s, time.Now())
 		}
 	}
 }
 
-// lookAll looks at every shift of a snapshot, those that are only remembered
-// by their progress included.
-func (d *Driver) lookAll(ctx context.Context, s *routing.Snapshot, now time.Time) {
+// evaluateAll updates the state of every shift and evaluates it. It includes deleted shifts
+// that still have a progress record.
+func (d *Driver) evaluateAll(ctx context.Context, s *routing.Snapshot, now time.Time) {
 	names := shiftNames(s)
 	pools := d.config.Pools()
 	for _, name := range names {
-		t := d.track(name)
-		t.follow(now, s.Progress[name])
-		t.sample(s, s.Shifts[name], pools)
-		t.refusals(now, d.refused(s, name))
+		t := d.shiftState(name)
+		t.observeProgress(now, s.Progress[name])
+		t.observeLoad(s, s.Shifts[name], pools)
+		t.observeRefusals(now, d.capRefusals(s, name))
 	}
-	for name := range d.tracks {
+	for name := range d.states {
 		if !slices.Contains(names, name) {
-			delete(d.tracks, name)
+			delete(d.states, name)
 		}
 	}
 	for _, name := range names {
-		if now.Before(d.retry) {
+		if now.Before(d.noWriteBefore) {
 			return
 		}
-		if err := d.look(ctx, s, name, now); err != nil {
+		if err := d.evaluate(ctx, s, name, now); err != nil {
 			d.failed.Inc(1)
-			d.retry = now.Add(d.backoff.Next())
-			level.Warn(d.config.Log).Log("part", "shiftdriver", "msg", "progress not written", "shift", name, "err", err)
+			d.noWriteBefore = now.Add(d.backoff.Next())
+			level.Warn(d.config.Log).Log("part", "shiftdriver", "msg", "failed to write shift progress", "shift", name, "err", err)
 			return
 		}
 	}
 }
 
+// shiftNames returns the sorted names of the shifts that are in force or have a progress record.
 func shiftNames(s *routing.Snapshot) []string {
 	var names []string
 	for name := range s.Shifts {
@@ -152,15 +153,15 @@
 	return names
 }
 
-func (d *Driver) track(name string) *track {
-	if d.tracks[name] == nil {
-		d.tracks[name] = &track{samples: map[poolKey]*smooth{}, capFull: map[string]time.Time{}, refused: map[string]int64{}}
+func (d *Driver) shiftState(name string) *shiftState {
+	if d.states[name] == nil {
+		d.states[name] = &shiftState{samples: map[poolKey]*smoothedLoad{}, capFull: map[string]time.Time{}, refused: map[string]int64{}}
 	}
-	return d.tracks[name]
+	return d.states[name]
 }
 
-// refused returns the refusals so far of each cap on a shift.
-func (d *Driver) refused(s *routing.Snapshot, name string) map[string]int64 {
+// capRefusals returns the number of refusals so far of each cap on a shift.
+func (d *Driver) capRefusals(s *routing.Snapshot, name string) map[string]int64 {
 	counts := map[string]int64{}
 	for _, c := range s.Caps {
 		if c.Shift == name {
@@ -170,11 +171,11 @@
 	return counts
 }
 
-// look decides on one shift and records the decision.
-func (d *Driver) look(ctx context.Context, s *routing.Snapshot, name string, now time.Time) error {
+// evaluate decides on one shift, if this entry VM drives it, and writes the decision.
+func (d *Driver) evaluate(ctx context.Context, s *routing.Snapshot, name string, now time.Time) error {
 	epoch, leading := d.config.Leader()
-	t := d.tracks[name]
-	if !leading || !d.drives(s, name) || t.unseen(s.Progress[name]) {
+	t := d.states[name]
+	if !leading || !d.isDriver(s, name) || t.awaitsOwnWrite(s.Progress[name]) {
 		return nil
 	}
 	decision, err := shift.Decide(d.input(s, name, now))
@@ -187,9 +188,9 @@
 	return d.record(ctx, s, name, decision, epoch, now)
 }
 
-// drives says whether this entry VM's zone is the first receiving zone with a
-// live entry VM.
-func (d *Driver) drives(s *routing.Snapshot, name string) bool {
+// isDriver reports whether this entry VM's zone is the first receiving zone that has a live
+// entry VM.
+func (d *Driver) isDriver(s *routing.Snapshot, name string) bool {
 	var zones []steering.Zone
 	for _, to := range receivingPlaces(s, name) {
 		if place := s.Places[to]; place != nil {
@@ -208,8 +209,9 @@
 	return false
 }
 
-// receivingPlaces lists the places a shift moves work to, or did when only its
-// record is left; every place when those are gone too.
+// receivingPlaces returns the places that a shift moves requests to. For a deleted shift it
+// uses the route in the progress record, and if those places no longer exist, it returns all
+// places.
 func receivingPlaces(s *routing.Snapshot, name string) []steering.Place {
 	if inForce := s.Shifts[name]; inForce != nil {
 		return inForce.To
@@ -220,7 +222,8 @@
 	return slices.Collect(maps.Keys(s.Places))
 }
 
-// record writes a decision on condition of the record it was made from.
+// record writes a decision. The write is conditional on the record on which the decision is
+// based.
 func (d *Driver) record(ctx context.Context, s *routing.Snapshot, name string, decision shift.Decision, epoch int64, now time.Time) error {
 	ctx, stop := context.WithTimeout(ctx, writeTimeout)
 	defer stop()
@@ -228,8 +231,8 @@
 	before := s.Progress[name]
 	if decision.Delete {
 		_, err := d.config.Platform.Delete(ctx, routing.KindShiftProgress, name, before.Version)
-		d.tracks[name].pause = now.Add(retryFirst)
-		return d.settle(name, 0, err)
+		d.states[name].noWriteBefore = now.Add(initialBackoff)
+		return d.handleWriteResult(name, 0, err)
 	}
 	next := d.progress(s.Shifts[name], before, decision, epoch, now)
 	value, err := json.Marshal(next)
@@ -246,7 +249,7 @@
 		d.steps.Inc(1)
 		level.Info(d.config.Log).Log("part", "shiftdriver", "msg", "step", "shift", name, "moved", next.Moved, "state", next.State)
 	}
-	return d.settle(name, stored.Version, err)
+	return d.handleWriteResult(name, stored.Version, err)
 }
 
 func (d *Driver) progress(s *routing.Shift, before *routing.ShiftProgress, decision shift.Decision, epoch int64, now time.Time) routing.ShiftProgress {
@@ -266,19 +269,19 @@
 	return next
 }
 
-// settle remembers what was written, so that the shift is not decided on again
-// before a snapshot shows it. A conflict means that another driver was faster:
-// the next snapshot tells. A write whose outcome is unknown is like a conflict:
-// whatever became of it, a repeat is conditional on the same record.
-func (d *Driver) settle(name string, version int64, err error) error {
+// handleWriteResult records a successful write, so that the shift isn't evaluated again before a
+// snapshot contains it. A conflict means that another driver wrote first, and the next snapshot
+// has its record. An unknown outcome is treated like a conflict: whether or not the write took
+// effect, a repeated write is conditional on the same record.
+func (d *Driver) handleWriteResult(name string, version int64, err error) error {
 	switch objects.KindOf(err) {
 	case objects.Conflict, objects.NotFound, objects.Unknown:
-		d.tracks[name].pause = time.Now().Add(retryFirst)
+		d.states[name].noWriteBefore = time.Now().Add(initialBackoff)
 		return nil
 	}
 	if err == nil {
 		d.backoff.Reset()
-		d.tracks[name].written, d.tracks[name].wroteAt = version, time.Now()
+		d.states[name].ownVersion, d.states[name].ownWriteAt = version, time.Now()
 	}
 	return err
 }
--- a/node/shiftdriver/driver_test.go
+++ b/node/shiftdriver/driver_test.go
@@ -18,37 +18,37 @@
 )
 
 const (
-	ttl    = 5 * time.Second
-	spread = 300 * time.Millisecond
+	ttl              = 5 * time.Second
+	propagationDelay = 300 * time.Millisecond
 )
 
-// world is two receiving zones with a driver each and the stand-in as their
-// platform. It runs under synctest.
-type world struct {
+// system is two receiving zones with a driver each, which use the platform stand-in. It runs
+// under synctest.
+type system struct {
 	t     *testing.T
 	store *standin.Store
 
-	mu       sync.Mutex
-	declared *routing.Shift
-	inUse    int
-	dead     map[steering.Zone]bool
-	allLead  bool
-	moved    []change
-	newest   int64
-	running  sync.WaitGroup
+	mu             sync.Mutex
+	declared       *routing.Shift
+	inUse          int
+	downZones      map[steering.Zone]bool
+	allZoneReaders bool
+	moved          []movedChange
+	newest         int64
+	running        sync.WaitGroup
 }
 
-// change is one change of the moved share as the platform stored it.
-type change struct {
+// movedChange is one change of the moved share as the platform stored it.
+type movedChange struct {
 	at    time.Time
 	moved int
 }
 
-// view is what one driver sees.
+// view is the configuration and membership that one driver sees.
 type view struct {
 	seam.Members
-	world *world
-	zone  steering.Zone
+	system *system
+	zone   steering.Zone
 
 	mu       sync.Mutex
 	snapshot *routing.Snapshot
@@ -59,9 +59,9 @@
 }
 
 func (v *view) InZone(zone steering.Zone) []seam.Member {
-	v.world.mu.Lock()
-	defer v.world.mu.Unlock()
-	if v.world.dead[zone] {
+	v.system.mu.Lock()
+	defer v.system.mu.Unlock()
+	if v.system.downZones[zone] {
 		return nil
 	}
 	return []seam.Member{{Zone: zone}}
@@ -76,16 +76,16 @@
 }
 
 func (v *view) pools() []Pool {
-	v.world.mu.Lock()
-	defer v.world.mu.Unlock()
+	v.system.mu.Lock()
+	defer v.system.mu.Unlock()
 	return []Pool{
-		{Place: "sur-1", Service: "tickets", Slots: 10, InUse: v.world.inUse},
-		{Place: "sur-2", Service: "tickets", Slots: 10, InUse: v.world.inUse},
+		{Place: "sur-1", Service: "tickets", Slots: 10, InUse: v.system.inUse},
+		{Place: "sur-2", Service: "tickets", Slots: 10, InUse: v.system.inUse},
 	}
 }
 
-func newWorld(t *testing.T) *world {
-	w := &world{t: t, store: standin.NewStore(standin.Options{}), dead: map[steering.Zone]bool{}}
+func newSystem(t *testing.T) *system {
+	w := &system{t: t, store: standin.NewStore(standin.Options{}), downZones: map[steering.Zone]bool{}}
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(func() { stop(); w.running.Wait() })
 	for _, zone := range []steering.Zone{"sur-a", "sur-b"} {
@@ -94,11 +94,15 @@
 	return w
 }
 
-func (w *world) start(ctx context.Context, zone steering.Zone) {
-	v := &view{world: w, zone: zone}
+func (w *system) start(ctx context.Context, zone steering.Zone) {
+	v := &view{system: w, zone: zone}
 	d, err := New(Config{
 		Configs: v, Members: v, Platform: w.store.As(string(zone), string(zone)), Pools: v.pools, TTL: ttl,
-		Leader:      func() (int64, bool) { w.mu.Lock(); defer w.mu.Unlock(); return 1, w.allLead || !w.dead[zone] },
+		Leader: func() (int64, bool) {
+			w.mu.Lock()
+			defer w.mu.Unlock()
+			return 1, w.allZoneReaders || !w.downZones[zone]
+		},
 		CapRefusals: func(string) int64 { return 0 },
 	})
 	assert.NilError(w.t, err)
@@ -109,12 +113,12 @@
 			v.mu.Lock()
 			v.snapshot = s
 			v.mu.Unlock()
-			time.Sleep(spread)
+			time.Sleep(propagationDelay)
 		}
 	})
 }
 
-func (w *world) declare(percent int) {
+func (w *system) declare(percent int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.declared = &routing.Shift{
@@ -123,9 +127,9 @@
 	}
 }
 
-// current builds the snapshot with a record that the platform held. The record
-// is read without w.mu: a lock held in virtual time would stop the time.
-func (w *world) current(p *routing.ShiftProgress) *routing.Snapshot {
+// current returns a snapshot with the record p, which the platform returned. p is read without
+// holding w.mu, because a goroutine blocked on a mutex stops synctest's virtual time.
+func (w *system) current(p *routing.ShiftProgress) *routing.Snapshot {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	place := func(name steering.Place, zone steering.Zone, region steering.Region) *routing.Place {
@@ -140,7 +144,7 @@
 	if p != nil {
 		s.Progress["move"] = p
 		if n := len(w.moved); p.Version > w.newest && (n == 0 && p.Moved != 0 || n > 0 && w.moved[n-1].moved != p.Moved) {
-			w.moved = append(w.moved, change{time.Now(), p.Moved})
+			w.moved = append(w.moved, movedChange{time.Now(), p.Moved})
 		}
 		w.newest = max(w.newest, p.Version)
 	}
@@ -150,7 +154,7 @@
 	return s
 }
 
-func (w *world) progress() *routing.ShiftProgress {
+func (w *system) progress() *routing.ShiftProgress {
 	stored, err := w.store.As("test", "").Get(context.Background(), routing.KindShiftProgress, "move")
 	if err != nil {
 		return nil
@@ -161,34 +165,34 @@
 	return &p
 }
 
-// steps checks the size and the distance of all changes so far and returns the
-// shares in order. Snapshots show a change up to spread late.
-func (w *world) steps() []int {
+// steps checks the size of all changes so far and the time between them, and returns the moved
+// shares in order. A snapshot contains a change with a delay of up to propagationDelay.
+func (w *system) steps() []int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var shares []int
-	last := change{}
+	last := movedChange{}
 	for _, c := range w.moved {
 		assert.Assert(w.t, c.moved-last.moved <= 20 && last.moved-c.moved <= 20, "a step from %d to %d", last.moved, c.moved)
-		assert.Assert(w.t, last.at.IsZero() || c.at.Sub(last.at) >= ttl-spread, "steps %s apart", c.at.Sub(last.at))
+		assert.Assert(w.t, last.at.IsZero() || c.at.Sub(last.at) >= ttl-propagationDelay, "steps %s apart", c.at.Sub(last.at))
 		shares = append(shares, c.moved)
 		last = c
 	}
 	return shares
 }
 
-// Symptom: a shift jumps, or moves twice as fast as declared. Sequence: two
-// drivers believe to be in charge; replies to their writes are lost; the first
-// driver's zone dies half way; the shift is deleted while the platform is slow.
-// Cause: a step that is not tied to the record it follows.
-func TestStepsAreMadeOnceByWhomever(t *testing.T) {
+// Guards against a shift that jumps or moves twice as fast as declared because a step isn't
+// conditional on the record before it. Two drivers act as zone reader, replies to their writes
+// are lost, the first driver's zone fails half way, and the shift is deleted while the platform
+// is slow.
+func TestStepsAreMadeOnceByAnyDriver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newSystem(t)
 		w.declare(60)
 		w.store.LoseReplies(2)
 		time.Sleep(8 * time.Second)
 		w.mu.Lock()
-		w.dead["sur-a"], w.allLead = true, true
+		w.downZones["sur-a"], w.allZoneReaders = true, true
 		w.mu.Unlock()
 		time.Sleep(30 * time.Second)
 		assert.DeepEqual(t, w.steps(), []int{20, 40, 60})
@@ -199,16 +203,16 @@
 		w.mu.Unlock()
 		time.Sleep(40 * time.Second)
 		assert.DeepEqual(t, w.steps(), []int{20, 40, 60, 40, 20, 0})
-		assert.Assert(t, w.progress() == nil, "the record of a deleted shift is cleared")
+		assert.Assert(t, w.progress() == nil, "the record of a deleted shift is removed")
 	})
 }
 
-// Symptom: a receiving region is pushed over. Sequence: its slots fill up half
-// way through a shift. Cause: steps by the clock alone. The shift must stop,
-// say why, write that once, and go on by itself.
+// Guards against overloading a receiving region whose slots fill up during a shift, as it
+// happens if steps follow the clock alone. The shift must hold, report the reason, write it
+// once, and resume by itself.
 func TestBusyReceiversHoldAShift(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newSystem(t)
 		w.declare(60)
 		time.Sleep(3 * time.Second)
 		w.mu.Lock()
@@ -219,7 +223,7 @@
 		assert.DeepEqual(t, w.steps(), []int{20})
 		assert.Equal(t, held.HeldBy, "the tickets slots of place sur-1 are busy")
 		time.Sleep(time.Minute)
-		assert.Equal(t, w.progress().Version, held.Version, "a held shift costs no writes")
+		assert.Equal(t, w.progress().Version, held.Version, "a held shift causes no writes")
 		w.mu.Lock()
 		w.inUse = 2
 		w.mu.Unlock()
--- a/node/shiftdriver/golden_internal_test.go
+++ b/node/shiftdriver/golden_internal_test.go
@@ -51,7 +51,7 @@
 			d, err := New(Config{Configs: v, Members: v, Platform: platform, Leader: func() (int64, bool) { return 0, true },
 				Pools: func() []Pool { return nil }, CapRefusals: func(string) int64 { return 0 }, TTL: ttl})
 			assert.NilError(t, err)
-			d.tracks["move"] = &track{}
+			d.states["move"] = &shiftState{}
 			s := &routing.Snapshot{Shifts: map[string]*routing.Shift{"move": c.declared}, Progress: map[string]*routing.ShiftProgress{"move": c.before}}
 			assert.NilError(t, d.record(t.Context(), s, "move", c.decision, 51, since))
 			golden.Assert(t, platform.written, "golden/progress-"+name+"-call.txt")
--- a/node/shiftdriver/track.go
+++ b/node/shiftdriver/track.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// staleAfter is the age from which a place's word is not used any more.
-	staleAfter = 10 * time.Second
-	// newest is the weight of a new sample in the smoothed ones.
-	newest = 0.3
-	// seenWithin is how long the own last write may take to show up.
-	seenWithin = 10 * time.Second
-	// capFullFor is how long a cap counts as reached after a refusal.
-	capFullFor = 3 * time.Second
+	// maxReportAge is the age beyond which a place's report is ignored.
+	maxReportAge = 10 * time.Second
+	// smoothingWeight is the weight of a new sample in the exponential moving average.
+	smoothingWeight = 0.3
+	// ownWriteTimeout is how long to wait for the driver's last write to appear in a snapshot.
+	ownWriteTimeout = 10 * time.Second
+	// capFullDuration is how long a cap counts as reached after it refused a request.
+	capFullDuration = 3 * time.Second
 )
 
 type poolKey struct {
@@ -26,61 +26,62 @@
 	service steering.Service
 }
 
-// smooth is a pool's smoothed load.
-type smooth struct {
-	known  bool
-	busy   float64
-	queued float64
+// smoothedLoad is the exponential moving average of a pool's load.
+type smoothedLoad struct {
+	known       bool
+	utilization float64
+	queued      float64
 }
 
-func (s *smooth) add(busy, queued float64) {
+func (s *smoothedLoad) add(utilization, queued float64) {
 	if !s.known {
-		s.known, s.busy, s.queued = true, busy, queued
+		s.known, s.utilization, s.queued = true, utilization, queued
 		return
 	}
-	s.busy += newest * (busy - s.busy)
-	s.queued += newest * (queued - s.queued)
+	s.utilization += smoothingWeight * (utilization - s.utilization)
+	s.queued += smoothingWeight * (queued - s.queued)
 }
 
-// track is what a driver remembers of one shift.
-type track struct {
-	version int64 // of the progress last seen
-	moved   int
-	changed time.Time // when moved last changed, on the own clock
-	written int64     // version of the own last write
-	wroteAt time.Time
-	pause   time.Time // no write before
-	samples map[poolKey]*smooth
-	refused map[string]int64
-	capFull map[string]time.Time // last refusal by cap
+// shiftState is the driver's local state of one shift.
+type shiftState struct {
+	version       int64 // version of the progress record last seen
+	moved         int
+	movedAt       time.Time // when moved last changed, by the local clock
+	ownVersion    int64     // version of the record that the driver's last write stored
+	ownWriteAt    time.Time
+	noWriteBefore time.Time // earliest time of the next write
+	samples       map[poolKey]*smoothedLoad
+	refused       map[string]int64
+	capFull       map[string]time.Time // time of each cap's last refusal
 }
 
-// follow notes when the moved share changed. The own clock counts from the
-// moment of seeing it, so a new driver waits a whole interval.
-func (t *track) follow(now time.Time, p *routing.ShiftProgress) {
+// observeProgress notes when the moved share changed. The time counts from when this driver saw
+// the change, by its own clock, so a new driver waits for a whole interval.
+func (t *shiftState) observeProgress(now time.Time, p *routing.ShiftProgress) {
 	if p == nil {
 		t.moved, t.version = 0, 0
 		return
 	}
 	if p.Moved != t.moved || t.version == 0 {
-		t.changed = now
+		t.movedAt = now
 	}
 	t.moved, t.version = p.Moved, p.Version
 }
 
-// unseen says whether the own last write is not in the snapshot yet. After
-// seenWithin it is taken to have been replaced or removed since; a decision on
-// an old record does no harm, for its write fails.
-func (t *track) unseen(p *routing.ShiftProgress) bool {
+// awaitsOwnWrite reports whether the snapshot doesn't contain the driver's last write yet. After
+// ownWriteTimeout the write is assumed to have been replaced or removed. A decision based on an
+// old record does no harm, because its write fails.
+func (t *shiftState) awaitsOwnWrite(p *routing.ShiftProgress) bool {
 	now := time.Now()
-	if now.Before(t.pause) {
+	if now.Before(t.noWriteBefore) {
 		return true
 	}
-	return now.Before(t.wroteAt.Add(seenWithin)) && (p == nil || p.Version < t.written)
+	return now.Before(t.ownWriteAt.Add(ownWriteTimeout)) && (p == nil || p.Version < t.ownVersion)
 }
 
-// sample takes in the load of the receiving pools.
-func (t *track) sample(s *routing.Snapshot, inForce *routing.Shift, pools []Pool) {
+// observeLoad adds the load of the receiving pools to the averages. A pool with no recent report
+// or no slots is marked as unknown.
+func (t *shiftState) observeLoad(s *routing.Snapshot, inForce *routing.Shift, pools []Pool) {
 	wanted := receivingPools(s, inForce)
 	for key := range t.samples {
 		if !slices.Contains(wanted, key) {
@@ -89,10 +90,10 @@
 	}
 	for _, key := range wanted {
 		if t.samples[key] == nil {
-			t.samples[key] = &smooth{}
+			t.samples[key] = &smoothedLoad{}
 		}
 		i := slices.IndexFunc(pools, func(p Pool) bool { return p.Place == key.place && p.Service == key.service })
-		if i < 0 || pools[i].Age > staleAfter || pools[i].Slots == 0 {
+		if i < 0 || pools[i].Age > maxReportAge || pools[i].Slots == 0 {
 			t.samples[key].known = false
 			continue
 		}
@@ -100,7 +101,7 @@
 	}
 }
 
-// receivingPools lists the pools that a shift moves work to.
+// receivingPools returns the pools that a shift moves requests to.
 func receivingPools(s *routing.Snapshot, inForce *routing.Shift) []poolKey {
 	if inForce == nil {
 		return nil
@@ -122,8 +123,8 @@
 	return keys
 }
 
-// refusals notes which caps refused work since the last look.
-func (t *track) refusals(now time.Time, counts map[string]int64) {
+// observeRefusals notes which caps have refused requests since the last evaluation.
+func (t *shiftState) observeRefusals(now time.Time, counts map[string]int64) {
 	for name, n := range counts {
 		if n > t.refused[name] {
 			t.capFull[name] = now
@@ -132,11 +133,11 @@
 	t.refused = counts
 }
 
-// input is what the decision on a shift is made from.
+// input returns the input for the decision on a shift.
 func (d *Driver) input(s *routing.Snapshot, name string, now time.Time) shift.Input {
-	t := d.tracks[name]
+	t := d.states[name]
 	in := shift.Input{
-		Now: now, Shift: s.Shifts[name], Progress: s.Progress[name], Age: now.Sub(t.changed), TTL: d.config.TTL,
+		Now: now, Shift: s.Shifts[name], Progress: s.Progress[name], Age: now.Sub(t.movedAt), TTL: d.config.TTL,
 	}
 	if in.Shift == nil {
 		return in
@@ -144,11 +145,11 @@
 	for _, key := range receivingPools(s, in.Shift) {
 		sample := t.samples[key]
 		in.Receivers = append(in.Receivers, shift.Receiver{
-			Place: key.place, Service: key.service, Known: sample.known, Busy: sample.busy, Queued: sample.queued,
+			Place: key.place, Service: key.service, Known: sample.known, Busy: sample.utilization, Queued: sample.queued,
 		})
 	}
 	for capName, at := range t.capFull {
-		if now.Sub(at) < capFullFor {
+		if now.Sub(at) < capFullDuration {
 			in.FullCaps = append(in.FullCaps, capName)
 		}
 	}
@@ -159,14 +160,15 @@
 			in.Stopped = append(in.Stopped, to)
 		}
 	}
-	in.Others = d.others(s, name, now)
+	in.Others = d.competing(s, name, now)
 	return in
 }
 
-// others lists the shifts that move the same service into one of the places.
-func (d *Driver) others(s *routing.Snapshot, name string, now time.Time) []shift.Other {
+// competing returns the other shifts that move the same service to one of this shift's
+// receiving places. A shift without a service moves all services.
+func (d *Driver) competing(s *routing.Snapshot, name string, now time.Time) []shift.Other {
 	self := s.Shifts[name]
-	var others []shift.Other
+	var competing []shift.Other
 	for _, other := range shiftNames(s) {
 		o := s.Shifts[other]
 		if other == name || o == nil || o.Service != "" && self.Service != "" && o.Service != self.Service {
@@ -176,12 +178,12 @@
 		if i < 0 {
 			continue
 		}
-		entry := shift.Other{Name: other, Place: o.To[i], Wants: o.Moved < o.Percent, Age: now.Sub(d.tracks[other].changed)}
+		entry := shift.Other{Name: other, Place: o.To[i], Wants: o.Moved < o.Percent, Age: now.Sub(d.states[other].movedAt)}
 		if p := s.Progress[other]; p != nil {
 			entry.Forward, entry.Since = p.Forward, p.Since
 			entry.Wants = entry.Wants && (p.State != string(shift.Held) || p.WaitsForTurn)
 		}
-		others = append(others, entry)
+		competing = append(competing, entry)
 	}
-	return others
+	return competing
 }
