--- a/node/drain/doc.go
+++ b/node/drain/doc.go
@@ -1,8 +1,8 @@
-// Package drain follows planned stops: it counts what is left of each, tells
-// when one started, fell due or came to its end, and warns before a deadline at
-// which the operator asked for work to be cut.
+// Package drain monitors planned stops. It counts the requests that each still waits for, reports
+// when one starts, passes its deadline or completes, and warns before a deadline while requests
+// are in flight, because they are aborted at the deadline if the operator asked for it.
 //
-// What a stop takes out of service is worked out by every part for itself (see
-// steering/drain); this package only observes. One entry VM per zone writes the
-// log lines, its zone's reader; gauges and counters are kept there too.
+// Each component determines by itself what a stop takes out of service (see steering/drain); this
+// package only observes. One entry VM per zone, the zone's reader, writes the log lines and
+// updates the gauge and the counters.
 package drain
--- a/node/drain/watch.go
+++ b/node/drain/watch.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	// lookEvery is how often stops are looked at.
-	lookEvery = time.Second
-	// warnBefore is how long before a deadline with work left the warning comes.
-	warnBefore = time.Minute
+	// checkInterval is the time between two checks of the stops.
+	checkInterval = time.Second
+	// deadlineWarning is how long before a deadline the warning about requests in flight is logged.
+	deadlineWarning = time.Minute
 )
 
-// Config holds what a Watch needs.
+// Config configures a Watch.
 type Config struct {
 	Configs seam.Configs
-	// Leading says whether this entry VM is its zone's reader now.
+	// Leading reports whether this entry VM is currently its zone's reader.
 	Leading func() bool
-	// Remaining returns what is known of the work that a stop waits for.
+	// Remaining returns the known requests that a stop waits for; false if nothing is known.
 	Remaining func(stop string) (drain.Remaining, bool)
 	Scope     tally.Scope
 	Log       log.Logger
 }
 
-// Watch follows planned stops.
+// Watch monitors planned stops.
 type Watch struct {
 	config   Config
-	stops    map[string]*followed
+	stops    map[string]*stopState
 	inFlight tally.Gauge
 	started  tally.Counter
 	drained  tally.Counter
@@ -44,14 +44,14 @@
 	warned   tally.Counter
 }
 
-// followed is one stop as last seen.
-type followed struct {
-	life    *drain.PlannedStop
-	version int64
-	warned  bool
+// stopState is the state of one stop at the last check.
+type stopState struct {
+	lifecycle *drain.PlannedStop
+	version   int64
+	warned    bool
 }
 
-// New returns a Watch.
+// New returns a Watch. It returns an error if Configs, Leading or Remaining is missing.
 func New(c Config) (*Watch, error) {
 	if c.Configs == nil || c.Leading == nil || c.Remaining == nil {
 		return nil, errors.New("drain: Config.Configs, Leading and Remaining must be set")
@@ -64,7 +64,7 @@
 	}
 	scope := c.Scope.SubScope("stop")
 	return &Watch{
-		config: c, stops: map[string]*followed{},
+		config: c, stops: map[string]*stopState{},
 		inFlight: scope.Gauge("in_flight"),
 		started:  scope.Counter("started"),
 		drained:  scope.Counter("drained"),
@@ -73,31 +73,31 @@
 	}, nil
 }
 
-// Run follows stops until ctx ends.
+// Run checks the stops at a fixed interval until ctx is canceled.
 func (w *Watch) Run(ctx context.Context) error {
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case now := <-ticker.C:
-			w.look(now)
+			w.check(now)
 		}
 	}
 }
 
-func (w *Watch) look(now time.Time) {
+func (w *Watch) check(now time.Time) {
 	s := w.config.Configs.Snapshot()
 	if s == nil || !w.config.Leading() {
-		clear(w.stops) // the next reader starts from what it sees
+		clear(w.stops) // the zone's next reader starts with the stops it finds
 		return
 	}
 	left := 0
 	for name, stop := range s.Stops {
 		remaining, _ := w.config.Remaining(name)
 		left += remaining.InFlight
-		w.follow(now, stop, remaining)
+		w.update(now, stop, remaining)
 	}
 	w.inFlight.Update(float64(left))
 	for name := range w.stops {
@@ -107,19 +107,19 @@
 	}
 }
 
-func (w *Watch) follow(now time.Time, stop *routing.Stop, r drain.Remaining) {
+func (w *Watch) update(now time.Time, stop *routing.Stop, r drain.Remaining) {
 	f := w.stops[stop.Name]
 	if f == nil || f.version != stop.Version {
-		f = &followed{life: drain.NewPlannedStop(), version: stop.Version}
+		f = &stopState{lifecycle: drain.NewPlannedStop(), version: stop.Version}
 		w.stops[stop.Name] = f
 	}
-	if f.life.Look(now, stop, r) {
-		w.tell(stop, f.life.State(), r)
+	if f.lifecycle.Look(now, stop, r) {
+		w.report(stop, f.lifecycle.State(), r)
 	}
-	w.warn(now, stop, f, r)
+	w.warnOfDeadline(now, stop, f, r)
 }
 
-func (w *Watch) tell(stop *routing.Stop, state chart.State, r drain.Remaining) {
+func (w *Watch) report(stop *routing.Stop, state chart.State, r drain.Remaining) {
 	switch state {
 	case drain.Draining:
 		w.started.Inc(1)
@@ -132,14 +132,14 @@
 		"inFlight", r.InFlight, "allReported", r.Complete)
 }
 
-// warn tells once, before anything is cut, that a deadline is near with work
-// left.
-func (w *Watch) warn(now time.Time, stop *routing.Stop, f *followed, r drain.Remaining) {
-	if f.warned || f.life.State() != drain.Draining || stop.Deadline.IsZero() || now.Before(stop.Deadline.Add(-warnBefore)) {
+// warnOfDeadline warns once per version of a stop that its deadline is near and requests are
+// still in flight. The warning comes before any of them is aborted.
+func (w *Watch) warnOfDeadline(now time.Time, stop *routing.Stop, f *stopState, r drain.Remaining) {
+	if f.warned || f.lifecycle.State() != drain.Draining || stop.Deadline.IsZero() || now.Before(stop.Deadline.Add(-deadlineWarning)) {
 		return
 	}
 	f.warned = true
 	w.warned.Inc(1)
-	level.Warn(w.config.Log).Log("part", "drain", "msg", "deadline of a planned stop is near with work left", "stop", stop.Name,
+	level.Warn(w.config.Log).Log("part", "drain", "msg", "deadline of a planned stop is near and requests are still in flight", "stop", stop.Name,
 		"deadline", stop.Deadline.Format(time.RFC3339), "inFlight", r.InFlight, "cuts", stop.Cut)
 }
--- a/node/drain/watch_test.go
+++ b/node/drain/watch_test.go
@@ -16,27 +16,27 @@
 	"heatherlock/steering/routing"
 )
 
-// world is a snapshot with one stop and what remains of it.
-type world struct {
+// system is a snapshot with one stop, the number of its requests in flight, and the log.
+type system struct {
 	mu       sync.Mutex
 	snapshot *routing.Snapshot
 	inFlight int
 	lines    strings.Builder
 }
 
-func (w *world) Snapshot() *routing.Snapshot          { return w.snapshot }
-func (w *world) Subscribe(func(*routing.Snapshot))    {}
-func (w *world) set(n int)                            { w.mu.Lock(); defer w.mu.Unlock(); w.inFlight = n }
-func (w *world) Write(line []byte) (n int, err error) { return w.lines.Write(line) }
+func (w *system) Snapshot() *routing.Snapshot          { return w.snapshot }
+func (w *system) Subscribe(func(*routing.Snapshot))    {}
+func (w *system) setInFlight(n int)                    { w.mu.Lock(); defer w.mu.Unlock(); w.inFlight = n }
+func (w *system) Write(line []byte) (n int, err error) { return w.lines.Write(line) }
 
-func (w *world) remaining(string) (drain.Remaining, bool) {
+func (w *system) remaining(string) (drain.Remaining, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return drain.Remaining{InFlight: w.inFlight, Complete: true}, true
 }
 
-// messages returns state or message of each log line with its cut flag.
-func (w *world) messages(t *testing.T) []string {
+// statesLogged returns the state that each log line reports, or "warning" if it has none.
+func (w *system) statesLogged(t *testing.T) []string {
 	var all []string
 	for line := range strings.Lines(w.lines.String()) {
 		var fields struct {
@@ -52,13 +52,13 @@
 	return all
 }
 
-// Symptom: work is cut at a deadline and nobody had been told. Sequence: a stop
-// that cuts waits for an upload that outlasts its deadline. Cause: a report
-// that comes with the cut. The warning must come before the deadline, once.
-func TestDeadlineIsToldBeforeAnythingIsCut(t *testing.T) {
+// Guards against requests that are aborted at a deadline without a previous warning. A stop that
+// aborts at its deadline waits for an upload that takes longer. The warning must come before the
+// deadline, and only once.
+func TestDeadlineWarningComesBeforeTheCut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		begun := time.Now()
-		w := &world{inFlight: 2, snapshot: &routing.Snapshot{Stops: map[string]*routing.Stop{
+		w := &system{inFlight: 2, snapshot: &routing.Snapshot{Stops: map[string]*routing.Stop{
 			"s": {Name: "s", Version: 1, Kind: routing.StopPlace, Subject: "sur", Deadline: begun.Add(5 * time.Minute), Cut: true},
 		}}}
 		watch, err := New(Config{Configs: w, Leading: func() bool { return true }, Remaining: w.remaining, Log: log.NewJSONLogger(w)})
@@ -68,15 +68,15 @@
 		running.Go(func() { _ = watch.Run(ctx) })
 		time.Sleep(4*time.Minute - time.Second)
 		synctest.Wait()
-		assert.DeepEqual(t, w.messages(t), []string{"draining"})
+		assert.DeepEqual(t, w.statesLogged(t), []string{"draining"})
 		time.Sleep(30 * time.Second)
 		synctest.Wait()
-		assert.DeepEqual(t, w.messages(t), []string{"draining", "warning"})
+		assert.DeepEqual(t, w.statesLogged(t), []string{"draining", "warning"})
 		time.Sleep(time.Minute)
-		w.set(0)
+		w.setInFlight(0)
 		time.Sleep(10 * time.Second)
 		stop()
 		running.Wait()
-		assert.DeepEqual(t, w.messages(t), []string{"draining", "warning", "overdue", "drained"})
+		assert.DeepEqual(t, w.statesLogged(t), []string{"draining", "warning", "overdue", "drained"})
 	})
 }
