--- a/node/telemetry/bounded.go
+++ b/node/telemetry/bounded.go
@@ -11,22 +11,20 @@
 )
 
 const (
-	// queuedLines bounds the lines that wait to be written.
-	queuedLines = 1024
-	// linesPerSecond and lineBurst bound what is written: a day of failures would
-	// otherwise spend more of the processor on its log than on its callers.
+	// maxQueuedLines is the maximum number of lines that wait to be written.
+	maxQueuedLines = 1024
+	// linesPerSecond and lineBurst limit the rate of written lines. Without them, an entry VM with
+	// many failures would use more CPU time for its log than for its callers.
 	linesPerSecond = 100
 	lineBurst      = 400
 )
 
-// BoundedWriter writes lines to another writer without ever keeping its caller
-// waiting.
+// BoundedWriter writes lines to another writer without ever blocking its caller.
 //
-// What goes wrong without it: a log that nobody reads fills its pipe, and each
-// request that logs a line waits for it. One would notice requests that stand
-// still with no target at fault. Here a line that does not fit the queue or the
-// rate is dropped and counted, and the count is written with the next line that
-// fits.
+// If the log were written directly and nobody read it, its pipe would fill up, and each request
+// that logs a line would block although no target is at fault. BoundedWriter drops a line that
+// exceeds the queue or the rate, counts it, and writes the count with the next line that is
+// written while the queue is empty.
 type BoundedWriter struct {
 	to      io.Writer
 	lines   chan []byte
@@ -36,15 +34,16 @@
 	done    chan struct{}
 }
 
-// NewBoundedWriter returns a writer to to; Close ends its goroutine.
+// NewBoundedWriter returns a BoundedWriter that writes to to. Close stops its goroutine.
 func NewBoundedWriter(to io.Writer) *BoundedWriter {
-	w := &BoundedWriter{to: to, lines: make(chan []byte, queuedLines), done: make(chan struct{}),
+	w := &BoundedWriter{to: to, lines: make(chan []byte, maxQueuedLines), done: make(chan struct{}),
 		rate: rate.NewLimiter(linesPerSecond, lineBurst)}
 	go w.run()
 	return w
 }
 
-// Write queues a line, or drops it. It never fails.
+// Write queues a line, or drops it if the queue or the rate is exceeded. It never returns an
+// error.
 func (w *BoundedWriter) Write(line []byte) (int, error) {
 	if !w.rate.Allow() {
 		w.dropped.Add(1)
@@ -58,16 +57,16 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped that the log does not tell of yet,
-// and takes them as told.
+// Dropped returns the number of dropped lines that the log hasn't reported yet, and resets it.
 func (w *BoundedWriter) Dropped() int64 { return w.dropped.Swap(0) }
 
-// Close writes what is queued and ends. Nothing may be written after it.
+// Close writes the queued lines, waits at most one second for this, and stops the writer. Write
+// must not be called after Close.
 func (w *BoundedWriter) Close() error {
 	w.closing.Do(func() { close(w.lines) })
 	select {
 	case <-w.done:
-	case <-time.After(time.Second): // nobody reads the log; the process ends all the same
+	case <-time.After(time.Second): // the log isn't read; don't keep the process from exiting
 	}
 	return nil
 }
@@ -79,6 +78,6 @@
 			w.dropped.Add(-n)
 			line = append(line, fmt.Appendf(nil, `{"level":"warn","msg":"lines left out","dropped_lines":%d}`+"\n", n)...)
 		}
-		_, _ = w.to.Write(line) // a log that cannot be written has nowhere to say so
+		_, _ = w.to.Write(line) // there is nowhere to report an error of the log itself
 	}
 }
--- a/node/telemetry/bounded_test.go
+++ b/node/telemetry/bounded_test.go
@@ -12,10 +12,9 @@
 	"heatherlock/node/telemetry"
 )
 
-// Symptom: requests stand still with no target at fault. Sequence: nobody reads
-// the log, and its pipe is full. Cause: a request waits until its line is
-// written.
-func TestLogThatNobodyReadsKeepsNobodyWaiting(t *testing.T) {
+// Guards against requests that block although no target is at fault. Nobody reads the log, its
+// pipe is full, and a request waits until its line is written.
+func TestUnreadLogDoesNotBlockWriters(t *testing.T) {
 	reader, pipe := io.Pipe()
 	defer reader.Close()
 	w := telemetry.NewBoundedWriter(pipe)
@@ -30,9 +29,9 @@
 	assert.Equal(t, w.Dropped(), int64(0))
 }
 
-// Symptom: a flood of failures costs more processor time for its log than for
-// its callers. What is written stays within the rate, and says what is missing.
-func TestFloodOfLinesIsBoundedAndCounted(t *testing.T) {
+// Guards against a burst of failures that uses more CPU time for its log than for its callers.
+// The written lines stay within the rate limit, and the log reports how many were dropped.
+func TestBurstOfLinesIsLimitedAndCounted(t *testing.T) {
 	var out bytes.Buffer
 	w := telemetry.NewBoundedWriter(&out)
 	const lines = 5000
--- a/node/telemetry/doc.go
+++ b/node/telemetry/doc.go
@@ -1,4 +1,4 @@
-// Package telemetry turns what a daemon does into counters, histograms and log
-// lines. Metrics are kept by tally and shown in the Prometheus text form; logs
-// are JSON lines. Neither ever holds tokens, certificates or request bodies.
+// Package telemetry provides a daemon's metrics and its logger. Metrics are recorded with tally
+// and served in the Prometheus text format; logs are JSON lines. Neither may contain tokens,
+// certificates or request bodies.
 package telemetry
--- a/node/telemetry/line.go
+++ b/node/telemetry/line.go
@@ -13,22 +13,23 @@
 	"github.com/go-kit/log"
 )
 
-// lineLogger writes JSON lines with their keys in the order given.
+// lineLogger writes log lines as JSON objects with their keys in the given order.
 //
-// go-kit's own JSON logger gathers a line in a map and hands it to the general
-// encoder, which sorts the keys: 13.0 µs and 34 allocations for the line of a
-// refused request, against 0.9 µs and none here (BenchmarkLine). Lines would cost
-// 3 % of an entry VM's processor time while a tenth of all requests is refused.
+// go-kit's JSON logger builds a map and passes it to encoding/json, which sorts the keys. For the
+// line of a refused request it takes 13.0 µs and 34 allocations, and lineLogger 0.9 µs and none
+// (BenchmarkLine). If a tenth of all requests is refused, go-kit's logger would use 3 % of an
+// entry VM's CPU time.
 type lineLogger struct{ to io.Writer }
 
 var _ log.Logger = lineLogger{}
 
-// lineBuffers are reused; those grown beyond keptLine bytes are not.
+// lineBuffers holds buffers for reuse. A buffer larger than maxPooledBytes isn't returned to the
+// pool.
 var lineBuffers = sync.Pool{New: func() any { return new([]byte) }}
 
-const keptLine = 8 << 10
+const maxPooledBytes = 8 << 10
 
-// Log implements log.Logger.
+// Log writes one line. A missing last value is written as log.ErrMissingValue.
 func (l lineLogger) Log(keyvals ...any) error {
 	buffer := lineBuffers.Get().(*[]byte)
 	line := append((*buffer)[:0], '{')
@@ -45,7 +46,7 @@
 	}
 	line = append(line, '}', '\n')
 	_, err := l.to.Write(line)
-	if cap(line) <= keptLine {
+	if cap(line) <= maxPooledBytes {
 		*buffer = line
 		lineBuffers.Put(buffer)
 	}
@@ -59,8 +60,8 @@
 	return fmt.Sprint(key)
 }
 
-// appendValue appends a value as JSON. What a general encoder cannot take is told
-// as its error, so that a line is never lost for one of its values.
+// appendValue appends a value as JSON. If encoding/json can't encode a value, its error is
+// written instead, so that one value never loses the whole line.
 func appendValue(line []byte, value any) []byte {
 	switch v := value.(type) {
 	case nil:
@@ -92,7 +93,8 @@
 	return append(line, encoded...)
 }
 
-// errorText is an error's text; a nil pointer in an error has none.
+// errorText returns the text of an error, or "nil" for a nil pointer in an error, on which Error
+// could panic.
 func errorText(err error) string {
 	if v := reflect.ValueOf(err); v.Kind() == reflect.Pointer && v.IsNil() {
 		return "nil"
@@ -100,14 +102,14 @@
 	return err.Error()
 }
 
-// appendText appends text as a JSON string. Text with anything to escape is left to
-// the general encoder.
+// appendText appends text as a JSON string. It uses encoding/json only for text that contains
+// characters to escape or that isn't ASCII.
 func appendText(line []byte, text string) []byte {
 	for i := range len(text) {
 		if c := text[i]; c < ' ' || c == '"' || c == '\\' || c >= utf8.RuneSelf {
 			encoded, err := json.Marshal(text)
 			if err != nil {
-				return append(line, `""`...) // a string always has a form
+				return append(line, `""`...) // can't happen: every string can be encoded
 			}
 			return append(line, encoded...)
 		}
--- a/node/telemetry/line_test.go
+++ b/node/telemetry/line_test.go
@@ -14,8 +14,8 @@
 	"pgregory.net/rapid"
 )
 
-// Symptom: a line cannot be parsed, or says something else than was logged. Every
-// value has to come out as the general encoder would write it.
+// Guards against lines that can't be parsed or contain other values than were logged. Each value
+// must be encoded as encoding/json encodes it.
 func TestLinesAreTheJSONOfTheirValues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.String().Draw(t, "text")
@@ -47,9 +47,9 @@
 
 type name string
 
-// Symptom: a line is lost for one of its values. Values of other types, a value
-// that has no JSON, a missing one and a nil pointer in an error all make a line.
-func TestLineSurvivesOddValues(t *testing.T) {
+// Guards against losing a line because of one of its values: a value of another type, one that
+// has no JSON form, a missing one, or a nil pointer in an error.
+func TestUnencodableValuesDoNotLoseTheLine(t *testing.T) {
 	var out bytes.Buffer
 	var missing *json.SyntaxError
 	assert.NilError(t, lineLogger{&out}.Log("name", name("vm-1"), "took", 3*time.Second, "at", time.Unix(0, 0).UTC(), "not", math.Inf(1),
@@ -76,7 +76,7 @@
 		b.Run(way.name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				_ = way.logger.Log(refusedLine...) // io.Discard takes all
+				_ = way.logger.Log(refusedLine...) // io.Discard returns no errors
 			}
 		})
 	}
--- a/node/telemetry/log.go
+++ b/node/telemetry/log.go
@@ -7,8 +7,8 @@
 	"github.com/go-kit/log/level"
 )
 
-// NewLogger writes JSON lines at or above the level named debug, info, warn or
-// error; any other name means info.
+// NewLogger returns a logger that writes JSON lines at or above the level named debug, info, warn
+// or error. Any other name means info.
 func NewLogger(w io.Writer, name string) log.Logger {
 	var logger log.Logger = lineLogger{log.NewSyncWriter(w)}
 	logger = log.With(logger, "ts", log.DefaultTimestampUTC)
--- a/node/telemetry/metrics.go
+++ b/node/telemetry/metrics.go
@@ -11,21 +11,22 @@
 	tallyprom "github.com/uber-go/tally/v4/prometheus"
 )
 
-// reportEvery is how long a counted event may take to show up in /metrics.
-const reportEvery = time.Second
+// reportInterval is the interval at which counts are reported to the registry, and so the longest
+// time until an event appears in /metrics.
+const reportInterval = time.Second
 
-// prefix starts the name of every metric.
+// prefix is the first part of every metric name.
 const prefix = "heatherlock"
 
-// Metrics is one daemon's registry. Each daemon has its own, so that several
-// can run in one process.
+// Metrics is the metrics registry of one daemon. Each daemon has its own, so that several can run
+// in one process.
 type Metrics struct {
 	Scope   tally.Scope
 	handler http.Handler
 	closer  io.Closer
 }
 
-// New returns a registry whose metrics carry the daemon's name and zone.
+// New returns a registry whose metrics are labeled with the daemon's VM name and zone.
 func New(vm, zone string) *Metrics {
 	registry := prom.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector())
@@ -38,18 +39,18 @@
 		Separator:              tallyprom.DefaultSeparator,
 		SanitizeOptions:        sanitize(),
 		OmitCardinalityMetrics: true,
-	}, reportEvery)
+	}, reportInterval)
 	return &Metrics{Scope: scope, handler: reporter.HTTPHandler(), closer: closer}
 }
 
-// Handler serves the metrics in the Prometheus text form.
+// Handler returns a handler that serves the metrics in the Prometheus text format.
 func (m *Metrics) Handler() http.Handler { return m.handler }
 
-// Close stops the reporting goroutine after a last report.
+// Close reports the metrics a last time and stops the reporting goroutine.
 func (m *Metrics) Close() error { return m.closer.Close() }
 
-// sanitize keeps label values such as "norte-a" as operators write them; only
-// names of metrics and labels are bound to the narrow character set.
+// sanitize returns options that keep label values such as "norte-a" unchanged. Only the names of
+// metrics and labels are restricted to Prometheus's character set.
 func sanitize() *tally.SanitizeOptions {
 	options := tallyprom.DefaultSanitizerOpts
 	options.ValueCharacters = tally.ValidCharacters{
--- a/node/telemetry/metrics_test.go
+++ b/node/telemetry/metrics_test.go
@@ -13,9 +13,8 @@
 	"heatherlock/node/telemetry"
 )
 
-// Symptom: a second daemon in one process stops with a duplicate metric.
-// Sequence: two daemons count under the same name. Cause: a registry that is
-// shared by the process.
+// Guards against a registry that is shared by the process: a second daemon in it would fail on a
+// duplicate metric, because both use the same names.
 func TestTwoRegistriesInOneProcess(t *testing.T) {
 	first := telemetry.New("a", "zone-1")
 	second := telemetry.New("b", "zone-2")
