--- a/node/tlsconf/doc.go
+++ b/node/tlsconf/doc.go
@@ -1,13 +1,11 @@
-// Package tlsconf makes the TLS configurations of the peer and operator
-// listeners from the settings, and keeps them up to date when their files
-// change.
+// Package tlsconf builds the TLS configurations of the peer and operator listeners from the
+// settings, and reloads the certificates when their files change.
 //
-// Between entry VMs both sides present a certificate that the settings'
-// authority signed for PeerName. VMs are replaced at any time and come back
-// under other addresses, so a peer proves its role, not its address. Operators
-// may present a client certificate or a token; the listener verifies a
-// certificate that is given.
+// Between entry VMs, both sides present a certificate for PeerName that is signed by the
+// authority in the settings. VMs are replaced at any time and return under other addresses, so
+// a peer's certificate proves its role and not its address. Operators may present a client
+// certificate or a token; the listener verifies a client certificate if one is presented.
 //
-// Limits: certificates are not checked for revocation; take a lost one out of
-// force by a new authority. Open connections outlive a reload.
+// Limits: certificates aren't checked for revocation; to invalidate a lost one, replace the
+// authority. Open connections aren't closed by a reload.
 package tlsconf
--- a/node/tlsconf/error.go
+++ b/node/tlsconf/error.go
@@ -2,23 +2,23 @@
 
 import "fmt"
 
-// ErrorKind classifies what is wrong with certificates.
+// ErrorKind classifies certificate errors.
 type ErrorKind string
 
 // Kinds of error.
 const (
 	Unreadable  ErrorKind = "unreadable"    // a file cannot be read
-	BadPEM      ErrorKind = "bad_pem"       // no certificate or key in the text
-	KeyMismatch ErrorKind = "key_mismatch"  // the key is not the certificate's
-	Expired     ErrorKind = "expired"       // past the certificate's last day
-	NotYetValid ErrorKind = "not_yet_valid" // before the certificate's first day
-	MissingCA   ErrorKind = "missing_ca"    // peers need an authority
-	Untrusted   ErrorKind = "untrusted"     // not signed by the authority
-	WrongName   ErrorKind = "wrong_name"    // not issued for the role
-	Missing     ErrorKind = "missing"       // the other side gave none
+	BadPEM      ErrorKind = "bad_pem"       // the text has no valid certificate or key
+	KeyMismatch ErrorKind = "key_mismatch"  // the key doesn't match the certificate
+	Expired     ErrorKind = "expired"       // the certificate has expired
+	NotYetValid ErrorKind = "not_yet_valid" // the certificate isn't valid yet
+	MissingCA   ErrorKind = "missing_ca"    // no authority given for the peer listener
+	Untrusted   ErrorKind = "untrusted"     // not verified by the authority
+	WrongName   ErrorKind = "wrong_name"    // not issued for PeerName
+	Missing     ErrorKind = "missing"       // the other side presented no certificate
 )
 
-// remedies says what to do about each kind.
+// remedies maps each kind to the action that resolves it.
 var remedies = map[ErrorKind]string{
 	Unreadable:  "give a path that the daemon may read",
 	BadPEM:      "give PEM text: BEGIN CERTIFICATE for cert and ca, BEGIN ... PRIVATE KEY for key",
@@ -31,17 +31,17 @@
 	Missing:     "give the caller a certificate in tls.peer",
 }
 
-// Error is something wrong with certificates. It never holds key material.
+// Error describes an invalid certificate, key or authority. It never contains key material.
 type Error struct {
 	Kind ErrorKind
-	// Field is the setting concerned, for example "tls.peer.certFile", or the
-	// side that presented a certificate.
+	// Field is the setting concerned, for example "tls.peer.certFile", or the side that presented
+	// the certificate ("peer calling" or "peer called").
 	Field  string
 	Detail string
 	Err    error
 }
 
-// Error implements error; the message ends with the remedy.
+// Error returns the field, the kind, the details and the remedy.
 func (e *Error) Error() string {
 	msg := fmt.Sprintf("tlsconf: %s: %s", e.Field, e.Kind)
 	if e.Detail != "" {
@@ -53,5 +53,5 @@
 	return msg + "; " + remedies[e.Kind]
 }
 
-// Unwrap returns the cause.
+// Unwrap returns Err.
 func (e *Error) Unwrap() error { return e.Err }
--- a/node/tlsconf/generate.go
+++ b/node/tlsconf/generate.go
@@ -16,24 +16,26 @@
 	"heatherlock/node/static"
 )
 
-// Authority signs certificates for quickstart and tests. It is no replacement
-// for the operators' own: its key lives in memory only.
+// Authority is a certificate authority for quickstart and tests. It doesn't replace the
+// operators' own authority, because its key is kept in memory only.
 type Authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
-	text        string
-	life        time.Duration
+	pem         string
+	validity    time.Duration
 }
 
-// clockSkew is how far back certificates are valid, for clocks that differ.
+// clockSkew is how far in the past the validity of a certificate starts, to allow for clocks that
+// differ between VMs.
 const clockSkew = 5 * time.Minute
 
-// serialBits is the length of a random serial number.
+// serialBits is the length of a random serial number in bits.
 const serialBits = 120
 
-// NewAuthority makes an authority whose certificates are valid for life.
-func NewAuthority(life time.Duration) (*Authority, error) {
-	template, err := newTemplate("heatherlock authority", life)
+// NewAuthority returns an authority. Its own certificate and those that it issues are valid for
+// the given time, counted from when each is issued.
+func NewAuthority(validity time.Duration) (*Authority, error) {
+	template, err := newTemplate("heatherlock authority", validity)
 	if err != nil {
 		return nil, err
 	}
@@ -44,46 +46,48 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "tlsconf: generate a key")
 	}
-	a := &Authority{key: key, life: life}
+	a := &Authority{key: key, validity: validity}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
-		return nil, errors.Wrap(err, "tlsconf: sign the authority")
+		return nil, errors.Wrap(err, "tlsconf: sign the authority's certificate")
 	}
 	a.certificate, err = x509.ParseCertificate(der)
-	a.text = encode("CERTIFICATE", der)
+	a.pem = encode("CERTIFICATE", der)
 	return a, err
 }
 
-func newTemplate(name string, life time.Duration) (*x509.Certificate, error) {
+func newTemplate(name string, validity time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, errors.Wrap(err, "tlsconf: draw a serial number")
+		return nil, errors.Wrap(err, "tlsconf: generate a serial number")
 	}
 	now := time.Now()
 	return &x509.Certificate{
 		SerialNumber: serial, Subject: pkix.Name{CommonName: name},
-		NotBefore: now.Add(-clockSkew), NotAfter: now.Add(life),
+		NotBefore: now.Add(-clockSkew), NotAfter: now.Add(validity),
 	}, nil
 }
 
-// IssuePeer returns settings for an entry VM's peer listener.
+// IssuePeer returns the settings of an entry VM's peer listener, with a new certificate for
+// PeerName.
 func (a *Authority) IssuePeer(vm string) (static.Certificates, error) {
 	return a.issue(vm, []string{PeerName}, nil)
 }
 
-// IssueOperator returns settings for an operator listener reached at addresses.
+// IssueOperator returns the settings of an operator listener, with a new certificate for the
+// given IP addresses.
 func (a *Authority) IssueOperator(vm string, addresses ...net.IP) (static.Certificates, error) {
 	return a.issue(vm, nil, addresses)
 }
 
-// IssueClient returns the certificate, key and authority of an operator.
+// IssueClient returns a client certificate for an operator, with its key and the authority.
 func (a *Authority) IssueClient(operator string) (static.Certificates, error) {
 	return a.issue(operator, nil, nil)
 }
 
 func (a *Authority) issue(name string, names []string, addresses []net.IP) (static.Certificates, error) {
 	var c static.Certificates
-	template, err := newTemplate(name, a.life)
+	template, err := newTemplate(name, a.validity)
 	if err != nil {
 		return c, err
 	}
@@ -103,7 +107,7 @@
 	if err != nil {
 		return c, errors.Wrap(err, "tlsconf: encode a key")
 	}
-	return static.Certificates{Cert: encode("CERTIFICATE", der), Key: encode("PRIVATE KEY", raw), CA: a.text}, nil
+	return static.Certificates{Cert: encode("CERTIFICATE", der), Key: encode("PRIVATE KEY", raw), CA: a.pem}, nil
 }
 
 func encode(kind string, der []byte) string {
--- a/node/tlsconf/load.go
+++ b/node/tlsconf/load.go
@@ -11,34 +11,34 @@
 	"heatherlock/node/static"
 )
 
-// material is one consistent set of certificates.
-type material struct {
+// certificateSet is a certificate with its key and authority, loaded together.
+type certificateSet struct {
 	pair tls.Certificate
-	// authority is nil when the settings give none.
+	// authority is nil if the settings contain none.
 	authority *x509.CertPool
 	expires   time.Time
-	// texts is what it was made from, to see when a file has changed.
-	texts texts
+	// pemTexts are the PEM texts that the set was parsed from, for detecting changed files.
+	pemTexts pemTexts
 }
 
-// texts holds PEM texts; key is compared and parsed, never shown.
-type texts struct{ cert, key, ca string }
+// pemTexts holds PEM texts. The key must not be logged or returned in an error.
+type pemTexts struct{ cert, key, ca string }
 
-// read returns the texts of the settings, from files where paths are given.
-func read(field string, c static.Certificates) (texts, error) {
-	var t texts
+// read returns the PEM texts of the settings, reading files where paths are given.
+func read(field string, c static.Certificates) (pemTexts, error) {
+	var t pemTexts
 	var err error
-	if t.cert, err = textOf(field+".certFile", c.CertFile, c.Cert); err != nil {
+	if t.cert, err = readText(field+".certFile", c.CertFile, c.Cert); err != nil {
 		return t, err
 	}
-	if t.key, err = textOf(field+".keyFile", c.KeyFile, c.Key); err != nil {
+	if t.key, err = readText(field+".keyFile", c.KeyFile, c.Key); err != nil {
 		return t, err
 	}
-	t.ca, err = textOf(field+".caFile", c.CAFile, c.CA)
+	t.ca, err = readText(field+".caFile", c.CAFile, c.CA)
 	return t, err
 }
 
-func textOf(field, path, inline string) (string, error) {
+func readText(field, path, inline string) (string, error) {
 	if path == "" {
 		return inline, nil
 	}
@@ -49,8 +49,9 @@
 	return string(raw), nil
 }
 
-// parse checks the texts and makes the material.
-func parse(field string, t texts, role Role, now time.Time) (*material, error) {
+// parse parses the texts and checks the certificates. Peer certificates need an authority and
+// must be verified by it.
+func parse(field string, t pemTexts, role Role, now time.Time) (*certificateSet, error) {
 	pair, err := tls.X509KeyPair([]byte(t.cert), []byte(t.key))
 	if err != nil {
 		return nil, pairError(field, t, err)
@@ -58,7 +59,7 @@
 	if err := checkDates(field, pair.Leaf, now); err != nil {
 		return nil, err
 	}
-	m := &material{pair: pair, expires: pair.Leaf.NotAfter, texts: t}
+	m := &certificateSet{pair: pair, expires: pair.Leaf.NotAfter, pemTexts: t}
 	if t.ca == "" {
 		if role == Peer {
 			return nil, &Error{Kind: MissingCA, Field: field}
@@ -75,9 +76,10 @@
 	return m, nil
 }
 
-// pairError tells a key that does not fit from text that is no PEM, without
-// the library's message, which may quote what it could not parse.
-func pairError(field string, t texts, err error) error {
+// pairError returns the error for a certificate and key that can't be loaded. It distinguishes
+// invalid PEM from a key that doesn't match, and leaves out the library's message, which may
+// quote the text that it couldn't parse.
+func pairError(field string, t pemTexts, err error) error {
 	if _, certErr := x509.ParseCertificate(firstBlock(t.cert)); certErr != nil {
 		return &Error{Kind: BadPEM, Field: field + ".cert"}
 	}
@@ -100,7 +102,8 @@
 	return nil
 }
 
-// verify checks a chain, leaf first, against an authority and the peers' name.
+// verify checks that a chain, given leaf first, is signed by an authority and issued for
+// PeerName.
 func verify(side string, authority *x509.CertPool, chain []*x509.Certificate, usage x509.ExtKeyUsage, now time.Time) error {
 	if len(chain) == 0 {
 		return &Error{Kind: Missing, Field: side}
--- a/node/tlsconf/source.go
+++ b/node/tlsconf/source.go
@@ -15,59 +15,59 @@
 	"heatherlock/node/static"
 )
 
-// PeerName is the DNS name that every peer's certificate bears. It is a role:
-// nothing resolves it.
+// PeerName is the DNS name in every peer's certificate. It identifies the peer role and isn't
+// resolved.
 const PeerName = "peer.heatherlock.internal"
 
-// Role says which listener the certificates belong to.
+// Role is the listener that certificates are used for.
 type Role uint8
 
 // Roles of certificates.
 const (
 	// Peer certificates are presented and verified on both sides.
 	Peer Role = iota
-	// Operator certificates are presented by the listener; those of clients
-	// are verified when given.
+	// Operator certificates are presented by the listener. Client certificates are verified if
+	// presented.
 	Operator
 )
 
 const (
-	// DefaultReloadEvery is the time between two looks at the files.
-	DefaultReloadEvery = 30 * time.Second
-	// warnBefore is how long before the last day a warning is logged.
-	warnBefore = 14 * 24 * time.Hour
-	// warnEvery bounds the warnings.
-	warnEvery = time.Hour
+	// DefaultReloadInterval is the interval at which the files are checked for changes.
+	DefaultReloadInterval = 30 * time.Second
+	// expiryWarning is how long before expiry a warning is logged.
+	expiryWarning = 14 * 24 * time.Hour
+	// expiryWarningInterval is the minimum time between two such warnings.
+	expiryWarningInterval = time.Hour
 )
 
-// Config holds what a Source needs.
+// Config configures a Source.
 type Config struct {
 	Role Role
-	// Field names the settings in errors and logs, for example "tls.peer".
-	Field        string
-	Certificates static.Certificates
-	ReloadEvery  time.Duration // zero means DefaultReloadEvery
-	Scope        tally.Scope   // nil means none
-	Logger       log.Logger    // nil means none
+	// Field is the name of the settings in errors and logs, for example "tls.peer".
+	Field          string
+	Certificates   static.Certificates
+	ReloadInterval time.Duration // DefaultReloadInterval if zero or less
+	Scope          tally.Scope   // no metrics if nil
+	Logger         log.Logger    // no logging if nil
 }
 
-// Source holds the certificates in force.
+// Source provides TLS configurations with the certificates currently in force.
 type Source struct {
 	config  Config
 	scope   tally.Scope
 	logger  log.Logger
-	current atomic.Pointer[material]
+	current atomic.Pointer[certificateSet]
 	warned  time.Time
 }
 
-// New reads and checks the certificates. It returns nil without an error when
-// the settings give none, which means plain TCP.
+// New loads and checks the certificates. If the settings contain none, it returns nil without an
+// error, and the listener uses plain TCP.
 func New(c Config) (*Source, error) {
 	if c.Certificates.Empty() {
 		return nil, nil
 	}
-	if c.ReloadEvery <= 0 {
-		c.ReloadEvery = DefaultReloadEvery
+	if c.ReloadInterval <= 0 {
+		c.ReloadInterval = DefaultReloadInterval
 	}
 	if c.Scope == nil {
 		c.Scope = tally.NoopScope
@@ -82,14 +82,14 @@
 	return s, nil
 }
 
-// reload replaces the certificates if their texts changed.
+// reload loads the certificates and replaces those in force if their texts changed.
 func (s *Source) reload(now time.Time) error {
 	t, err := read(s.config.Field, s.config.Certificates)
 	if err != nil {
 		return err
 	}
 	old := s.current.Load()
-	if old != nil && old.texts == t {
+	if old != nil && old.pemTexts == t {
 		return nil
 	}
 	m, err := parse(s.config.Field, t, s.config.Role, now)
@@ -102,37 +102,40 @@
 	return nil
 }
 
-// Run looks at the files again until ctx ends.
+// Run reloads the certificates at a fixed interval until ctx is canceled.
 //
-// What can go wrong: a renewal replaces the certificate before the key, and a
-// reload in between finds a pair that does not fit. One would notice refused
-// connections. A set that does not check is logged and counted, and the one in
-// force stays until the next look.
+// A renewal may replace the certificate file before the key file, and a reload in between would
+// load a certificate and a key that don't match; connections would then be refused. If a check
+// fails, the error is logged and counted, and the certificates in force are kept until the next
+// reload.
 func (s *Source) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(s.config.ReloadEvery):
-			s.look(time.Now())
+		case <-time.After(s.config.ReloadInterval):
+			s.reloadAndWarn(time.Now())
 		}
 	}
 }
 
-func (s *Source) look(now time.Time) {
+// reloadAndWarn reloads the certificates, updates the expiry gauge, and logs a warning if the
+// certificate expires soon.
+func (s *Source) reloadAndWarn(now time.Time) {
 	if err := s.reload(now); err != nil {
 		s.scope.Counter("tls_reload_failed").Inc(1)
 		level.Error(s.logger).Log("event", "reload", "err", err)
 	}
 	left := s.current.Load().expires.Sub(now)
 	s.scope.Gauge("tls_expires_seconds").Update(left.Seconds())
-	if left < warnBefore && now.Sub(s.warned) >= warnEvery {
+	if left < expiryWarning && now.Sub(s.warned) >= expiryWarningInterval {
 		s.warned = now
 		level.Warn(s.logger).Log("event", "expires", "in", left.Round(time.Minute), "remedy", remedies[Expired])
 	}
 }
 
-// Server returns the configuration of the listener.
+// Server returns the listener's TLS configuration. Each connection uses the certificates in
+// force when it is opened.
 func (s *Source) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -142,7 +145,7 @@
 	}
 }
 
-// serverNow is the listener's configuration with the certificates in force.
+// serverNow returns the listener's configuration with the certificates currently in force.
 func (s *Source) serverNow() *tls.Config {
 	m := s.current.Load()
 	c := &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{m.pair}, NextProtos: []string{"h2", "http/1.1"}}
@@ -152,34 +155,34 @@
 	c.ClientCAs = m.authority
 	c.ClientAuth = tls.VerifyClientCertIfGiven
 	if s.config.Role == Peer {
-		// Verified below, so that each refusal is typed and counted.
+		// VerifyConnection verifies instead, so that each refusal has a kind and is counted.
 		c.ClientAuth = tls.RequestClientCert
 		c.VerifyConnection = func(state tls.ConnectionState) error {
-			return s.judge("peer calling", state, x509.ExtKeyUsageClientAuth)
+			return s.verifyConnection("peer calling", state, x509.ExtKeyUsageClientAuth)
 		}
 	}
 	return c
 }
 
-// Client returns the configuration for calls to peers. Verification is done
-// against the authority in force, which the library's own cannot follow, and
-// against PeerName instead of the address called.
+// Client returns the TLS configuration for calls to peers. VerifyConnection verifies the peer
+// against the authority in force, because the library's own verification can't follow a reload,
+// and against PeerName instead of the address called.
 func (s *Source) Client() *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
 		ServerName:         PeerName,
-		InsecureSkipVerify: true, // VerifyConnection verifies
+		InsecureSkipVerify: true, // VerifyConnection verifies instead
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return &s.current.Load().pair, nil
 		},
 		VerifyConnection: func(state tls.ConnectionState) error {
-			return s.judge("peer called", state, x509.ExtKeyUsageServerAuth)
+			return s.verifyConnection("peer called", state, x509.ExtKeyUsageServerAuth)
 		},
 	}
 }
 
-// judge verifies the other side's certificates and counts refusals by kind.
-func (s *Source) judge(side string, state tls.ConnectionState, usage x509.ExtKeyUsage) error {
+// verifyConnection verifies the other side's certificates and counts failures by kind.
+func (s *Source) verifyConnection(side string, state tls.ConnectionState, usage x509.ExtKeyUsage) error {
 	err := verify(side, s.current.Load().authority, state.PeerCertificates, usage, time.Now())
 	if e, ok := err.(*Error); ok {
 		s.scope.Tagged(map[string]string{"kind": string(e.Kind)}).Counter("tls_refused").Inc(1)
--- a/node/tlsconf/tlsconf_test.go
+++ b/node/tlsconf/tlsconf_test.go
@@ -21,13 +21,13 @@
 	"heatherlock/peer"
 )
 
-func authority(t *testing.T, life time.Duration) *Authority {
-	a, err := NewAuthority(life)
+func authority(t *testing.T, validity time.Duration) *Authority {
+	a, err := NewAuthority(validity)
 	assert.NilError(t, err)
 	return a
 }
 
-func issued(t *testing.T) func(static.Certificates, error) static.Certificates {
+func mustIssue(t *testing.T) func(static.Certificates, error) static.Certificates {
 	return func(c static.Certificates, err error) static.Certificates {
 		assert.NilError(t, err)
 		return c
@@ -40,7 +40,8 @@
 	return s
 }
 
-// serve answers "yes" behind a source's listener configuration.
+// serve starts a server that uses the source's listener configuration and responds "yes", and
+// returns its URL.
 func serve(t *testing.T, s *Source) string {
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte("yes"))
@@ -71,7 +72,7 @@
 }
 
 func TestPeersAuthenticateEachOther(t *testing.T) {
-	ours, others, must := authority(t, time.Hour), authority(t, time.Hour), issued(t)
+	ours, others, must := authority(t, time.Hour), authority(t, time.Hour), mustIssue(t)
 	scope := tally.NewTestScope("", nil)
 	a := source(t, must(ours.IssuePeer("norte-a-1")), scope)
 	b := source(t, must(ours.IssuePeer("sur-a-1")), nil)
@@ -90,7 +91,7 @@
 	assert.Assert(t, call(url, none) != nil)
 	assert.Equal(t, refusals(scope, Missing), int64(1))
 
-	// An operator's certificate of the same authority is no peer's.
+	// An operator's certificate from the same authority isn't accepted as a peer's.
 	client := must(ours.IssueClient("ana"))
 	pair, err := tls.X509KeyPair([]byte(client.Cert), []byte(client.Key))
 	assert.NilError(t, err)
@@ -101,7 +102,7 @@
 }
 
 func TestOperatorsMayPresentCertificates(t *testing.T) {
-	ours, must := authority(t, time.Hour), issued(t)
+	ours, must := authority(t, time.Hour), mustIssue(t)
 	settings := must(ours.IssueOperator("norte-a-1", net.IPv4(127, 0, 0, 1)))
 	s, err := New(Config{Role: Operator, Field: "tls.operator", Certificates: settings})
 	assert.NilError(t, err)
@@ -124,7 +125,7 @@
 }
 
 func TestErrorsNameTheFieldAndHideTheKey(t *testing.T) {
-	must := issued(t)
+	must := mustIssue(t)
 	ours, others, past := authority(t, time.Hour), authority(t, time.Hour), authority(t, -time.Minute)
 	good := must(ours.IssuePeer("vm"))
 	with := func(change func(*static.Certificates)) static.Certificates {
@@ -155,11 +156,11 @@
 	assert.Assert(t, s == nil)
 }
 
-// Symptom: all connections between entry VMs are refused during a renewal.
-// Sequence: the certificate's file is replaced, the daemon reads it, then the
-// key's file is replaced. Cause: putting a pair in force that does not fit.
-func TestReloadKeepsWhatWorks(t *testing.T) {
-	dir, must := t.TempDir(), issued(t)
+// Guards against refused connections between entry VMs during a renewal. The certificate file is
+// replaced, the daemon reloads, and the key file is replaced after that: the certificate and key
+// loaded in between don't match and must not be put in force.
+func TestFailedReloadKeepsCurrentCertificates(t *testing.T) {
+	dir, must := t.TempDir(), mustIssue(t)
 	write := func(name, text string) string {
 		path := filepath.Join(dir, name)
 		assert.NilError(t, os.WriteFile(path, []byte(text), 0o600))
@@ -177,13 +178,13 @@
 	old, renewed := source(t, must(ours.IssuePeer("b")), nil), source(t, must(next.IssuePeer("b")), nil)
 
 	write("cert", second.Cert)
-	s.look(time.Now())
+	s.reloadAndWarn(time.Now())
 	assert.NilError(t, call(url, old.Client()))
 	assert.Equal(t, scope.Snapshot().Counters()["tls_reload_failed+field=tls.peer"].Value(), int64(1))
 
 	write("key", second.Key)
 	write("ca", second.CA)
-	s.look(time.Now())
+	s.reloadAndWarn(time.Now())
 	assert.NilError(t, call(url, renewed.Client()))
 	assert.Assert(t, call(url, old.Client()) != nil)
 	assert.Assert(t, strings.Contains(logs.String(), `"event":"expires"`))
