--- a/node/static/check.go
+++ b/node/static/check.go
@@ -9,23 +9,24 @@
 	"strconv"
 )
 
-// Bounds of settings.
+// Limits for the values of settings, and texts that several checks use.
 const (
-	maxDurationMs     = 24 * 60 * 60 * 1000
-	minHeaderBytes    = 4 << 10
-	maxHeaderBytes    = 1 << 20
-	maxConnections    = 1 << 20
-	maxBodyBytesPerS  = 1 << 30
-	maxOutcomeBytes   = 1 << 34
-	sha256HexLen      = 64
-	maxNameLength     = 128
-	nameCharacters    = "a to z, A to Z, 0 to 9, '-', '_' and '.'"
-	portZeroAdvertise = "give the port that peers and callers can reach"
+	maxDurationMs       = 24 * 60 * 60 * 1000
+	minHeaderBytes      = 4 << 10
+	maxHeaderBytes      = 1 << 20
+	maxConnections      = 1 << 20
+	maxBodyBytesPerS    = 1 << 30
+	maxOutcomeBytes     = 1 << 34
+	sha256HexLen        = 64
+	maxNameLength       = 128
+	nameCharacters      = "a to z, A to Z, 0 to 9, '-', '_' and '.'"
+	advertisePortRemedy = "give the port that peers and callers can reach"
 )
 
 var logLevels = []string{"debug", "info", "warn", "error"}
 
-// Check reports every problem of settings that were built in code.
+// Check returns an *Error with every problem of the settings, or nil. It is meant for settings
+// that were built in code; Parse checks those that it decodes.
 func (s Settings) Check() error {
 	found := &problems{}
 	s.check(found)
@@ -60,7 +61,7 @@
 func (p Platform) check(found *problems) {
 	checkDuration(found, "platform.timeoutMs", p.TimeoutMs)
 	if p.URL == "" {
-		return // reported as missing, or another way to the platform is given in code
+		return // the decoder reports it as missing; code may use another platform client
 	}
 	u, err := url.Parse(p.URL)
 	if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
@@ -141,7 +142,7 @@
 		return
 	}
 	if parsed.Port() == 0 {
-		found.add(BadAddress, field, strconv.Quote(address), portZeroAdvertise)
+		found.add(BadAddress, field, strconv.Quote(address), advertisePortRemedy)
 	}
 	if parsed.Addr().IsUnspecified() {
 		found.add(BadAddress, field, strconv.Quote(address), "give an address that others can reach, not the unspecified one")
--- a/node/static/error.go
+++ b/node/static/error.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// ProblemKind classifies what is wrong with a setting.
+// ProblemKind classifies the problem of a setting.
 type ProblemKind string
 
 // Kinds of problem.
@@ -19,15 +19,15 @@
 	BadSyntax    ProblemKind = "not JSON"
 )
 
-// Problem is one thing wrong with the settings.
+// Problem describes one invalid, missing or unknown setting.
 type Problem struct {
 	Kind   ProblemKind
-	Field  string // path such as limits.headerBytes
-	Value  string // as given; secrets are left out
+	Field  string // path, for example limits.headerBytes
+	Value  string // as given, truncated; empty or "(not shown)" for secrets
 	Remedy string
 }
 
-// String returns the problem on one line, ending with the remedy.
+// String returns the problem as one line that ends with the remedy.
 func (p Problem) String() string {
 	var b strings.Builder
 	b.WriteString(string(p.Kind))
@@ -41,12 +41,12 @@
 	return b.String()
 }
 
-// Error reports every problem of a settings file.
+// Error contains every problem of a settings file.
 type Error struct {
 	Problems []Problem
 }
 
-// Error implements error, one problem a line.
+// Error returns a count of the problems followed by one line for each.
 func (e *Error) Error() string {
 	lines := make([]string, 0, len(e.Problems)+1)
 	lines = append(lines, fmt.Sprintf("settings: %d problem(s)", len(e.Problems)))
@@ -56,13 +56,13 @@
 	return strings.Join(lines, "\n")
 }
 
-// problems collects what is wrong while settings are read and checked.
+// problems collects problems while settings are decoded and checked.
 type problems struct {
 	list []Problem
 }
 
 func (c *problems) add(kind ProblemKind, field, value, remedy string) {
-	c.list = append(c.list, Problem{Kind: kind, Field: field, Value: shorten(value), Remedy: remedy})
+	c.list = append(c.list, Problem{Kind: kind, Field: field, Value: truncate(value), Remedy: remedy})
 }
 
 func (c *problems) err() error {
@@ -72,10 +72,11 @@
 	return &Error{Problems: c.list}
 }
 
-// maxValueShown keeps a hostile or mistaken value from flooding the log.
+// maxValueShown is the length to which the value in a problem is truncated, so that a malicious
+// or mistaken value doesn't flood the log.
 const maxValueShown = 80
 
-func shorten(value string) string {
+func truncate(value string) string {
 	if len(value) <= maxValueShown {
 		return value
 	}
--- a/node/static/parse.go
+++ b/node/static/parse.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// Load reads and checks a settings file.
+// Load reads, decodes and checks a settings file. The error is an *Error.
 func Load(path string) (Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -21,8 +21,8 @@
 	return Parse(raw)
 }
 
-// Parse decodes and checks settings. The error is an *Error with every problem
-// found; the settings returned have defaults filled in.
+// Parse decodes and checks settings and sets defaults. The error is an *Error with every problem
+// found.
 func Parse(raw []byte) (Settings, error) {
 	var s Settings
 	found := &problems{}
@@ -35,8 +35,9 @@
 	return s, found.err()
 }
 
-// decode fills one value. Objects are walked field by field, so that one wrong
-// field does not hide the others, as it would with a single json.Unmarshal.
+// decode decodes one value. Objects are decoded field by field, so that an invalid field doesn't
+// hide further problems, as it would with a single json.Unmarshal. The value of a secret isn't
+// included in a problem.
 func decode(raw json.RawMessage, into reflect.Value, path string, secret bool, found *problems) {
 	switch {
 	case into.Kind() == reflect.Struct:
@@ -45,7 +46,7 @@
 		decodeList(raw, into, path, found)
 	default:
 		if err := json.Unmarshal(raw, into.Addr().Interface()); err != nil {
-			found.add(BadType, path, shown(raw, secret), "give "+article(into.Type()))
+			found.add(BadType, path, displayValue(raw, secret), "give "+withArticle(into.Type()))
 		}
 	}
 }
@@ -57,7 +58,7 @@
 			found.add(BadSyntax, "", "", "give one JSON object ("+err.Error()+")")
 			return
 		}
-		found.add(BadType, path, shown(raw, false), "give an object")
+		found.add(BadType, path, displayValue(raw, false), "give an object")
 		return
 	}
 	known := make([]string, 0, into.NumField())
@@ -68,7 +69,7 @@
 		value, ok := given[name]
 		if !ok || isBlank(value) {
 			if field.Tag.Get("check") == "required" {
-				found.add(MissingField, join(path, name), "", "give "+article(field.Type))
+				found.add(MissingField, join(path, name), "", "give "+withArticle(field.Type))
 			}
 			continue
 		}
@@ -77,7 +78,7 @@
 	reportUnknown(given, known, path, found)
 }
 
-// isBlank reports a value that says nothing: null or the empty string.
+// isBlank reports whether a value is null or the empty string, which count as missing.
 func isBlank(raw json.RawMessage) bool {
 	return string(raw) == "null" || string(raw) == `""`
 }
@@ -98,7 +99,7 @@
 func decodeList(raw json.RawMessage, into reflect.Value, path string, found *problems) {
 	var items []json.RawMessage
 	if err := json.Unmarshal(raw, &items); err != nil {
-		found.add(BadType, path, shown(raw, false), "give a list of objects")
+		found.add(BadType, path, displayValue(raw, false), "give a list of objects")
 		return
 	}
 	list := reflect.MakeSlice(into.Type(), len(items), len(items))
@@ -115,14 +116,14 @@
 	return path + "." + name
 }
 
-func shown(raw json.RawMessage, secret bool) string {
+func displayValue(raw json.RawMessage, secret bool) string {
 	if secret {
 		return "(not shown)"
 	}
 	return string(raw)
 }
 
-func article(t reflect.Type) string {
+func withArticle(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.String:
 		return "a string"
--- a/node/static/settings.go
+++ b/node/static/settings.go
@@ -6,7 +6,7 @@
 	"heatherlock/steering"
 )
 
-// Settings is everything a daemon is told at start.
+// Settings contains a daemon's settings.
 type Settings struct {
 	// VM names this entry VM as the platform's list does.
 	VM steering.VM `json:"vm" check:"required"`
@@ -21,11 +21,11 @@
 	PeerListen string `json:"peerListen" check:"required"`
 	// OperatorListen is the IP:port for operators; port 0 takes a free port.
 	OperatorListen string `json:"operatorListen" check:"required"`
-	// CallerAdvertise is told to callers; empty means the address bound.
+	// CallerAdvertise is the IP:port given to callers; empty means the bound address.
 	CallerAdvertise string `json:"callerAdvertise"`
-	// PeerAdvertise is told to other entry VMs; empty means the address bound.
+	// PeerAdvertise is the IP:port given to other entry VMs; empty means the bound address.
 	PeerAdvertise string `json:"peerAdvertise"`
-	// OperatorAdvertise is told to operators; empty means the address bound.
+	// OperatorAdvertise is the IP:port given to operators; empty means the bound address.
 	OperatorAdvertise string `json:"operatorAdvertise"`
 
 	Platform       Platform        `json:"platform" check:"required"`
@@ -44,22 +44,23 @@
 	TimeoutMs int `json:"timeoutMs"`
 }
 
-// Timeout bounds one call that is not a watch.
+// Timeout returns the timeout of a call that isn't a watch.
 func (p Platform) Timeout() time.Duration { return milliseconds(p.TimeoutMs) }
 
-// Log says what is logged.
+// Log configures the log.
 type Log struct {
 	Level string `json:"level"` // debug, info, warn or error
 }
 
-// TLS holds the certificates of the listeners that authenticate.
+// TLS holds the certificates of the peer and operator listeners. Callers' connections aren't
+// authenticated with certificates.
 type TLS struct {
 	Peer     Certificates `json:"peer"`
 	Operator Certificates `json:"operator"`
 }
 
-// Certificates names PEM files, or holds the PEM text itself. With none set
-// the listener speaks plain HTTP.
+// Certificates names PEM files or contains the PEM texts. If all fields are empty, the listener
+// uses plain HTTP.
 type Certificates struct {
 	// CertFile is the listener's certificate.
 	CertFile string `json:"certFile"`
@@ -75,11 +76,10 @@
 	CA string `json:"ca"`
 }
 
-// Empty reports whether nothing is set.
+// Empty reports whether no field is set.
 func (c Certificates) Empty() bool { return c == Certificates{} }
 
-// OperatorToken lets an operator in by a bearer token, of which only the
-// SHA-256 is kept.
+// OperatorToken is an operator's bearer token, of which only the SHA-256 digest is stored.
 type OperatorToken struct {
 	// Name is who is named in the audit log.
 	Name string `json:"name" check:"required"`
@@ -87,7 +87,7 @@
 	SHA256 string `json:"sha256" check:"required"`
 }
 
-// Limits bounds what callers can make a daemon hold.
+// Limits bounds the resources that callers, operators and peers can use in a daemon.
 type Limits struct {
 	// CallerConnections bounds the open connections of callers.
 	CallerConnections int `json:"callerConnections"`
@@ -109,15 +109,15 @@
 	ConnectionsPerTarget int `json:"connectionsPerTarget"`
 }
 
-// HeaderTimeout bounds the time a caller takes to send a request's header.
+// HeaderTimeout returns the maximum time that a caller may take to send a request's header.
 func (l Limits) HeaderTimeout() time.Duration { return milliseconds(l.HeaderTimeoutMs) }
 
-// OutcomeTTL is how long the outcome of a request key is kept.
+// OutcomeTTL returns how long the outcome of a request key is kept.
 func (l Limits) OutcomeTTL() time.Duration { return milliseconds(l.OutcomeTTLMs) }
 
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// Defaults of the settings that may be left out.
+// Defaults of the optional settings.
 const (
 	DefaultPlatformTimeoutMs    = 2000
 	DefaultLogLevel             = "info"
@@ -132,7 +132,7 @@
 	DefaultOutcomeTTLMs         = 600_000
 )
 
-// WithDefaults returns the settings with every omitted optional value filled.
+// WithDefaults returns the settings with defaults set for all optional values that are zero.
 func (s Settings) WithDefaults() Settings {
 	orDefault(&s.Platform.TimeoutMs, DefaultPlatformTimeoutMs)
 	orDefault(&s.Log.Level, DefaultLogLevel)
--- a/node/static/settings_test.go
+++ b/node/static/settings_test.go
@@ -10,7 +10,7 @@
 	"heatherlock/node/static"
 )
 
-const whole = `{
+const validSettings = `{
   "vm": "norte-a-1", "zone": "norte-a", "region": "norte",
   "callerListen": "127.0.0.1:0", "peerListen": "127.0.0.1:0", "operatorListen": "[::1]:0",
   "platform": {"url": "http://127.0.0.1:1234"},
@@ -22,7 +22,7 @@
 const digest = "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08"
 
 func TestParseFillsDefaults(t *testing.T) {
-	s, err := static.Parse([]byte(whole))
+	s, err := static.Parse([]byte(validSettings))
 	assert.NilError(t, err)
 	assert.Equal(t, s.Limits.CallerConnections, 10)
 	assert.Equal(t, s.Limits.HeaderBytes, static.DefaultHeaderBytes)
@@ -30,9 +30,8 @@
 	assert.Equal(t, s.Platform.Timeout().Milliseconds(), int64(static.DefaultPlatformTimeoutMs))
 }
 
-// Symptom: an operator mends one error of a settings file, restarts, and is
-// told of the next. Sequence: several fields are wrong at once. Cause: a
-// decoder that stops at its first error.
+// Guards against a decoder that stops at the first error, so that an operator who has several
+// wrong fields in a settings file finds only one of them with each restart.
 func TestParseReportsEveryProblemAtOnce(t *testing.T) {
 	_, err := static.Parse([]byte(`{
 	  "vm": "norte a 1", "zone": 7, "colour": "red",
@@ -66,7 +65,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(whole))
+	f.Add([]byte(validSettings))
 	f.Add([]byte(`{"vm":`))
 	f.Add([]byte(`[]`))
 	f.Add([]byte(`{"operatorTokens":[1,{}],"platform":null,"limits":{"outcomeBytes":1e99}}`))
