--- a/node/operator/audit.go
+++ b/node/operator/audit.go
@@ -41,8 +41,8 @@
 }
 
 // Diff returns the spec fields that differ as sorted lines of the form "path: old -> new",
-// "path: added new" or "path: removed old". Either object may be empty. At most 40 fields are
-// listed; a last line gives the number of the others.
+// "path: added new" or "path: removed old". Either object may be empty. At most
+// maxDiffFields fields are listed; a last line gives the number of the others.
 func Diff(before, after oas.Object) []string {
 	old, now := flatten(before), flatten(after)
 	var lines []string
--- a/node/operator/operator_test.go
+++ b/node/operator/operator_test.go
@@ -183,7 +183,7 @@
 			servers := []*Server{newServer(t, store, &fakeRuntime{}), newServer(t, store, &fakeRuntime{})}
 			held, err := create(servers[0], serviceWithTimeout(t, 1))
 			assert.NilError(t, err)
-			hands := []oas.Object{held, held}
+			copies := []oas.Object{held, held}
 			for i := range rapid.IntRange(1, 12).Draw(rt, "steps") {
 				store.LoseReplies(rapid.IntRange(0, 2).Draw(rt, "lose"))
 				store.StaleReads(int64(rapid.IntRange(0, 1).Draw(rt, "stale")))
@@ -193,7 +193,7 @@
 				}
 				who := rapid.IntRange(0, 1).Draw(rt, "who")
 				before := store.Revision()
-				o := hands[who]
+				o := copies[who]
 				o.Service.Spec.TimeoutMs = oas.NewOptInt64(int64(i + 100))
 				written, err := update(servers[who], o, "")
 				effects := store.Revision() - before
@@ -201,7 +201,7 @@
 				case err == nil && effects != 1:
 					rt.Fatalf("accepted, %d effects", effects)
 				case err == nil:
-					hands[who] = written
+					copies[who] = written
 				case reason == oas.ProblemReasonOutcomeUnknown && effects > 1:
 					rt.Fatalf("unknown, %d effects", effects)
 				case reason != oas.ProblemReasonOutcomeUnknown && effects != 0:
@@ -211,7 +211,7 @@
 				store.Down(false)
 				store.StaleReads(0)
 				if rapid.Bool().Draw(rt, "read") {
-					hands[who], err = servers[who].get(context.Background(), check.RefOf(o))
+					copies[who], err = servers[who].get(context.Background(), check.RefOf(o))
 					assert.NilError(t, err)
 				}
 			}
@@ -453,18 +453,18 @@
 	runtime := &fakeRuntime{members: []MemberFact{{VM: `<script>alert(1)</script>`, State: Live}}}
 	s := newServer(t, store, runtime)
 	createObjects(t, s)
-	draw := func() string {
+	render := func() string {
 		recorder := httptest.NewRecorder()
 		s.Handler().ServeHTTP(recorder, httptest.NewRequest("GET", "/", nil))
 		assert.Equal(t, recorder.Code, http.StatusOK)
 		return recorder.Body.String()
 	}
-	page := draw()
+	page := render()
 	assert.Assert(t, !strings.Contains(page, "<script>alert"))
 	assert.Assert(t, !strings.Contains(page, "http://") && !strings.Contains(page, "https://"))
 	assert.Assert(t, strings.Contains(page, "every service: a to b"))
 	store.Down(true)
 	s.cachedPage.readAt = time.Time{}
-	page = draw()
+	page = render()
 	assert.Assert(t, strings.Contains(page, "The platform does not answer") && strings.Contains(page, "every service: a to b"))
 }
--- a/node/operator/page.go
+++ b/node/operator/page.go
@@ -42,7 +42,7 @@
 type pageData struct {
 	Nonce   string
 	Now     time.Time
-	Version int64 // to watch from
+	Version int64 // the revision from which the viewer watches for changes
 	Failed  string
 	Status  *oas.DeploymentStatus
 	Shifts  []oas.Shift
--- a/node/tlsconf/tlsconf_test.go
+++ b/node/tlsconf/tlsconf_test.go
@@ -83,21 +83,21 @@
 	assert.Equal(t, response.ProtoMajor, 2)
 	assert.NilError(t, response.Body.Close())
 
-	stranger := source(t, must(others.IssuePeer("norte-a-1")), nil)
-	assert.ErrorContains(t, call(url, stranger.Client()), string(Untrusted))
+	untrustedPeer := source(t, must(others.IssuePeer("norte-a-1")), nil)
+	assert.ErrorContains(t, call(url, untrustedPeer.Client()), string(Untrusted))
 
-	none := b.Client()
-	none.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &tls.Certificate{}, nil }
-	assert.Assert(t, call(url, none) != nil)
+	withoutCertificate := b.Client()
+	withoutCertificate.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &tls.Certificate{}, nil }
+	assert.Assert(t, call(url, withoutCertificate) != nil)
 	assert.Equal(t, refusals(scope, Missing), int64(1))
 
 	// An operator's certificate from the same authority isn't accepted as a peer's.
 	client := must(ours.IssueClient("ana"))
 	pair, err := tls.X509KeyPair([]byte(client.Cert), []byte(client.Key))
 	assert.NilError(t, err)
-	posing := b.Client()
-	posing.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &pair, nil }
-	assert.Assert(t, call(url, posing) != nil)
+	operatorAsPeer := b.Client()
+	operatorAsPeer.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &pair, nil }
+	assert.Assert(t, call(url, operatorAsPeer) != nil)
 	assert.Equal(t, refusals(scope, WrongName), int64(1))
 }
 
