--- a/objects/budget.go
+++ b/objects/budget.go
@@ -12,22 +12,23 @@
 	"golang.org/x/time/rate"
 )
 
-// Defaults of a budget. A zone reader makes about two calls a second; the
-// rest is room for operators and for starting up.
+// Defaults of a Budget. An entry VM that reads the platform for its zone makes about two calls per
+// second; the rest is headroom for operators and for startup.
 const (
 	DefaultReadsPerSecond  = 20
 	DefaultWritesPerSecond = 10
-	// DefaultBurst lets an operator apply a file of objects at once.
+	// DefaultBurst is large enough for an operator to apply a file of objects at once.
 	DefaultBurst = 40
-	// DefaultBackoffMin and DefaultBackoffMax bound the pause after a failure.
+	// DefaultBackoffMin and DefaultBackoffMax bound the backoff delay after a failed call.
 	DefaultBackoffMin = 200 * time.Millisecond
 	DefaultBackoffMax = 10 * time.Second
-	// maxQueueDelay is the longest that the budget holds a call back before it
-	// refuses it.
+	// maxQueueDelay is the longest time that a call waits for its rate limit. A call that would
+	// have to wait longer is refused at once.
 	maxQueueDelay = time.Second
 )
 
-// BudgetConfig holds the bounds of a Budget; zero fields take the defaults.
+// BudgetConfig holds the limits of a Budget. Limits that are zero take the defaults, and a nil
+// Scope counts nothing.
 type BudgetConfig struct {
 	ReadsPerSecond  float64
 	WritesPerSecond float64
@@ -39,14 +40,15 @@
 	Scope  tally.Scope
 }
 
-// Budget bounds what one entry VM asks of the platform.
+// Budget is an API that limits the calls that one entry VM makes to the platform. It is safe for
+// concurrent use.
 //
-// What can go wrong: when the platform fails, every caller that repeats at
-// once keeps it from coming back, and when it does come back they all arrive
-// together. One would notice by a peak in the platform's calls at the end of
-// an outage. Budget prevents it: after a failure it refuses calls locally, as
-// Unavailable with the time to come back, for a pause that doubles per failure
-// and is jittered per entry VM, then lets one call through to try.
+// It limits the rates of reads and writes, and it protects a failing platform: clients that retry
+// at once keep the platform from recovering, and when it does recover, all their calls arrive
+// together, which shows as a peak in the platform's calls at the end of an outage. After a failed
+// call, Budget therefore refuses calls locally, as Unavailable with a RetryAfter, for a delay that
+// doubles with each failure and is jittered per entry VM. Then it lets a single call through as a
+// probe.
 type Budget struct {
 	api     API
 	reads   *rate.Limiter
@@ -55,14 +57,14 @@
 	metrics callMetrics
 
 	mu sync.Mutex
-	// until is when the next call may go out while the platform fails.
-	until   time.Time
-	failing bool
+	// nextAttempt is the time from which the next call may be sent while failing is set.
+	nextAttempt time.Time
+	failing     bool
 }
 
 var _ API = (*Budget)(nil)
 
-// NewBudget wraps api.
+// NewBudget returns a Budget that sends its calls to api.
 func NewBudget(api API, c BudgetConfig) *Budget {
 	c = c.withDefaults()
 	return &Budget{
@@ -93,8 +95,8 @@
 	return c
 }
 
-// Failing tells whether the platform did not answer the last call that went
-// out to it.
+// Failing reports whether the last call that was sent to the platform failed: it was unavailable,
+// it throttled the call, or the outcome is unknown.
 func (b *Budget) Failing() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -144,40 +146,41 @@
 }
 
 func (b *Budget) do(ctx context.Context, op, object string, f func() error) error {
-	if wait := b.admit(time.Now()); wait > 0 {
+	if wait := b.admitAttempt(time.Now()); wait > 0 {
 		return b.refuse(op, object, Unavailable, wait, errors.New("pausing after failed calls"))
 	}
-	if err := b.queue(ctx, op, object); err != nil {
+	if err := b.waitForRate(ctx, op, object); err != nil {
 		return err
 	}
 	err := f()
-	b.learn(ctx, err)
+	b.recordOutcome(ctx, err)
 	return err
 }
 
 func (b *Budget) refuse(op, object string, kind ErrorKind, wait time.Duration, cause error) error {
-	b.metrics.refused(op, kind)
+	b.metrics.recordRefused(op, kind)
 	return &Error{Kind: kind, Op: op, Object: object, RetryAfter: wait, Err: cause}
 }
 
-// admit returns how long to stay away, or 0 when a call may go out. While the
-// platform fails, the call that may go out moves the time for the next, so
-// that one call at a time tries.
-func (b *Budget) admit(now time.Time) time.Duration {
+// admitAttempt returns how long calls are still refused, or 0 if a call may be sent now. While the
+// platform fails, each call that may be sent moves nextAttempt forward by the current delay, so
+// that only one call at a time probes the platform.
+func (b *Budget) admitAttempt(now time.Time) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.failing {
 		return 0
 	}
-	if wait := b.until.Sub(now); wait > 0 {
+	if wait := b.nextAttempt.Sub(now); wait > 0 {
 		return wait
 	}
-	b.until = now.Add(b.backoff.Current())
+	b.nextAttempt = now.Add(b.backoff.Current())
 	return 0
 }
 
-// queue holds the call back until its rate allows it.
-func (b *Budget) queue(ctx context.Context, op, object string) error {
+// waitForRate delays the call until its rate limit allows it. It refuses the call if the delay
+// exceeds maxQueueDelay or the context's deadline.
+func (b *Budget) waitForRate(ctx context.Context, op, object string) error {
 	limiter := b.reads
 	if IsWrite(op) {
 		limiter = b.writes
@@ -200,9 +203,9 @@
 	}
 }
 
-// learn opens or closes the pause by how a call ended. A call that its own
-// caller cancelled says nothing about the platform.
-func (b *Budget) learn(ctx context.Context, err error) {
+// recordOutcome starts or extends the backoff after a failed call and ends it after a successful
+// one. A call that its own caller cancelled gives no evidence about the platform and is ignored.
+func (b *Budget) recordOutcome(ctx context.Context, err error) {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return
 	}
@@ -220,21 +223,22 @@
 	if errors.As(err, &e) && e.RetryAfter > pause {
 		pause = e.RetryAfter
 	}
-	b.until = time.Now().Add(pause)
+	b.nextAttempt = time.Now().Add(pause)
 }
 
-// Backoff gives pauses that double per failure, each jittered to between half
-// and the whole of its length. It is not safe for concurrent use.
+// Backoff computes retry delays that double with each failure. Each delay is jittered to between
+// half and all of its nominal length. It is not safe for concurrent use.
 type Backoff struct {
 	min, max time.Duration
 	random   func() float64
 	failures int
 }
 
-// maxDoublings keeps the shift below from overflowing.
+// maxDoublings keeps the left shift in Backoff.Current from overflowing.
 const maxDoublings = 20
 
-// NewBackoff returns pauses between min and max; a nil random means math/rand/v2.
+// NewBackoff returns a Backoff whose nominal delays start at min and grow up to max. The function
+// random returns a number in [0,1); nil means math/rand/v2.
 func NewBackoff(min, max time.Duration, random func() float64) *Backoff {
 	if random == nil {
 		random = rand.Float64
@@ -242,18 +246,18 @@
 	return &Backoff{min: min, max: max, random: random}
 }
 
-// Next records a failure and returns the pause after it.
+// Next records a failure and returns the delay that follows it.
 func (b *Backoff) Next() time.Duration {
 	b.failures++
 	return b.Current()
 }
 
-// Current returns a pause for the failures so far.
+// Current returns a newly jittered delay for the failures recorded since the last Reset.
 func (b *Backoff) Current() time.Duration {
 	doublings := min(max(b.failures-1, 0), maxDoublings)
-	whole := min(b.min<<doublings, b.max)
-	return whole/2 + time.Duration(b.random()*float64(whole/2))
+	full := min(b.min<<doublings, b.max)
+	return full/2 + time.Duration(b.random()*float64(full/2))
 }
 
-// Reset records a success.
+// Reset records a success, so that the next delay starts at the minimum again.
 func (b *Backoff) Reset() { b.failures = 0 }
--- a/objects/calls.go
+++ b/objects/calls.go
@@ -6,8 +6,7 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Names of the calls, as they appear in Error.Op and as the "op" tag of the
-// counters.
+// Names of the API calls, as used in Error.Op and as the "op" tag of the metrics.
 const (
 	OpGet    = "get"
 	OpList   = "list"
@@ -18,20 +17,21 @@
 	OpVMs    = "vms"
 )
 
-// Ops lists every call in a fixed order.
+// Ops lists the names of all API calls.
 var Ops = []string{OpGet, OpList, OpCreate, OpUpdate, OpDelete, OpWatch, OpVMs}
 
-// IsWrite tells whether a call changes the store.
+// IsWrite reports whether the call named op changes stored objects.
 func IsWrite(op string) bool {
 	return op == OpCreate || op == OpUpdate || op == OpDelete
 }
 
-// callMetrics counts calls by kind, failed calls by error kind, and times them.
+// callMetrics counts and times calls by operation, and counts failed calls by operation and error
+// kind.
 type callMetrics struct {
 	scope tally.Scope
 }
 
-// newCallMetrics returns metrics under scope; a nil scope counts nothing.
+// newCallMetrics returns metrics that are reported to scope; a nil scope counts nothing.
 func newCallMetrics(scope tally.Scope) callMetrics {
 	if scope == nil {
 		scope = tally.NoopScope
@@ -39,8 +39,8 @@
 	return callMetrics{scope: scope}
 }
 
-// ended records one call that took d and failed with err, if not nil.
-func (m callMetrics) ended(op string, d time.Duration, err error) {
+// recordCall records a completed call that took d; err is nil if the call succeeded.
+func (m callMetrics) recordCall(op string, d time.Duration, err error) {
 	tagged := m.scope.Tagged(map[string]string{"op": op})
 	tagged.Counter("platform_calls").Inc(1)
 	tagged.Timer("platform_call_time").Record(d)
@@ -50,7 +50,7 @@
 	m.scope.Tagged(map[string]string{"op": op, "kind": string(KindOf(err))}).Counter("platform_errors").Inc(1)
 }
 
-// refused records a call that the client's own budget held back.
-func (m callMetrics) refused(op string, kind ErrorKind) {
+// recordRefused counts a call that Budget refused without sending it.
+func (m callMetrics) recordRefused(op string, kind ErrorKind) {
 	m.scope.Tagged(map[string]string{"op": op, "kind": string(kind)}).Counter("platform_refused_locally").Inc(1)
 }
--- a/objects/client.go
+++ b/objects/client.go
@@ -24,33 +24,36 @@
 )
 
 const (
-	// DefaultTimeout bounds a call when the settings give no other bound.
+	// DefaultTimeout is the timeout of a call if ClientConfig.Timeout is not set.
 	DefaultTimeout = 2 * time.Second
-	// maxReplyBytes bounds a reply: a list of a whole configuration in shards.
+	// maxReplyBytes bounds a response body. The largest one lists a whole configuration, with all
+	// the shards of its client blocks.
 	maxReplyBytes = 256 << 20
-	// maxIdleConnections is enough for a watch, a lease and an operator's write.
+	// maxIdleConnections suffices for a watch, a lease renewal and an operator's write at the same
+	// time.
 	maxIdleConnections = 4
 	idleTimeout        = 90 * time.Second
 )
 
-// ClientConfig holds what a Client needs.
+// ClientConfig configures a Client.
 type ClientConfig struct {
 	// URL is the platform's base URL, for example "http://10.0.0.1:8080".
 	URL string
-	// VM and Zone name the caller in each call.
+	// VM and Zone identify the calling entry VM to the platform.
 	VM   string
 	Zone string
-	// Timeout bounds each call; a watch may take its wait in addition. Zero
-	// means DefaultTimeout.
+	// Timeout bounds each call; a watch may take its wait time in addition. Zero means
+	// DefaultTimeout.
 	Timeout time.Duration
-	// HTTP overrides the HTTP client; nil means one with few connections.
+	// HTTP overrides the HTTP client; nil means a client that keeps at most a few idle
+	// connections.
 	HTTP *http.Client
-	// Scope receives the call counters; nil means none.
+	// Scope receives the call metrics; nil means that none are reported.
 	Scope tally.Scope
 }
 
-// Client calls the platform over HTTP. It never repeats a call: whoever
-// calls knows whether that is safe.
+// Client is an API that calls the platform over HTTP. It never retries a call: only its caller
+// knows whether a retry is safe. It is safe for concurrent use.
 type Client struct {
 	base    *url.URL
 	vm      string
@@ -62,7 +65,8 @@
 
 var _ API = (*Client)(nil)
 
-// NewClient returns a client, or an *Error of kind Invalid for a bad URL.
+// NewClient returns a Client for c. It fails with an *Error of kind Invalid if c.URL is not an http
+// or https URL with a host.
 func NewClient(c ClientConfig) (*Client, error) {
 	base, err := url.Parse(c.URL)
 	if err == nil && (base.Host == "" || (base.Scheme != "http" && base.Scheme != "https")) {
@@ -89,29 +93,29 @@
 	}}
 }
 
-// ListReply is the body of a list.
+// ListReply is the body of the response to a list call.
 type ListReply struct {
 	Revision int64    `json:"revision"`
 	Objects  []Object `json:"objects"`
 }
 
-// WatchReply is the body of a watch.
+// WatchReply is the body of the response to a watch call.
 type WatchReply struct {
 	Revision int64   `json:"revision"`
 	Events   []Event `json:"events"`
 }
 
-// RevisionReply is the body of a removal.
+// RevisionReply is the body of the response to a delete call.
 type RevisionReply struct {
 	Revision int64 `json:"revision"`
 }
 
-// VMsReply is the body of the list of VMs.
+// VMsReply is the body of the response that lists the entry VMs.
 type VMsReply struct {
 	VMs []VM `json:"vms"`
 }
 
-// call is one HTTP exchange with the platform.
+// call describes one HTTP request to the platform. The field wait extends the timeout of a watch.
 type call struct {
 	op      string
 	method  string
@@ -126,7 +130,7 @@
 // Get implements API.
 func (c *Client) Get(ctx context.Context, kind, name string) (Object, error) {
 	var o Object
-	err := c.do(ctx, objectCall(OpGet, http.MethodGet, kind, name), &o)
+	err := c.do(ctx, newObjectCall(OpGet, http.MethodGet, kind, name), &o)
 	return o, err
 }
 
@@ -140,7 +144,7 @@
 // Create implements API.
 func (c *Client) Create(ctx context.Context, kind, name string, value json.RawMessage) (Object, error) {
 	var o Object
-	k := objectCall(OpCreate, http.MethodPost, kind, name)
+	k := newObjectCall(OpCreate, http.MethodPost, kind, name)
 	k.body = value
 	err := c.write(ctx, k, &o)
 	return o, err
@@ -149,7 +153,7 @@
 // Update implements API.
 func (c *Client) Update(ctx context.Context, kind, name string, version int64, value json.RawMessage) (Object, error) {
 	var o Object
-	k := objectCall(OpUpdate, http.MethodPut, kind, name)
+	k := newObjectCall(OpUpdate, http.MethodPut, kind, name)
 	k.version = version
 	k.body = value
 	err := c.write(ctx, k, &o)
@@ -159,7 +163,7 @@
 // Delete implements API.
 func (c *Client) Delete(ctx context.Context, kind, name string, version int64) (int64, error) {
 	var reply RevisionReply
-	k := objectCall(OpDelete, http.MethodDelete, kind, name)
+	k := newObjectCall(OpDelete, http.MethodDelete, kind, name)
 	k.version = version
 	err := c.write(ctx, k, &reply)
 	return reply.Revision, err
@@ -184,12 +188,13 @@
 	return reply.VMs, err
 }
 
-func objectCall(op, method, kind, name string) call {
+func newObjectCall(op, method, kind, name string) call {
 	return call{op: op, method: method, object: kind + "/" + name,
 		path: "/objects/" + url.PathEscape(kind) + "/" + url.PathEscape(name)}
 }
 
-// write refuses values that the platform would refuse, then makes the call.
+// write sends a call that changes an object. It rejects a value larger than MaxValueBytes, which
+// the platform would not store, without sending it.
 func (c *Client) write(ctx context.Context, k call, out any) error {
 	if len(k.body) > MaxValueBytes {
 		return &Error{Kind: TooLarge, Op: k.op, Object: k.object, Err: errors.Errorf("%d bytes, at most %d", len(k.body), MaxValueBytes)}
@@ -200,7 +205,7 @@
 func (c *Client) do(ctx context.Context, k call, out any) error {
 	started := time.Now()
 	err := c.exchange(ctx, k, out)
-	c.metrics.ended(k.op, time.Since(started), err)
+	c.metrics.recordCall(k.op, time.Since(started), err)
 	if err != nil {
 		return err
 	}
@@ -223,7 +228,7 @@
 		return statusError(k, response)
 	}
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxReplyBytes)).Decode(out); err != nil {
-		return brokenReply(k, err)
+		return decodeError(k, err)
 	}
 	return nil
 }
@@ -247,33 +252,35 @@
 	return request, nil
 }
 
-// transportError classifies a call that got no reply. What can go wrong: a
-// write whose reply is lost may have taken effect, and reporting it as failed
-// would make the writer repeat or forget it. Only a failed dial proves that
-// no byte left, so every other failure of a write is Unknown.
+// transportError classifies the error of a call that received no response. A write whose response
+// is lost may have taken effect; if it were reported as failed, its caller would retry it or
+// discard it. Only a failed dial proves that no byte was sent, so every other failed write is
+// Unknown.
 func transportError(k call, err error) error {
 	kind := Unavailable
-	if IsWrite(k.op) && !dialFailed(err) {
+	if IsWrite(k.op) && !isDialError(err) {
 		kind = Unknown
 	}
 	return &Error{Kind: kind, Op: k.op, Object: k.object, Err: err}
 }
 
-func dialFailed(err error) bool {
+func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// brokenReply classifies a reply that ended early or is no JSON.
-func brokenReply(k call, err error) error {
+// decodeError classifies a response body that was cut off or is not valid JSON. A write may have
+// taken effect all the same, so it is Unknown.
+func decodeError(k call, err error) error {
 	kind := Unavailable
 	if IsWrite(k.op) {
 		kind = Unknown
 	}
-	return &Error{Kind: kind, Op: k.op, Object: k.object, Err: errors.Wrap(err, "read the reply")}
+	return &Error{Kind: kind, Op: k.op, Object: k.object, Err: errors.Wrap(err, "read response body")}
 }
 
-// statusKinds maps the platform's HTTP statuses to error kinds.
+// statusKinds maps the platform's HTTP status codes to error kinds. Any other status is
+// Unavailable for a read and Unknown for a write.
 var statusKinds = map[int]ErrorKind{
 	http.StatusBadRequest:            Invalid,
 	http.StatusNotFound:              NotFound,
@@ -284,7 +291,7 @@
 	http.StatusServiceUnavailable:    Unavailable,
 }
 
-// maxDetailBytes bounds the error text taken from a reply.
+// maxDetailBytes bounds how much of the body of an error response goes into the error text.
 const maxDetailBytes = 512
 
 func statusError(k call, response *http.Response) error {
--- a/objects/errors.go
+++ b/objects/errors.go
@@ -10,28 +10,28 @@
 // ErrorKind classifies a failed platform call.
 type ErrorKind string
 
-// Kinds of error.
+// Kinds of platform errors.
 const (
 	NotFound    ErrorKind = "not_found"
-	Conflict    ErrorKind = "conflict"    // the version given is not the stored one
-	Gone        ErrorKind = "gone"        // the watch revision is too old
-	TooLarge    ErrorKind = "too_large"   // the value is over MaxValueBytes
-	Unavailable ErrorKind = "unavailable" // refused before any effect
-	Throttled   ErrorKind = "throttled"   // over the platform's rates, no effect
+	Conflict    ErrorKind = "conflict"    // the given version is not the stored one, or the object to create exists
+	Gone        ErrorKind = "gone"        // the watch revision is too old to continue from
+	TooLarge    ErrorKind = "too_large"   // the value exceeds MaxValueBytes
+	Unavailable ErrorKind = "unavailable" // the platform could not be reached or did not serve the call; nothing was written
+	Throttled   ErrorKind = "throttled"   // a rate limit was exceeded; nothing was written
 	Unknown     ErrorKind = "unknown"     // the write may have taken effect
-	Invalid     ErrorKind = "invalid"
+	Invalid     ErrorKind = "invalid"     // the call or the client's configuration is malformed
 )
 
 // Error is a failed platform call.
 type Error struct {
 	Kind       ErrorKind
 	Op         string
-	Object     string // "kind/name"; empty for lists and watches
-	RetryAfter time.Duration
+	Object     string        // "kind/name"; empty for calls that concern no single object
+	RetryAfter time.Duration // how long to wait before a retry; zero if not known
 	Err        error
 }
 
-// Error implements error; the message ends with the remedy.
+// Error implements error. The message ends with the remedy.
 func (e *Error) Error() string {
 	msg := fmt.Sprintf("platform: %s %s: %s", e.Op, e.Object, e.Kind)
 	if e.Err != nil {
@@ -40,10 +40,11 @@
 	return msg + "; " + e.Remedy()
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error, which may be nil.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Remedy says what to do about the error.
+// Remedy returns what the caller can do about the error, as an imperative sentence without a
+// period.
 func (e *Error) Remedy() string {
 	switch e.Kind {
 	case NotFound:
@@ -64,7 +65,7 @@
 	return "report this error kind: it has no remedy"
 }
 
-// KindOf returns the kind of a platform error, or "" for any other error.
+// KindOf returns the kind of the *Error in err's chain, or "" if there is none.
 func KindOf(err error) ErrorKind {
 	var e *Error
 	if errors.As(err, &e) {
--- a/objects/platform.go
+++ b/objects/platform.go
@@ -1,6 +1,8 @@
-// Package objects is the narrow interface to the platform's object API: the
-// only place where anything of heatherlock lasts. The HTTP client is in this
-// package too; the stand-in used by tests and quickstart is in standin/.
+// Package objects is the interface to the platform's object API, which is the only persistent
+// storage that heatherlock uses.
+//
+// API is the interface, Client implements it over HTTP, and Budget wraps an API with rate limits
+// and backoff. Tests and the quickstart use the emulated platform in standin/.
 package objects
 
 import (
@@ -9,36 +11,36 @@
 	"time"
 )
 
-// MaxValueBytes is the largest value the platform keeps.
+// MaxValueBytes is the size of the largest value that the platform stores.
 const MaxValueBytes = 1 << 20
 
 // Object is a stored value with its version.
 type Object struct {
 	Kind string `json:"kind"`
 	Name string `json:"name"`
-	// Version is the store's revision at the object's last change. Revisions
-	// are one monotone sequence over all objects.
+	// Version is the revision of the store at the object's last change. Revisions form a single
+	// increasing sequence over all objects.
 	Version int64           `json:"version"`
 	Value   json.RawMessage `json:"value"`
 }
 
-// Event is one change. Object.Value is empty when Deleted is set.
+// Event is a change to one object. Object.Value is empty if Deleted is set.
 type Event struct {
 	Object  Object `json:"object"`
 	Deleted bool   `json:"deleted,omitempty"`
 }
 
-// VMState is the platform's word on an entry VM.
+// VMState is the state of an entry VM according to the platform.
 type VMState string
 
-// States of an entry VM in the platform's list.
+// States of an entry VM in the platform's list of VMs.
 const (
 	VMLive    VMState = "live"
 	VMLeaving VMState = "leaving"
-	VMGone    VMState = "gone" // kept in the list for a while after it went
+	VMGone    VMState = "gone" // the VM no longer exists, but stays in the list for a while
 )
 
-// VM is one line of the platform's list of VMs, which lags.
+// VM is an entry in the platform's list of entry VMs. The list lags behind the actual state.
 type VM struct {
 	Name            string    `json:"name"`
 	Zone            string    `json:"zone"`
@@ -54,18 +56,19 @@
 type API interface {
 	// Get returns one object.
 	Get(ctx context.Context, kind, name string) (Object, error)
-	// List returns the objects of the kinds and the revision they were read at.
+	// List returns the objects of the given kinds and the revision at which they were read.
 	List(ctx context.Context, kinds ...string) ([]Object, int64, error)
-	// Create stores a new object; it fails with Conflict when one exists.
+	// Create stores a new object. It fails with Conflict if the object already exists.
 	Create(ctx context.Context, kind, name string, value json.RawMessage) (Object, error)
-	// Update replaces an object whose version is still the one given.
+	// Update replaces the value of an object. It fails with Conflict if the stored version is not
+	// the given one.
 	Update(ctx context.Context, kind, name string, version int64, value json.RawMessage) (Object, error)
-	// Delete removes an object whose version is still the one given and
-	// returns the revision of the removal.
+	// Delete removes an object and returns the revision of the removal. It fails with Conflict if
+	// the stored version is not the given one.
 	Delete(ctx context.Context, kind, name string, version int64) (int64, error)
-	// Watch waits up to wait for changes of the kinds after revision since and
-	// returns them in order with the revision to continue from. It fails with
-	// Gone when since is too old to continue from; list again then.
+	// Watch waits up to wait for changes to objects of the given kinds after revision since. It
+	// returns the changes in order and the revision to continue from. It fails with Gone if since
+	// is too old to continue from; the caller then has to list again.
 	Watch(ctx context.Context, since int64, wait time.Duration, kinds ...string) ([]Event, int64, error)
 	// VMs returns the platform's list of entry VMs.
 	VMs(ctx context.Context) ([]VM, error)
