--- a/peer/clients.go
+++ b/peer/clients.go
@@ -13,48 +13,50 @@
 )
 
 const (
-	// dialTimeout bounds a new connection; peers are at most tens of
-	// milliseconds away.
+	// dialTimeout bounds the time to connect to a peer, and that of a TLS handshake. The round trip
+	// to a peer takes at most tens of milliseconds.
 	dialTimeout = time.Second
 	idleTimeout = 90 * time.Second
-	// connectionsPerPeer bounds connections to one peer. More calls wait.
-	connectionsPerPeer = 16
-	idlePerPeer        = 4
-	// maxIdle bounds kept connections over all peers.
-	maxIdle = 256
-	// maxClients bounds the cache: replaced entry VMs come with new addresses.
+	// maxConnsPerPeer bounds the connections to one peer. Calls beyond it wait for a connection.
+	maxConnsPerPeer  = 16
+	idleConnsPerPeer = 4
+	// maxIdleConns bounds the idle connections over all peers.
+	maxIdleConns = 256
+	// maxClients bounds the cache of clients, which grows because replacement entry VMs have new
+	// addresses.
 	maxClients = 4096
 )
 
-// NewHTTPClient returns a client with bounded connections for calls between
-// entry VMs; a nil tlsConfig means plain TCP.
+// NewHTTPClient returns an HTTP/1.1 client for calls between entry VMs, with a bounded number of
+// connections to each peer. A nil tlsConfig means plain TCP.
 func NewHTTPClient(tlsConfig *tls.Config) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
 			DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
 			TLSClientConfig:     tlsConfig,
 			TLSHandshakeTimeout: dialTimeout,
-			MaxConnsPerHost:     connectionsPerPeer,
-			MaxIdleConnsPerHost: idlePerPeer,
-			MaxIdleConns:        maxIdle,
+			MaxConnsPerHost:     maxConnsPerPeer,
+			MaxIdleConnsPerHost: idleConnsPerPeer,
+			MaxIdleConns:        maxIdleConns,
 			IdleConnTimeout:     idleTimeout,
-			DisableCompression:  true, // saves a header on small messages
+			DisableCompression:  true, // avoids an Accept-Encoding header on small messages
 		},
 	}
 }
 
 const (
-	// pingAfter and pingTimeout find a connection that a cut left dead. What
-	// can go wrong: calls go on into it until TCP gives up, minutes after the
-	// cut has healed. One would notice members that stay suspect.
-	pingAfter   = 10 * time.Second
-	pingTimeout = 2 * time.Second
+	// pingIdleTime is the time without received data after which the client pings a connection,
+	// and pingTimeout the time after which it closes a connection that does not answer. Without
+	// the pings, calls would use a connection broken by a network partition until TCP gives up,
+	// minutes after the partition has healed, and members would stay suspect for that long.
+	pingIdleTime = 10 * time.Second
+	pingTimeout  = 2 * time.Second
 )
 
-// NewControlClient returns a client for the small and steady calls of control.
-// It speaks HTTP/2, with prior knowledge where there is no TLS: its compressed
-// headers are a fifth of those of HTTP/1.1, which were more than a third of
-// the bytes. Use NewHTTPClient where throughput matters.
+// NewControlClient returns a client for the small, frequent calls of the control loops. It uses
+// HTTP/2, with prior knowledge if tlsConfig is nil: the compressed headers are a fifth of the size
+// of those of HTTP/1.1, which made up more than a third of the bytes sent. Use NewHTTPClient where
+// throughput matters.
 func NewControlClient(tlsConfig *tls.Config) *http.Client {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP2(true)
@@ -65,15 +67,16 @@
 			TLSClientConfig:     tlsConfig,
 			TLSHandshakeTimeout: dialTimeout,
 			Protocols:           protocols,
-			HTTP2:               &http.HTTP2Config{SendPingTimeout: pingAfter, PingTimeout: pingTimeout},
-			MaxIdleConns:        maxIdle,
+			HTTP2:               &http.HTTP2Config{SendPingTimeout: pingIdleTime, PingTimeout: pingTimeout},
+			MaxIdleConns:        maxIdleConns,
 			IdleConnTimeout:     idleTimeout,
 			DisableCompression:  true,
 		},
 	}
 }
 
-// ServerProtocols are what the peer listener must speak.
+// ServerProtocols returns the protocols that a peer listener must support: HTTP/1.1, and HTTP/2
+// with and without TLS.
 func ServerProtocols() *http.Protocols {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
@@ -82,7 +85,7 @@
 	return protocols
 }
 
-// Clients caches one client per peer address. It is safe for concurrent use.
+// Clients caches one RPC client per peer address. It is safe for concurrent use.
 type Clients struct {
 	http   *http.Client
 	scheme string
@@ -103,7 +106,7 @@
 
 func schemeOf(client *http.Client) string {
 	transport, ok := client.Transport.(*http.Transport)
-	if wrapped, is := client.Transport.(interface{ Unwrap() *http.Transport }); is {
+	if wrapped, isWrapped := client.Transport.(interface{ Unwrap() *http.Transport }); isWrapped {
 		transport, ok = wrapped.Unwrap(), true
 	}
 	if ok && transport.TLSClientConfig != nil {
@@ -112,7 +115,7 @@
 	return "http"
 }
 
-// To returns the client for a peer listener's address, host:port.
+// To returns the RPC client for the peer listener at address, which has the form host:port.
 func (c *Clients) To(address string) peerpb.Peer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,14 +130,14 @@
 	return client
 }
 
-// BaseURL returns the URL of a peer's listener.
+// BaseURL returns the URL of the peer listener at address, without a path.
 func (c *Clients) BaseURL(address string) string { return c.scheme + "://" + address }
 
-// HTTP returns the HTTP client underneath, for requests that are handed over.
+// HTTP returns the underlying HTTP client, for requests that are forwarded to a peer.
 func (c *Clients) HTTP() *http.Client { return c.http }
 
-// DialFailed tells whether a call failed before a byte of it left, which
-// proves that the peer did nothing.
+// DialFailed reports whether a call failed while connecting. No byte of it was sent then, which
+// proves that the peer did not run it.
 func DialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
--- a/peer/clients_test.go
+++ b/peer/clients_test.go
@@ -28,10 +28,9 @@
 	assert.Assert(t, clients.To(address) == clients.To(address))
 }
 
-// Symptom: work handed to a dead peer is reported as "unknown" though nobody
-// got it. Sequence: the peer's process has ended; the dial is refused. Cause:
-// the proof is in an error that twirp wraps.
-func TestDialFailureIsProof(t *testing.T) {
+// Guards against reporting a call as "unknown" although no peer received it: the peer's process
+// has exited and the connection is refused, but twirp wraps the dial error that proves it.
+func TestDialFailureIsDetected(t *testing.T) {
 	server := httptest.NewServer(nil)
 	address := strings.TrimPrefix(server.URL, "http://")
 	server.Close()
