--- a/node/cap_test.go
+++ b/node/cap_test.go
@@ -11,16 +11,15 @@
 	"heatherlock/standin/witness"
 )
 
-// Symptom: a shift brings more work than its cap allows. Sequence: work from
-// zone a floods both entry VMs of zone b under a cap; the platform goes down;
-// one of them is killed and replaced meanwhile, so that the new process has no
-// seat and must borrow; the platform comes back. Cause: permits that the dead
-// process, the new one and the lender all use.
+// Guards against a shift that admits more requests than its cap allows. Requests from zone a
+// overload both entry VMs of zone b under a cap, the platform is down, and one of the two is killed
+// and replaced meanwhile, so that the new process has no seat and has to borrow permits. The failure
+// occurs if the killed process, its replacement and the lender all use the same permits.
 func TestCapHoldsThroughReplacementAndOutage(t *testing.T) {
-	inFleet(t, func(f *fleet) {
+	runFleetTest(t, func(f *fleet) {
 		f.planned.Caps = []witness.CapLimit{{Service: "tickets", From: []string{"pa"}, To: []string{"pb"}, Requests: 20, Window: time.Second}}
-		f.declare("Shift", "move", `{"service":"tickets","from":"pa","to":"pb","percent":50,"stepPercent":50,"stepSeconds":1}`)
-		f.declare("Cap", "limit", `{"shift":"move","requests":20,"windowMs":1000}`)
+		f.createObject("Shift", "move", `{"service":"tickets","from":"pa","to":"pb","percent":50,"stepPercent":50,"stepSeconds":1}`)
+		f.createObject("Cap", "limit", `{"shift":"move","requests":20,"windowMs":1000}`)
 		time.Sleep(20 * time.Second)
 
 		var load sync.WaitGroup
@@ -28,7 +27,7 @@
 			load.Go(func() {
 				caller := f.caller("a")
 				for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(15 * time.Millisecond) {
-					_, _ = f.send(caller, errand{method: http.MethodGet, vm: vm, service: "tickets", home: "pa"})
+					_, _ = f.send(caller, callSpec{method: http.MethodGet, vm: vm, service: "tickets", home: "pa"})
 				}
 			})
 		}
@@ -41,12 +40,12 @@
 		f.crash("eb1")
 		time.Sleep(time.Second)
 		f.start("eb1", "b")
-		f.settle()
+		f.waitForConvergence()
 		flood("eb1", 10*time.Second)
 		time.Sleep(5 * time.Second)
 		f.store.Down(false)
 		load.Wait()
 		verdict := f.witness.Judge(time.Now(), f.planned)
-		assert.Assert(t, verdict.CapAdmitted > 100, "the cap was hardly used: %d", verdict.CapAdmitted)
+		assert.Assert(t, verdict.CapAdmitted > 100, "only %d requests were admitted under the cap", verdict.CapAdmitted)
 	})
 }
--- a/node/parts.go
+++ b/node/components.go
@@ -25,48 +25,48 @@
 	"heatherlock/steering/lookup"
 )
 
-// parts are what a daemon is made of. They refer to each other through the
-// interfaces in package seam; parts that need one made later reach it through
-// a hook, which runs only after all are made.
-type parts struct {
-	platform *objects.Budget
-	members  *member.Members
-	remote   *member.Remote
-	configs  *dynamic.Spread
-	lookups  *lookups.Lookups
-	admit    *admit.Admit
-	suspects *forward.RegionSuspects
-	caps     *capshare.Caps
-	shifts   *shiftdriver.Driver
-	stops    *drain.Watch
-	forward  *forward.Forwarder
-	operator *operator.Server
-	leaver   *leaver
-	board    *poolBoard
-	clients  []*http.Client // whose idle connections end with the daemon
+// components holds the components of a daemon. They refer to each other through the interfaces in
+// package seam. A component that needs one that is built later reaches it through a hook, which
+// runs only after all components are built.
+type components struct {
+	platform   *objects.Budget
+	members    *member.Members
+	remote     *member.Remote
+	configs    *dynamic.Spread
+	lookups    *lookups.Lookups
+	admit      *admit.Admit
+	suspects   *forward.RegionSuspects
+	caps       *capshare.Caps
+	shifts     *shiftdriver.Driver
+	stops      *drain.Watch
+	forward    *forward.Forwarder
+	operator   *operator.Server
+	leaveState *leaveState
+	poolFacts  *poolCache
+	clients    []*http.Client // their idle connections are closed with the daemon
 
-	// peerTLS and operatorTLS are nil where the settings give no certificates.
+	// peerTLS and operatorTLS are nil if the settings give no certificates for the listener.
 	peerTLS     *tlsconf.Source
 	operatorTLS *tlsconf.Source
 }
 
-// close drops idle connections.
-func (p *parts) close() {
+// close closes idle connections.
+func (p *components) close() {
 	p.forward.Close()
 	for _, client := range p.clients {
 		client.CloseIdleConnections()
 	}
 }
 
-// leading says whether this entry VM is its zone's reader.
-func (p *parts) leading() bool {
-	_, leading := p.configs.Leader()
-	return leading
+// isZoneReader reports whether this entry VM is the one that reads the platform for its zone.
+func (p *components) isZoneReader() bool {
+	_, isZoneReader := p.configs.Leader()
+	return isZoneReader
 }
 
-// build makes the parts of a daemon whose listeners are bound.
-func (n *Node) build(options Options) (*parts, error) {
-	p := &parts{leaver: &leaver{}, board: newPoolBoard()}
+// build builds the components of a daemon whose listeners are bound.
+func (n *Node) build(options Options) (*components, error) {
+	p := &components{leaveState: &leaveState{}, poolFacts: newPoolCache()}
 	var err error
 	if p.platform, err = n.platformAPI(options.Platform); err != nil {
 		return nil, err
@@ -74,11 +74,12 @@
 	if err = n.buildTLS(p); err != nil {
 		return nil, errors.Wrap(err, "node")
 	}
-	// Calls of Acquire wait in the owner's queue and would hold up beats.
-	calls := patient(dialing(peer.NewControlClient(p.peerClientTLS()), options.Dial))
-	acquires := dialing(peer.NewHTTPClient(p.peerClientTLS()), options.Dial)
-	if waiting, ok := acquires.Transport.(*http.Transport); ok {
-		waiting.MaxConnsPerHost = admit.MaxAsks
+	// Acquire calls wait in the queue of the pool's owner. They have their own HTTP client, because
+	// they would delay heartbeats on a shared connection.
+	calls := withStallTimeout(withDial(peer.NewControlClient(p.peerClientTLS()), options.Dial))
+	acquires := withDial(peer.NewHTTPClient(p.peerClientTLS()), options.Dial)
+	if transport, ok := acquires.Transport.(*http.Transport); ok {
+		transport.MaxConnsPerHost = admit.MaxAsks
 	}
 	loads := loadClient(options.Dial)
 	p.clients = []*http.Client{calls, acquires, loads}
@@ -87,19 +88,19 @@
 		Self: n.self(), Started: n.started, Seeds: n.settings.Seeds, Platform: p.platform, Peers: clients,
 		Hooks: n.hooks(p), Scope: n.metrics.Scope, Logger: n.log,
 	})
-	if err := n.buildControl(p, clients); err != nil {
+	if err := n.buildConfiguration(p, clients); err != nil {
 		return nil, err
 	}
 	p.admit = admit.New(admit.Config{
 		Members: p.members, Configs: p.configs, Peers: clients, AcquirePeers: peer.NewClients(acquires),
 		Loads: admit.HTTPLoads{Client: loads}, Scope: n.metrics.Scope, Log: n.log,
 	})
-	if err := n.buildMoves(p, clients); err != nil {
+	if err := n.buildTrafficControl(p, clients); err != nil {
 		return nil, errors.Wrap(err, "node")
 	}
 	n.buildDataPath(p, clients, options.Dial)
 	p.operator, err = operator.New(operator.Config{
-		VM: string(n.settings.VM), Zone: string(n.settings.Zone), Platform: p.platform, Runtime: &facts{node: n, parts: p},
+		VM: string(n.settings.VM), Zone: string(n.settings.Zone), Platform: p.platform, Runtime: &runtimeInfo{node: n, components: p},
 		Tokens: operatorTokens(n.settings), Log: n.log, Scope: n.metrics.Scope,
 	})
 	if err != nil {
@@ -108,11 +109,12 @@
 	return p, nil
 }
 
-// buildControl makes the parts that follow configuration and slots.
-func (n *Node) buildControl(p *parts, clients *peer.Clients) (err error) {
+// buildConfiguration builds the components that distribute the configuration, track other zones and
+// answer look-ups.
+func (n *Node) buildConfiguration(p *components, clients *peer.Clients) (err error) {
 	p.configs, err = dynamic.New(dynamic.Config{
 		Platform: p.platform, Members: p.members, Peer: clients.To, Seeds: n.settings.Seeds,
-		Facts: (&facts{node: n, parts: p}).zone, Scope: n.metrics.Scope, Log: n.log,
+		Facts: (&runtimeInfo{node: n, components: p}).zoneStatus, Scope: n.metrics.Scope, Log: n.log,
 	})
 	if err != nil {
 		return errors.Wrap(err, "node")
@@ -125,60 +127,61 @@
 	return nil
 }
 
-// buildMoves makes the parts that move work: caps, shifts and planned stops.
-func (n *Node) buildMoves(p *parts, clients *peer.Clients) (err error) {
+// buildTrafficControl builds the components that move traffic: caps, shifts and planned stops.
+func (n *Node) buildTrafficControl(p *components, clients *peer.Clients) (err error) {
 	p.caps, err = capshare.New(capshare.Config{
 		Configs: p.configs, Members: p.members, Platform: p.platform, Peer: clients.To,
-		Leading: p.leading, Settled: p.members.Settled, Scope: n.metrics.Scope, Log: n.log,
+		Leading: p.isZoneReader, Settled: p.members.Settled, Scope: n.metrics.Scope, Log: n.log,
 	})
 	if err != nil {
 		return err
 	}
-	known := &facts{node: n, parts: p}
+	info := &runtimeInfo{node: n, components: p}
 	p.shifts, err = shiftdriver.New(shiftdriver.Config{
 		Configs: p.configs, Members: p.members, Platform: p.platform, Leader: p.configs.Leader,
-		Pools: known.receivers, CapRefusals: p.caps.Refused, TTL: lookup.DefaultTTL,
+		Pools: info.shiftPools, CapRefusals: p.caps.Refused, TTL: lookup.DefaultTTL,
 		Scope: n.metrics.Scope, Log: n.log,
 	})
 	if err != nil {
 		return err
 	}
 	p.stops, err = drain.New(drain.Config{
-		Configs: p.configs, Leading: p.leading, Remaining: known.remaining, Scope: n.metrics.Scope, Log: n.log,
+		Configs: p.configs, Leading: p.isZoneReader, Remaining: info.remainingWork, Scope: n.metrics.Scope, Log: n.log,
 	})
 	return err
 }
 
-// loadTimeout bounds a read of a target's load.
+// loadTimeout bounds a request that reads a target's load.
 const loadTimeout = time.Second
 
 func loadClient(dial forward.Dial) *http.Client {
 	return &http.Client{Timeout: loadTimeout, Transport: &http.Transport{DialContext: dial, IdleConnTimeout: idleTimeout}}
 }
 
-// patient lets a client wait for answers that keep coming, where the caller allows it.
-func patient(client *http.Client) *http.Client {
+// withStallTimeout wraps the client's transport so that a call whose context carries a
+// platform.StallTimeout may take longer than its timeout while its response keeps arriving.
+func withStallTimeout(client *http.Client) *http.Client {
 	if transport, ok := client.Transport.(*http.Transport); ok {
 		client.Transport = platform.StallTransport{Transport: transport}
 	}
 	return client
 }
 
-// dialing replaces how a client for calls between entry VMs connects.
-func dialing(client *http.Client, dial forward.Dial) *http.Client {
+// withDial makes a client for calls between entry VMs connect with dial, unless dial is nil.
+func withDial(client *http.Client, dial forward.Dial) *http.Client {
 	if transport, ok := client.Transport.(*http.Transport); ok && dial != nil {
 		transport.DialContext = dial
 	}
 	return client
 }
 
-func (n *Node) buildDataPath(p *parts, clients *peer.Clients, dial forward.Dial) {
+func (n *Node) buildDataPath(p *components, clients *peer.Clients, dial forward.Dial) {
 	p.suspects = forward.NewSuspects(forward.SuspectsConfig{
 		Self: p.members.Self(), Members: p.members, Peers: clients, Dial: dial, Scope: n.metrics.Scope, Log: n.log,
 	})
 	p.forward = forward.New(forward.Config{
 		Self: p.members.Self(), Limits: n.settings.Limits, Configs: p.configs, Members: p.members,
-		Admitter: p.admit, Caps: p.caps, Remote: p.remote, Looker: p.lookups, Leaver: p.leaver,
+		Admitter: p.admit, Caps: p.caps, Remote: p.remote, Looker: p.lookups, Leaver: p.leaveState,
 		Outcomes: forward.NewOutcomes(forward.OutcomesConfig{
 			Incarnation: n.incarnation, Started: n.started, Limits: n.settings.Limits, Scope: n.metrics.Scope,
 		}),
@@ -187,7 +190,8 @@
 	})
 }
 
-// platformAPI returns the platform's client within its call budget.
+// platformAPI returns the platform client, wrapped in rate limits and backoff. The client is given,
+// or is created from the settings if given is nil.
 func (n *Node) platformAPI(given objects.API) (*objects.Budget, error) {
 	if given == nil {
 		client, err := objects.NewClient(objects.ClientConfig{
@@ -202,8 +206,8 @@
 	return objects.NewBudget(given, objects.BudgetConfig{Scope: n.metrics.Scope}), nil
 }
 
-// buildTLS reads the certificates of the listeners that authenticate.
-func (n *Node) buildTLS(p *parts) (err error) {
+// buildTLS loads the certificates of the peer and operator listeners from the settings.
+func (n *Node) buildTLS(p *components) (err error) {
 	certificates := n.settings.TLS
 	p.peerTLS, err = tlsconf.New(tlsconf.Config{Role: tlsconf.Peer, Field: "tls.peer", Certificates: certificates.Peer,
 		Scope: n.metrics.Scope, Logger: n.log})
@@ -215,44 +219,44 @@
 	return err
 }
 
-// peerClientTLS is nil where peers speak plain HTTP.
-func (p *parts) peerClientTLS() *tls.Config {
+// peerClientTLS returns the TLS configuration for calls to peers, or nil if peers use plain HTTP.
+func (p *components) peerClientTLS() *tls.Config {
 	if p.peerTLS == nil {
 		return nil
 	}
 	return p.peerTLS.Client()
 }
 
-// hooks connect the view of the members with the parts that feed on beats.
-func (n *Node) hooks(p *parts) member.Hooks {
+// hooks connects the membership component with the components whose state heartbeats carry.
+func (n *Node) hooks(p *components) member.Hooks {
 	return member.Hooks{
 		Pools: func() []*peerpb.PoolFact { return p.admit.Pools() },
-		OnPools: func(told []*peerpb.PoolFact) {
-			p.remote.OnPools(told)
-			p.admit.ObservePools(told)
-			p.board.note(told, time.Now())
+		OnPools: func(received []*peerpb.PoolFact) {
+			p.remote.OnPools(received)
+			p.admit.ObservePools(received)
+			p.poolFacts.update(received, time.Now())
 		},
 		Suspects:        func() []*peerpb.SuspectFact { return p.suspects.Facts() },
-		OnSuspects:      func(told []*peerpb.SuspectFact) { p.suspects.Learn(told) },
+		OnSuspects:      func(received []*peerpb.SuspectFact) { p.suspects.Learn(received) },
 		ConfigVersion:   func() int64 { return p.configs.Version() },
 		OnConfigVersion: func(address string, version int64) { p.configs.OnConfigVersion(address, version) },
 		InFlight:        func() int32 { return int32(p.forward.InFlight()) },
 	}
 }
 
-// self is this entry VM as others shall know it.
+// self returns the member that this entry VM announces itself as.
 func (n *Node) self() seam.Member {
 	bound := n.Addresses()
 	return seam.Member{
 		VM: n.settings.VM, Incarnation: n.incarnation, Zone: n.settings.Zone, Region: n.settings.Region,
-		CallerAddress:   or(n.settings.CallerAdvertise, bound.Caller),
-		PeerAddress:     or(n.settings.PeerAdvertise, bound.Peer),
-		OperatorAddress: or(n.settings.OperatorAdvertise, bound.Operator),
+		CallerAddress:   firstNonEmpty(n.settings.CallerAdvertise, bound.Caller),
+		PeerAddress:     firstNonEmpty(n.settings.PeerAdvertise, bound.Peer),
+		OperatorAddress: firstNonEmpty(n.settings.OperatorAdvertise, bound.Operator),
 		State:           seam.MemberLive,
 	}
 }
 
-func or(given, fallback string) string {
+func firstNonEmpty(given, fallback string) string {
 	if given != "" {
 		return given
 	}
--- a/node/failure_test.go
+++ b/node/failure_test.go
@@ -17,64 +17,65 @@
 	"heatherlock/steering"
 )
 
-// within is the time in which an accepted configuration must be in force.
-const within = 4 * time.Second
+// configConvergenceTimeout is the time within which an accepted configuration must be in force at
+// every entry VM.
+const configConvergenceTimeout = 4 * time.Second
 
-// inForce waits for the promised time and checks every entry VM.
-func (f *fleet) inForce(version int64) {
+// checkInForce waits for configConvergenceTimeout and checks that every entry VM has the version.
+func (f *fleet) checkInForce(version int64) {
 	f.t.Helper()
-	time.Sleep(within)
+	time.Sleep(configConvergenceTimeout)
 	for vm := range f.daemons {
 		assert.Assert(f.t, f.version(vm) >= version, "%s has %d, want %d", vm, f.version(vm), version)
 	}
 }
 
-func TestWholePath(t *testing.T) {
-	inFleet(t, func(f *fleet) {
+func TestLookupAndRequestsEndToEnd(t *testing.T) {
+	runFleetTest(t, func(f *fleet) {
 		caller := f.caller("a")
 		answer, err := f.lookup(caller, "eb1", "tickets")
 		assert.NilError(t, err)
-		assert.Equal(t, string(answer.Place), "pa") // the home of the caller's block
+		assert.Equal(t, string(answer.Place), "pa") // the home place of the caller's client block
 		assert.Assert(t, len(answer.EntryVMs) >= 2)
 		assert.Assert(t, strings.HasPrefix(string(answer.EntryVMs[0].VM), "ea"))
 		f.get(caller, "ea1")
-		f.get(caller, "eb1") // not at home there, served all the same
+		f.get(caller, "eb1") // served although its home is in the other zone
 		key, address := f.newKey(caller, "ea1")
-		got, err := f.send(caller, errand{method: "POST", address: address, service: "tickets", key: key})
+		got, err := f.send(caller, callSpec{method: "POST", address: address, service: "tickets", key: key})
 		assert.NilError(t, err)
 		assert.Equal(t, got.status, http.StatusOK, got.reason())
 	})
 }
 
-// Symptom: a senior's certificate must be brought in person, because the
-// upload was lost. Sequence: an upload of a minute is under way; a planned stop
-// covers its target, then its entry VM is told to stop. Cause: a stop that
-// waits for short requests only. Both must let it end, the daemon must then
-// exit by itself, and callers that still use it must be served.
-func TestLongUploadThroughStops(t *testing.T) {
-	inFleet(t, func(f *fleet) {
+// Guards against losing a long upload, such as a certificate that its owner would then have to
+// bring in person: while an upload runs for a minute, a planned stop covers its target, and then
+// another one its entry VM. The failure occurs if a stop waits for short requests only. Both stops
+// must let the upload complete, the daemon must then exit by itself, and callers that still use it
+// must be served.
+func TestLongUploadDuringPlannedStops(t *testing.T) {
+	runFleetTest(t, func(f *fleet) {
 		caller := f.caller("a")
-		body, sum, size := trickle(60, time.Second)
+		body, sum, size := slowBody(60, time.Second)
 		done := make(chan reply, 1)
 		go func() {
-			got, err := f.send(caller, errand{method: "POST", vm: "ea1", service: "uploads", body: body, sum: sum, size: size})
+			got, err := f.send(caller, callSpec{method: "POST", vm: "ea1", service: "uploads", body: body, sum: sum, size: size})
 			assert.Check(t, err)
 			done <- got
 		}()
 		time.Sleep(5 * time.Second)
-		name := f.busy("uploads-a")
-		f.declare("PlannedStop", "target", `{"what":"target","name":"`+name+`"}`)
+		name := f.busyTarget("uploads-a")
+		f.createObject("PlannedStop", "target", `{"what":"target","name":"`+name+`"}`)
 		f.witness.Stopped(witness.Stop{Target: name, Accepted: time.Now()})
 		time.Sleep(5 * time.Second)
 		leaving := f.daemons["ea1"]
-		f.declare("PlannedStop", "entry-vm", `{"what":"entryVM","name":"ea1"}`)
+		f.createObject("PlannedStop", "entry-vm", `{"what":"entryVM","name":"ea1"}`)
 		time.Sleep(3 * time.Second)
 		answer, err := f.lookup(caller, "ea2", "tickets")
 		assert.NilError(t, err)
 		for _, e := range answer.EntryVMs {
-			assert.Assert(t, e.VM != "ea1", "a leaving entry VM is in look-up answers")
+			assert.Assert(t, e.VM != "ea1", "a leaving entry VM is in a look-up answer")
 		}
-		late := f.get(f.caller("a"), "ea1") // a cached answer
+		late := f.get(f.caller("a"), "ea1") // as a caller with a cached look-up answer does
 		assert.Equal(t, late.header.Get("Heatherlock-Via"), "ea1, ea2")
 		got := <-done
 		assert.Equal(t, got.status, http.StatusOK, got.reason())
@@ -84,31 +85,31 @@
 	})
 }
 
-// busy returns the target whose name starts so and that runs something.
-func (f *fleet) busy(prefix string) string {
+// busyTarget returns a target whose name has the prefix and that has requests in flight.
+func (f *fleet) busyTarget(prefix string) string {
 	for name, one := range f.targets {
 		if strings.HasPrefix(name, prefix) && one.InFlight() > 0 {
 			return name
 		}
 	}
-	f.t.Fatalf("no target %s* is busy", prefix)
+	f.t.Fatalf("no target %s* has a request in flight", prefix)
 	return ""
 }
 
-// Symptom: a purchase runs twice, or is called "not run" although it ran.
-// Sequence: every target of the zone dies with purchases in hand; callers
-// repeat them under their keys. Cause: a broken exchange taken for one that
-// never left.
-func TestTargetsDieWithPurchases(t *testing.T) {
-	inFleet(t, func(f *fleet) {
+// Guards against a purchase that runs twice, or that is reported as "not run" although it ran. Every
+// target of the zone crashes with purchases in flight, and callers retry them with their keys. The
+// failure occurs if a connection that broke after the request was sent is treated as if nothing had
+// been sent.
+func TestTargetsCrashDuringPurchases(t *testing.T) {
+	runFleetTest(t, func(f *fleet) {
 		caller := f.caller("a")
 		for i := range 6 {
 			key, address := f.newKey(caller, "ea1")
-			// Each purchase is another one. Six alike that take down targets
-			// would be refused as such from the third on.
-			purchase := func() errand {
+			// Each purchase has its own content. Of six identical ones that crash targets, the
+			// third and later ones would be refused as crashing requests.
+			purchase := func() callSpec {
 				body := strings.NewReader(fmt.Sprintf("purchase %d", i))
-				return errand{method: "POST", address: address, service: "tickets", key: key, body: body}
+				return callSpec{method: "POST", address: address, service: "tickets", key: key, body: body}
 			}
 			crash := time.AfterFunc(10*time.Millisecond, func() {
 				for name, one := range f.targets {
@@ -130,12 +131,12 @@
 	})
 }
 
-// Symptom: after a crash of an entry VM its callers hang, or a purchase runs
-// again elsewhere. Sequence: the process dies under load, and a new one takes
-// its name; callers repeat through the others. Cause: a key that a process
-// runs although another one issued it.
+// Guards against callers that hang after their entry VM has crashed, and against purchases that run
+// again elsewhere. The process is killed under load and replaced by one of the same name, and
+// callers retry through other entry VMs. The failure occurs if a process runs a request whose key
+// another process issued.
 func TestEntryVMKilledUnderLoad(t *testing.T) {
-	inFleet(t, func(f *fleet) {
+	runFleetTest(t, func(f *fleet) {
 		caller := f.caller("a")
 		key, address := f.newKey(caller, "ea1")
 		victim, other := "ea1", "ea2"
@@ -143,18 +144,18 @@
 			victim, other = other, victim
 		}
 		time.AfterFunc(10*time.Millisecond, func() { f.daemons[victim].Kill() })
-		_, err := f.send(caller, errand{method: "POST", vm: victim, service: "tickets", key: key})
+		_, err := f.send(caller, callSpec{method: "POST", vm: victim, service: "tickets", key: key})
 		assert.Assert(t, err != nil, "the caller must see the connection break")
 		f.crash(victim)
 		time.Sleep(100 * time.Millisecond)
-		assert.Assert(t, f.state(other, victim) != "leaving", "a killed entry VM said that it leaves")
+		assert.Assert(t, f.state(other, victim) != "leaving", "a killed entry VM announced that it was leaving")
 		f.get(f.caller("a"), other)
-		repeat := errand{method: "POST", vm: other, service: "tickets", key: key}
+		repeat := callSpec{method: "POST", vm: other, service: "tickets", key: key}
 		got, err := f.send(caller, repeat)
 		assert.NilError(t, err)
 		assert.Equal(t, got.ran(), "unknown", got.reason())
 		f.start(victim, "a")
-		f.settle()
+		f.waitForConvergence()
 		f.get(caller, victim)
 		for _, vm := range []string{victim, other} {
 			repeat.vm = vm
@@ -165,12 +166,11 @@
 	})
 }
 
-// Symptom: an outage of the platform becomes one of the service. Sequence: the
-// platform is down for ten minutes; an entry VM is replaced meanwhile, and
-// another one dies. Cause: a request path, a start or a view that needs the
-// platform.
+// Guards against an outage of the platform that interrupts the service: the platform is down for
+// ten minutes, one entry VM is replaced meanwhile, and another one crashes. The failure occurs if
+// serving requests, starting up or tracking members depends on the platform.
 func TestPlatformDownTenMinutesWithRestarts(t *testing.T) {
-	inFleet(t, func(f *fleet) {
+	runFleetTest(t, func(f *fleet) {
 		caller := f.caller("a")
 		f.store.Down(true)
 		for minute := range 10 {
@@ -179,8 +179,8 @@
 			case 3:
 				f.crash("ea2")
 			case 5:
-				f.start("ea2", "a") // learns the configuration from its peers
-				f.settle()
+				f.start("ea2", "a") // fetches the configuration from its peers
+				f.waitForConvergence()
 			case 7:
 				f.crash("eb1")
 			}
@@ -189,23 +189,22 @@
 		}
 		f.get(caller, "ea2")
 		f.store.Down(false)
-		time.Sleep(30 * time.Second) // the longest pause of the backoff
-		f.inForce(f.declare("Service", "late", `{"hosts":["late.example"]}`))
+		time.Sleep(30 * time.Second) // longer than the longest backoff delay
+		f.checkInForce(f.createObject("Service", "late", `{"hosts":["late.example"]}`))
 	})
 }
 
-// Symptom: a zone that is cut off stops serving, or reverts the others when it
-// comes back. Sequence: zone a is cut off from the platform and from zone b,
-// and one of its entry VMs dies (two faults at once); configuration changes;
-// the links heal.
+// Guards against a partitioned zone that stops serving, or that reverts the configuration of other
+// zones when it reconnects. Zone a is disconnected from the platform and from zone b while one of
+// its entry VMs crashes (two faults at once), the configuration changes, and the links heal.
 func TestZoneCutOffAndHealed(t *testing.T) {
-	inFleet(t, func(f *fleet) {
+	runFleetTest(t, func(f *fleet) {
 		caller := f.caller("a")
 		before := f.version("ea1")
 		f.store.CutOff("a", true)
 		f.net.Cut("a", "b", true)
 		f.net.Cut("b", "a", true)
-		changed := f.declare("Service", "late", `{"hosts":["late.example"]}`)
+		changed := f.createObject("Service", "late", `{"hosts":["late.example"]}`)
 		f.crash("ea2")
 		time.Sleep(time.Minute)
 		f.get(caller, "ea1")
@@ -217,18 +216,18 @@
 		f.net.Cut("b", "a", false)
 		f.start("ea2", "a")
 		time.Sleep(30 * time.Second)
-		f.inForce(changed)
+		f.checkInForce(changed)
 	})
 }
 
-// Symptom: work is refused while another zone has room, or reaches a target
-// that was taken out. Sequence: a planned stop covers every place of zone a;
-// its callers go on. Cause: a stop that only look-ups know of.
+// Guards against requests that are refused although another zone has capacity, or that reach a
+// stopped target: a planned stop covers every place of zone a while its callers continue. The
+// failure occurs if only look-ups take the stop into account.
 func TestPlaceStopped(t *testing.T) {
-	inFleet(t, func(f *fleet) {
+	runFleetTest(t, func(f *fleet) {
 		caller := f.caller("a")
 		f.get(caller, "ea1")
-		f.declare("PlannedStop", "place", `{"what":"place","name":"pa"}`)
+		f.createObject("PlannedStop", "place", `{"what":"place","name":"pa"}`)
 		accepted := time.Now()
 		for name := range f.targets {
 			if strings.Contains(name, "-a-") {
@@ -243,17 +242,17 @@
 	})
 }
 
-// Symptom: a caller gets half an answer or another's. Sequence: the targets
-// answer late, short or crossed, all at once.
-func TestLyingTargets(t *testing.T) {
-	inFleet(t, func(f *fleet) {
+// Guards against callers that receive a truncated response or one that belongs to another request:
+// all targets truncate responses, swap them or fail.
+func TestFaultyTargetAnswers(t *testing.T) {
+	runFleetTest(t, func(f *fleet) {
 		caller := f.caller("a")
 		for _, one := range f.targets {
 			one.SetFaults(target.Faults{CrossedEvery: 3, ShortEvery: 4, FailEvery: 5})
 		}
 		whole := 0
 		for range 60 {
-			got, err := f.send(caller, errand{method: "GET", vm: "ea1", service: "tickets"})
+			got, err := f.send(caller, callSpec{method: "GET", vm: "ea1", service: "tickets"})
 			if err == nil && got.status == http.StatusOK {
 				whole++
 			}
@@ -266,15 +265,15 @@
 	})
 }
 
-// Symptom: a flood of callers takes the operators' and the peers' view away, or
-// hangs further callers without a word. Sequence: callers open connections up
-// to the limit and say nothing. Cause: listeners that share a bound, or a bound
-// that only delays accepting.
-func TestCallerFloodStarvesNobody(t *testing.T) {
-	inFleet(t, func(f *fleet) {
+// Guards against a flood of caller connections that makes the operator and peer listeners
+// unavailable, or that leaves further callers without a response. Callers open connections up to
+// the limit and send nothing. The failure occurs if listeners share a connection limit, or if a
+// limit only delays accepting connections.
+func TestCallerFloodDoesNotAffectOtherListeners(t *testing.T) {
+	runFleetTest(t, func(f *fleet) {
 		const limit = 20
 		d := f.startWith("ea3", "a", static.Limits{CallerConnections: limit})
-		f.settle()
+		f.waitForConvergence()
 		host := f.net.Host("callers", "10.1.77.7")
 		for range limit {
 			c, err := host.Dial(context.Background(), "tcp", d.Addresses().Caller)
@@ -282,7 +281,7 @@
 			defer c.Close()
 		}
 		caller := f.caller("a")
-		got, err := f.send(caller, errand{method: "GET", vm: "ea3", service: "tickets"})
+		got, err := f.send(caller, callSpec{method: "GET", vm: "ea3", service: "tickets"})
 		assert.NilError(t, err)
 		assert.Equal(t, got.reason(), string(steering.ReasonConnections))
 		assert.Equal(t, got.ran(), "no")
@@ -292,16 +291,16 @@
 			assert.Equal(t, res.StatusCode, http.StatusOK, path)
 			assert.NilError(t, res.Body.Close())
 		}
-		time.Sleep(10 * time.Second) // slow headers end, and with them the flood
+		time.Sleep(10 * time.Second) // the header timeout closes the idle connections
 		f.get(f.caller("a"), "ea3")
 	})
 }
 
-// Symptom: a region's callers are sent to entry VMs that are gone, or their
-// work pushes the region that is left past its slots. Sequence: every entry VM
-// and target of a region dies at once; its callers go on elsewhere.
+// Guards against sending a lost region's callers to entry VMs that no longer exist, and against
+// their requests exceeding the slots of the remaining region. Every entry VM and target of a region
+// crashes at once, and its callers continue through the other region.
 func TestRegionLost(t *testing.T) {
-	inFleet(t, func(f *fleet) {
+	runFleetTest(t, func(f *fleet) {
 		f.crash("eb1")
 		f.crash("eb2")
 		for name, one := range f.targets {
@@ -318,7 +317,7 @@
 				assert.Check(t, err)
 				assert.Check(t, len(answer.EntryVMs) > 0 && strings.HasPrefix(string(answer.EntryVMs[0].VM), "ea"), "%v", answer)
 				for range 10 {
-					got, err := f.send(caller, errand{method: "GET", address: answer.EntryVMs[0].Address, service: "tickets"})
+					got, err := f.send(caller, callSpec{method: "GET", address: answer.EntryVMs[0].Address, service: "tickets"})
 					assert.Check(t, err)
 					assert.Check(t, got.status == http.StatusOK || got.ran() == "no", "%d %s", got.status, got.reason())
 				}
@@ -328,25 +327,25 @@
 	})
 }
 
-// Symptom: a stop that was to be over by a time waits for one upload for ever,
-// or a stop that cuts nothing cuts. Sequence: two uploads run on; the stop of
-// one's target allows a cut at its deadline, the other's does not.
-func TestStopCutsOnlyWhereItsOperatorSaidSo(t *testing.T) {
-	inFleet(t, func(f *fleet) {
+// Guards against a stop with a deadline that waits for an upload without bound, and against a stop
+// that aborts a request although it must not. Two uploads run past the deadlines of the stops of
+// their targets; one stop has cutAtDeadline set, the other does not.
+func TestStopCutsOnlyWithCutAtDeadline(t *testing.T) {
+	runFleetTest(t, func(f *fleet) {
 		for i, cut := range []string{"true", "false"} {
 			zone := zones[i]
-			body, _, _ := trickle(30, time.Second)
+			body, _, _ := slowBody(30, time.Second)
 			done := make(chan reply, 1)
 			began := time.Now()
 			go func() {
-				got, err := exchange(f.caller(zone), errand{method: "POST", address: f.daemons["e"+zone+"1"].Addresses().Caller,
+				got, err := roundTrip(f.caller(zone), callSpec{method: "POST", address: f.daemons["e"+zone+"1"].Addresses().Caller,
 					service: "uploads", body: body}, witness.Try{Request: "upload-" + zone, Try: "upload-" + zone})
 				assert.Check(t, err)
 				done <- got
 			}()
 			time.Sleep(2 * time.Second)
 			deadline := time.Now().Add(8 * time.Second).UTC().Format(time.RFC3339)
-			f.declare("PlannedStop", "stop-"+zone, `{"what":"target","name":"`+f.busy("uploads-"+zone)+`","deadline":"`+deadline+`","cutAtDeadline":`+cut+`}`)
+			f.createObject("PlannedStop", "stop-"+zone, `{"what":"target","name":"`+f.busyTarget("uploads-"+zone)+`","deadline":"`+deadline+`","cutAtDeadline":`+cut+`}`)
 			got := <-done
 			took := time.Since(began)
 			if cut == "true" {
@@ -360,14 +359,13 @@
 	})
 }
 
-// Symptom: targets are offered one request over their slots right after entry
-// VMs start. Sequence: an entry VM has its configuration and says that it is
-// ready before it knows the others of its zone; callers are sent to it, and it
-// counts the zone's pools beside their owners. Cause: readiness that asks for
-// configuration only.
-func TestReadyOnlyOnceTheZoneIsKnown(t *testing.T) {
-	inFleet(t, func(f *fleet) {
-		f.settle()
+// Guards against targets that receive one request more than they have slots right after an entry VM
+// starts. The failure occurs if an entry VM reports ready once it has a configuration, but before it
+// knows the other entry VMs of its zone: it then receives callers and admits requests to the zone's
+// pools in addition to the pools' owners.
+func TestReadyOnlyAfterZoneDiscovery(t *testing.T) {
+	runFleetTest(t, func(f *fleet) {
+		f.waitForConvergence()
 		d := f.start("ea3", "a")
 		ready := func() bool {
 			res, err := f.caller("a").Get("http://" + d.Addresses().Operator + "/readyz")
@@ -378,13 +376,13 @@
 		for !ready() {
 			time.Sleep(10 * time.Millisecond)
 		}
-		for _, mate := range []string{"ea1", "ea2"} {
-			assert.Equal(t, f.state("ea3", mate), "live")
+		for _, other := range []string{"ea1", "ea2"} {
+			assert.Equal(t, f.state("ea3", other), "live")
 		}
 		f.store.Down(true)
 		f.crash("ea3")
 		d = f.start("ea3", "a")
 		time.Sleep(10 * time.Second)
-		assert.Assert(t, ready(), "an outage of the platform keeps an entry VM from getting ready")
+		assert.Assert(t, ready(), "an entry VM does not become ready during an outage of the platform")
 	})
 }
--- a/node/fleet_test.go
+++ b/node/fleet_test.go
@@ -27,8 +27,8 @@
 	"heatherlock/steering"
 )
 
-// fleet is two zones in two regions with two entry VMs, two targets for
-// tickets and one for uploads each, over an in-memory network in virtual time.
+// fleet is a deployment of two zones in two regions on an in-memory network in virtual time. Each
+// zone has two entry VMs, two targets for the tickets service and one for the uploads service.
 type fleet struct {
 	t       *testing.T
 	net     *memnet.Network
@@ -40,12 +40,12 @@
 	mu      sync.Mutex
 	keys    int
 	tries   int
-	// certificates, if set, gives each entry VM its own.
+	// certificates, if not nil, returns the certificates of each entry VM.
 	certificates func(vm string) static.TLS
 	planned      witness.Planned
 }
 
-// daemon is one process life of an entry VM.
+// daemon is one run of an entry VM's daemon.
 type daemon struct {
 	*node.Node
 	vm, zone string
@@ -55,39 +55,40 @@
 
 var zones = []string{"a", "b"}
 
-// crashMarker takes a target down.
+// crashMarker is the request body that makes a target crash.
 const crashMarker = "heatherlock-crash"
 
-// inFleet runs a failure test in virtual time and checks that every promise
-// that the witness judges was kept.
-func inFleet(t *testing.T, f func(f *fleet)) {
-	inPreparedFleet(t, func(*fleet) {}, f)
+// runFleetTest runs a failure test in virtual time and checks that no promise that the witness
+// judges was broken.
+func runFleetTest(t *testing.T, f func(f *fleet)) {
+	runPreparedFleetTest(t, func(*fleet) {}, f)
 }
 
-// inPreparedFleet is inFleet with a say before the first daemon starts.
-func inPreparedFleet(t *testing.T, prepare, f func(f *fleet)) {
+// runPreparedFleetTest is like runFleetTest, but calls prepare before the first daemon starts.
+func runPreparedFleetTest(t *testing.T, prepare, f func(f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := &fleet{t: t, net: memnet.New(), store: platform.NewStore(platform.Options{}), witness: witness.New(),
 			daemons: map[string]*daemon{}, targets: map[string]*target.Target{}}
 		t.Cleanup(fl.close)
 		prepare(fl)
 		fl.startTargets()
-		fl.declareAll()
+		fl.createObjects()
 		for _, zone := range zones {
 			fl.start("e"+zone+"1", zone)
 			fl.start("e"+zone+"2", zone)
 		}
-		fl.settle()
+		fl.waitForConvergence()
 		f(fl)
-		fl.end()
+		fl.stopAll()
 	})
 }
 
-// settle lets the view and the configuration spread.
-func (f *fleet) settle() { time.Sleep(4 * time.Second) }
+// waitForConvergence waits until the membership view and the configuration have reached every entry
+// VM.
+func (f *fleet) waitForConvergence() { time.Sleep(4 * time.Second) }
 
-// end lets every daemon leave, and judges.
-func (f *fleet) end() {
+// stopAll stops every daemon gracefully and checks the promises.
+func (f *fleet) stopAll() {
 	for _, d := range f.daemons {
 		d.stop()
 	}
@@ -95,10 +96,10 @@
 		assert.NilError(f.t, <-d.done)
 	}
 	clear(f.daemons)
-	f.judge()
+	f.checkPromises()
 }
 
-// close frees what a failed test left running.
+// close stops everything that still runs, such as the daemons of a failed test.
 func (f *fleet) close() {
 	for _, d := range f.daemons {
 		d.Kill()
@@ -112,7 +113,7 @@
 	}
 }
 
-func (f *fleet) judge() {
+func (f *fleet) checkPromises() {
 	f.t.Helper()
 	for _, finding := range f.witness.Judge(time.Now(), f.planned).Findings {
 		assert.Equal(f.t, finding.Broken, 0, "%s: %v", finding.Promise, finding)
@@ -125,7 +126,7 @@
 		for _, service := range []string{"tickets", "tickets", "uploads"} {
 			name := fmt.Sprintf("%s-%s-%d", service, zone, len(f.targets))
 			one, err := target.Start(target.Config{
-				Name: name, Service: service, Place: "p" + zone, Listen: host2(i), Listener: host.Listen,
+				Name: name, Service: service, Place: "p" + zone, Listen: targetListenAddress(i), Listener: host.Listen,
 				Slots: 3, ServiceTime: 20 * time.Millisecond, CrashMarker: crashMarker, Witness: f.witness,
 			})
 			assert.NilError(f.t, err)
@@ -134,11 +135,11 @@
 	}
 }
 
-func host2(i int) string { return fmt.Sprintf("10.%d.9.9:0", i+1) }
+func targetListenAddress(i int) string { return fmt.Sprintf("10.%d.9.9:0", i+1) }
 
-func (f *fleet) declareAll() {
-	f.declare("Service", "tickets", `{"hosts":["tickets.example"],"timeoutMs":2000,"nonIdempotentMethods":["POST"],"retryPercent":20}`)
-	f.declare("Service", "uploads", `{"hosts":["uploads.example"],"timeoutMs":300000,"nonIdempotentMethods":["POST"]}`)
+func (f *fleet) createObjects() {
+	f.createObject("Service", "tickets", `{"hosts":["tickets.example"],"timeoutMs":2000,"nonIdempotentMethods":["POST"],"retryPercent":20}`)
+	f.createObject("Service", "uploads", `{"hosts":["uploads.example"],"timeoutMs":300000,"nonIdempotentMethods":["POST"]}`)
 	for i, zone := range zones {
 		var targets []string
 		for name, one := range f.targets {
@@ -147,13 +148,13 @@
 				targets = append(targets, fmt.Sprintf(`{"name":%q,"service":%q,"address":%q,"slots":3}`, name, service, one.Address()))
 			}
 		}
-		f.declare("Place", "p"+zone, fmt.Sprintf(`{"region":"r%d","zone":%q,"targets":[%s]}`, i, zone, strings.Join(targets, ",")))
+		f.createObject("Place", "p"+zone, fmt.Sprintf(`{"region":"r%d","zone":%q,"targets":[%s]}`, i, zone, strings.Join(targets, ",")))
 	}
-	f.declare("ClientBlocks", "callers", `{"blocks":[{"prefix":"10.1.0.0/16","place":"pa"},{"prefix":"10.2.0.0/16","place":"pb"}]}`)
+	f.createObject("ClientBlocks", "callers", `{"blocks":[{"prefix":"10.1.0.0/16","place":"pa"},{"prefix":"10.2.0.0/16","place":"pb"}]}`)
 }
 
-// declare writes an object as an operator whose zone is never cut off.
-func (f *fleet) declare(kind, name, spec string) int64 {
+// createObject stores an object as an operator whose zone is never disconnected from the platform.
+func (f *fleet) createObject(kind, name, spec string) int64 {
 	f.t.Helper()
 	value := fmt.Sprintf(`{"kind":%q,"metadata":{"name":%q},"spec":%s}`, kind, name, spec)
 	o, err := f.store.As("operator", "elsewhere").Create(f.t.Context(), kind, name, json.RawMessage(value))
@@ -161,7 +162,7 @@
 	return o.Version
 }
 
-// start starts a process life of an entry VM.
+// start starts the daemon of an entry VM with default limits.
 func (f *fleet) start(vm, zone string) *daemon {
 	return f.startWith(vm, zone, static.Limits{})
 }
@@ -193,7 +194,7 @@
 	return d
 }
 
-// crash kills a process life; nobody is told.
+// crash kills the daemon of an entry VM; it notifies neither callers nor peers.
 func (f *fleet) crash(vm string) {
 	f.t.Helper()
 	d := f.daemons[vm]
@@ -203,7 +204,7 @@
 	d.stop()
 }
 
-// caller returns a caller at home in a zone; its address decides.
+// caller returns a caller whose home is in the given zone, according to its address.
 func (f *fleet) caller(zone string) *http.Client {
 	host := f.net.Host("callers", fmt.Sprintf("10.%d.77.1", strings.Index("ab", zone)+1))
 	client := &http.Client{Transport: &http.Transport{DialContext: host.Dial}}
@@ -211,7 +212,7 @@
 	return client
 }
 
-// lookup asks an entry VM which ones to use.
+// lookup asks an entry VM which entry VMs to use for a service.
 func (f *fleet) lookup(client *http.Client, vm, service string) (lookups.Answer, error) {
 	res, err := client.Get("http://" + f.daemons[vm].Addresses().Caller + lookups.Path + "?service=" + service)
 	if err != nil {
@@ -222,7 +223,8 @@
 	return answer, json.NewDecoder(res.Body).Decode(&answer)
 }
 
-// newKey returns a fresh key of the entry VM that a look-up at vm names first.
+// newKey returns a new idempotency key with the prefix of the entry VM that a look-up at vm lists
+// first, and that entry VM's address.
 func (f *fleet) newKey(client *http.Client, vm string) (key, address string) {
 	f.t.Helper()
 	answer, err := f.lookup(client, vm, "tickets")
@@ -232,7 +234,7 @@
 	return fmt.Sprintf("%s.purchase-%06d", answer.EntryVMs[0].KeyPrefix, f.keys), answer.EntryVMs[0].Address
 }
 
-// reply is an answer that was read whole.
+// reply is a response whose body was read completely.
 type reply struct {
 	status int
 	header http.Header
@@ -242,21 +244,21 @@
 func (r reply) reason() string { return r.header.Get("Heatherlock-Reason") }
 func (r reply) ran() string    { return r.header.Get("Heatherlock-Ran") }
 
-// errand is what a caller wants done.
-type errand struct {
+// callSpec describes a request that a caller sends.
+type callSpec struct {
 	method  string
-	vm      string // entry VM, unless address is set
+	vm      string // entry VM to send to if address is empty
 	address string
 	service string
 	key     string
 	body    io.Reader
 	home    string // the caller's place, for the witness
-	sum     string // of an upload's body
-	size    int64
+	sum     string // digest of an upload's body
+	size    int64  // size of an upload's body in bytes
 }
 
-// send sends one try, reports it to the witness and returns the answer.
-func (f *fleet) send(client *http.Client, e errand) (reply, error) {
+// send sends one try of a request, reports it to the witness and returns the reply.
+func (f *fleet) send(client *http.Client, e callSpec) (reply, error) {
 	if e.address == "" {
 		e.address = f.daemons[e.vm].Addresses().Caller
 	}
@@ -271,7 +273,7 @@
 	case e.method == http.MethodPost:
 		try.Kind = witness.KindPurchase
 	}
-	got, err := exchange(client, e, try)
+	got, err := roundTrip(client, e, try)
 	try.End = time.Now()
 	switch {
 	case err != nil:
@@ -287,7 +289,7 @@
 	return got, err
 }
 
-func exchange(client *http.Client, e errand, try witness.Try) (reply, error) {
+func roundTrip(client *http.Client, e callSpec, try witness.Try) (reply, error) {
 	r, err := http.NewRequest(e.method, "http://"+e.address+"/"+e.service, e.body)
 	if err != nil {
 		return reply{}, err
@@ -310,23 +312,23 @@
 	return reply{status: res.StatusCode, header: res.Header, body: text}, err
 }
 
-// get reads through an entry VM and expects an answer.
+// get sends a GET request through an entry VM and fails the test unless the status is 200.
 func (f *fleet) get(client *http.Client, vm string) reply {
 	f.t.Helper()
-	got, err := f.send(client, errand{method: http.MethodGet, vm: vm, service: "tickets"})
+	got, err := f.send(client, callSpec{method: http.MethodGet, vm: vm, service: "tickets"})
 	assert.NilError(f.t, err)
 	assert.Equal(f.t, got.status, http.StatusOK, "%s through %s: %s", got.reason(), vm, got.body)
 	return got
 }
 
-// version returns the configuration in force at an entry VM.
+// version returns the version of the configuration in force at an entry VM.
 func (f *fleet) version(vm string) int64 {
 	answer, err := f.lookup(f.caller(f.daemons[vm].zone), vm, "tickets")
 	assert.NilError(f.t, err)
 	return answer.Version
 }
 
-// state returns what one entry VM says of another.
+// state returns the member state of one entry VM according to another, or "" if it is not listed.
 func (f *fleet) state(vm, of string) string {
 	f.t.Helper()
 	answer, err := f.caller(f.daemons[vm].zone).Get("http://" + f.daemons[vm].Addresses().Operator + "/v1/status")
@@ -344,8 +346,9 @@
 	return ""
 }
 
-// trickle is a body that comes piece by piece, with its digest and size.
-func trickle(pieces int, every time.Duration) (body io.Reader, sum string, size int64) {
+// slowBody returns a body of which one piece becomes readable per interval, with its digest and its
+// size in bytes.
+func slowBody(pieces int, every time.Duration) (body io.Reader, sum string, size int64) {
 	piece := bytes.Repeat([]byte("x"), 8<<10)
 	sum, size, _ = witness.Sum(bytes.NewReader(bytes.Repeat(piece, pieces)))
 	out, in := io.Pipe()
--- a/node/leave.go
+++ b/node/leave.go
@@ -12,76 +12,79 @@
 	"heatherlock/steering/lookup"
 )
 
-// leaver says whether this entry VM is leaving.
-type leaver struct {
+// leaveState holds whether this entry VM is leaving. It is safe for concurrent use.
+type leaveState struct {
 	leaving atomic.Bool
 }
 
-var _ seam.Leaver = (*leaver)(nil)
+var _ seam.Leaver = (*leaveState)(nil)
 
 // Leaving implements seam.Leaver.
-func (l *leaver) Leaving() bool { return l.leaving.Load() }
+func (l *leaveState) Leaving() bool { return l.leaving.Load() }
 
 const (
-	// stopPoll is how often planned stops of this entry VM are looked for.
-	stopPoll = 200 * time.Millisecond
-	// drainPoll is how often a leaving entry VM counts what it still carries.
-	drainPoll = 50 * time.Millisecond
-	// lookupMargin covers the time until look-ups leave this entry VM out: the
-	// spread of the view and one renewal of the plans.
-	lookupMargin = time.Second
+	// stopPollInterval is the interval at which the configuration is checked for a planned stop of
+	// this entry VM.
+	stopPollInterval = 200 * time.Millisecond
+	// drainPollInterval is the interval at which a leaving entry VM checks its number of requests
+	// in flight.
+	drainPollInterval = 50 * time.Millisecond
+	// lookupPropagationMargin is the time until other entry VMs omit this one from look-up answers:
+	// the membership change has to reach them, and they have to recompute their look-up plans once.
+	lookupPropagationMargin = time.Second
 )
 
-// waitForStop returns once ctx ends or a planned stop covers this entry VM.
+// waitForStop blocks until ctx is done or a planned stop covers this entry VM.
 func (n *Node) waitForStop(ctx context.Context) {
-	ticker := time.NewTicker(stopPoll)
+	ticker := time.NewTicker(stopPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			if stop, stopped := n.stoppedBy(now); stopped {
-				level.Info(n.log).Log("msg", "planned stop of this entry VM", "stop", stop)
+			if stop, stopped := n.coveringStop(now); stopped {
+				level.Info(n.log).Log("msg", "planned stop covers this entry VM; draining", "stop", stop)
 				return
 			}
 		}
 	}
 }
 
-func (n *Node) stoppedBy(now time.Time) (stop string, stopped bool) {
-	snapshot := n.parts.configs.Snapshot()
+func (n *Node) coveringStop(now time.Time) (stop string, stopped bool) {
+	snapshot := n.components.configs.Snapshot()
 	if snapshot == nil {
 		return "", false
 	}
 	return drain.Stopped(snapshot, now).VM(n.settings.VM, n.settings.Zone)
 }
 
-// leave takes this entry VM out of look-ups and waits until no caller can
-// still hold an answer that names it and nothing is carried any more. Nothing
-// is cut: a long upload keeps the daemon alive until it ends. hurry ends the
-// wait early.
-func (n *Node) leave(hurry context.Context) {
-	n.parts.leaver.leaving.Store(true)
-	n.parts.members.Leave()
-	level.Info(n.log).Log("msg", "leaving", "inFlight", n.parts.forward.InFlight())
-	life := drain.NewEntryVM()
-	life.Stop(time.Now(), n.lookupTTL()+lookupMargin)
-	ticker := time.NewTicker(drainPoll)
+// leave removes this entry VM from look-up answers and drains it: it waits until no caller can
+// still cache an answer that names this entry VM and no request is in flight. It aborts nothing, so
+// a long upload keeps the daemon running until the upload completes. It returns early if ctx is
+// done.
+func (n *Node) leave(ctx context.Context) {
+	n.components.leaveState.leaving.Store(true)
+	n.components.members.Leave()
+	level.Info(n.log).Log("msg", "leaving", "inFlight", n.components.forward.InFlight())
+	lifecycle := drain.NewEntryVM()
+	lifecycle.Stop(time.Now(), n.lookupTTL()+lookupPropagationMargin)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
-	for life.Look(time.Now(), n.parts.forward.InFlight()) != drain.Left {
+	for lifecycle.Look(time.Now(), n.components.forward.InFlight()) != drain.Left {
 		select {
-		case <-hurry.Done():
+		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
 	}
 }
 
-// lookupTTL is how long callers may keep an answer. An entry VM that nobody
-// was ever told of, because it had no configuration, has no late arrivals.
+// lookupTTL returns how long callers may cache a look-up answer that names this entry VM. It is
+// zero if this entry VM never had a configuration: no answer has named it then, so no request can
+// arrive from a cached one.
 func (n *Node) lookupTTL() time.Duration {
-	if n.parts.configs.Snapshot() == nil {
+	if n.components.configs.Snapshot() == nil {
 		return 0
 	}
 	return lookup.DefaultTTL
--- a/node/listeners.go
+++ b/node/listeners.go
@@ -17,22 +17,23 @@
 	"heatherlock/peer"
 )
 
-// Limits of the operator and peer listeners, which only known programs use.
+// Limits of the operator and peer listeners, which serve only heatherlock's own clients and those
+// of operators.
 const (
 	controlHeaderBytes   = 64 << 10
 	controlHeaderTimeout = 5 * time.Second
 	idleTimeout          = 90 * time.Second
 )
 
-// Addresses are the addresses that a daemon's listeners were bound to.
+// Addresses holds the host:port addresses to which a daemon's listeners are bound.
 type Addresses struct {
 	Caller   string
 	Peer     string
 	Operator string
 }
 
-// listeners are bound before anything else starts, so that the daemon's own
-// addresses are known to the parts that advertise them.
+// listeners holds the daemon's listeners. They are bound before anything else starts, because some
+// components advertise their addresses.
 type listeners struct {
 	caller   net.Listener
 	peer     net.Listener
@@ -83,10 +84,10 @@
 	}
 }
 
-// serve runs a server until it is shut down. Each listener has its own bound
-// on connections: a flood of callers then leaves peers and operators theirs.
-func serve(server *http.Server, listener net.Listener, connections int) error {
-	limited := netutil.LimitListener(listener, connections)
+// serve runs a server until it is shut down. Each listener has its own limit on connections, so
+// that a flood of caller connections does not affect peers and operators.
+func serve(server *http.Server, listener net.Listener, maxConns int) error {
+	limited := netutil.LimitListener(listener, maxConns)
 	serveOn := server.Serve
 	if server.TLSConfig != nil {
 		serveOn = func(l net.Listener) error { return server.ServeTLS(l, "", "") }
@@ -98,37 +99,38 @@
 	return err
 }
 
-// newServers makes the servers of a daemon's listeners.
+// newServers returns the HTTP servers for the daemon's listeners.
 func (n *Node) newServers() *servers {
-	data := n.parts.forward
-	logs := quietLog(n.log)
+	forwarder := n.components.forward
+	errorLog := debugErrorLog(n.log)
 	return &servers{
 		caller: &http.Server{
-			Handler:     callerHandler(n.parts),
-			ConnContext: data.ConnContext,
-			ConnState:   data.ConnState,
-			// The bound of the settings is checked by the data path, which can
-			// say so; the server's own answer could not.
+			Handler:     callerHandler(n.components),
+			ConnContext: forwarder.ConnContext,
+			ConnState:   forwarder.ConnState,
+			// The data path enforces limits.headerBytes and names it in its response, which
+			// net/http's own response to a large header does not. The server's limit is therefore
+			// higher.
 			MaxHeaderBytes:               2 * n.settings.Limits.HeaderBytes,
 			ReadHeaderTimeout:            n.settings.Limits.HeaderTimeout(),
 			IdleTimeout:                  idleTimeout,
 			DisableGeneralOptionsHandler: true,
-			ErrorLog:                     logs,
+			ErrorLog:                     errorLog,
 		},
-		peer:     controlServer(peerHandler(n.parts), n.parts.peerTLS, logs),
-		operator: controlServer(n.operatorHandler(), n.parts.operatorTLS, logs),
+		peer:     controlServer(peerHandler(n.components), n.components.peerTLS, errorLog),
+		operator: controlServer(n.operatorHandler(), n.components.operatorTLS, errorLog),
 	}
 }
 
-// controlServer serves a listener that only known programs use, with TLS where
-// certificates are set.
-func controlServer(handler http.Handler, certificates *tlsconf.Source, logs *stdlog.Logger) *http.Server {
+// controlServer returns the server for the operator or the peer listener. It uses TLS unless
+// certificates is nil.
+func controlServer(handler http.Handler, certificates *tlsconf.Source, errorLog *stdlog.Logger) *http.Server {
 	server := &http.Server{
 		Handler:           handler,
 		ReadHeaderTimeout: controlHeaderTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    controlHeaderBytes,
-		ErrorLog:          logs,
+		ErrorLog:          errorLog,
 	}
 	server.Protocols = peer.ServerProtocols()
 	if certificates != nil {
@@ -137,19 +139,20 @@
 	return server
 }
 
-// quietLog turns the server's complaints about single connections into debug
-// lines.
-func quietLog(logger log.Logger) *stdlog.Logger {
+// debugErrorLog returns a logger that writes an HTTP server's errors, which mostly concern single
+// connections, at the debug level.
+func debugErrorLog(logger log.Logger) *stdlog.Logger {
 	return stdlog.New(log.NewStdlibAdapter(level.Debug(logger)), "", 0)
 }
 
-// shutdown closes idle connections and waits for busy ones until ctx ends.
+// shutdown shuts the servers down one after the other: it closes idle connections and waits for the
+// active ones until ctx is done. It returns the first error.
 func shutdown(ctx context.Context, servers ...*http.Server) error {
-	var failed error
+	var firstErr error
 	for _, server := range servers {
-		if err := server.Shutdown(ctx); err != nil && failed == nil {
-			failed = err
+		if err := server.Shutdown(ctx); err != nil && firstErr == nil {
+			firstErr = err
 		}
 	}
-	return failed
+	return firstErr
 }
--- a/node/node.go
+++ b/node/node.go
@@ -20,19 +20,21 @@
 	"heatherlock/steering"
 )
 
-// Options are the parts of a daemon that a test or quickstart may replace.
+// Options holds what New takes in addition to the settings. Tests and the quickstart use it to
+// replace the platform and the network.
 type Options struct {
-	// Platform replaces the client made from the settings.
+	// Platform replaces the platform client that New creates from the settings.
 	Platform objects.API
-	// Listen and Dial replace those of package net.
+	// Listen and Dial replace the functions of package net.
 	Listen func(network, address string) (net.Listener, error)
 	Dial   forward.Dial
-	// Log defaults to no logs.
-	Log     log.Logger
+	// Log is the daemon's logger; nil means that nothing is logged.
+	Log log.Logger
+	// Version is the version of the program, which is logged at the start.
 	Version string
 }
 
-// Node is one entry VM daemon.
+// Node is the daemon of one entry VM.
 type Node struct {
 	settings    static.Settings
 	incarnation steering.Incarnation
@@ -42,16 +44,17 @@
 	listeners   *listeners
 	servers     *servers
 	metrics     *telemetry.Metrics
-	parts       *parts
+	components  *components
 	killed      context.Context
 	kill        context.CancelFunc
 }
 
-// incarnationLength gives 80 random bits, so that no two process lives meet.
+// incarnationLength is the length of an incarnation in characters. 16 characters hold 80 random
+// bits, so that no two runs of the daemon get the same incarnation.
 const incarnationLength = 16
 
-// New checks the settings, binds the listeners and makes the parts. The daemon
-// serves once Run is called; call Close instead if it never is.
+// New checks the settings, binds the listeners and builds the components. The daemon starts to
+// serve when Run is called. If Run is never called, the caller must call Close.
 func New(settings static.Settings, options Options) (*Node, error) {
 	settings = settings.WithDefaults()
 	if err := settings.Check(); err != nil {
@@ -77,7 +80,7 @@
 	}
 	n.log = log.With(options.Log, "vm", settings.VM, "incarnation", n.incarnation)
 	n.killed, n.kill = context.WithCancel(context.Background())
-	if n.parts, err = n.build(options); err != nil {
+	if n.components, err = n.build(options); err != nil {
 		n.Close()
 		return nil, err
 	}
@@ -85,32 +88,34 @@
 	return n, nil
 }
 
-// Addresses returns where the listeners are bound.
+// Addresses returns the addresses to which the listeners are bound.
 func (n *Node) Addresses() Addresses { return n.listeners.addresses() }
 
-// Incarnation returns the name of this process life.
+// Incarnation returns the identifier of this run of the daemon. It differs after every restart.
 func (n *Node) Incarnation() steering.Incarnation { return n.incarnation }
 
-// Close releases the listeners of a daemon that was never run.
+// Close closes the listeners, idle connections and metrics. Run calls it; other callers need it
+// only for a daemon that is never run.
 func (n *Node) Close() {
 	n.listeners.close()
-	if n.parts != nil {
-		n.parts.close()
+	if n.components != nil {
+		n.components.close()
 	}
 	_ = n.metrics.Close()
 }
 
-// Kill ends the daemon as a crash would: connections break, nobody is told.
+// Kill stops the daemon as a crash would: it breaks connections and notifies neither callers nor
+// peers.
 func (n *Node) Kill() { n.kill() }
 
-// Run serves until ctx ends or a planned stop covers this entry VM, then
-// leaves: it finishes what it carries before it returns.
+// Run serves until ctx is done or a planned stop covers this entry VM. It then drains: it returns
+// once the requests in flight have completed.
 func (n *Node) Run(ctx context.Context) error {
 	defer n.Close()
 	level.Info(n.log).Log("msg", "daemon starts", "version", n.version, "zone", n.settings.Zone,
 		"caller", n.Addresses().Caller, "peer", n.Addresses().Peer, "operator", n.Addresses().Operator)
-	// The control loops and servers outlive ctx: requests in flight and peers
-	// need them until the daemon has left.
+	// The control loops and servers run on after ctx is done, because requests in flight and peers
+	// need them until the daemon has drained.
 	work, stop := context.WithCancel(n.killed)
 	defer stop()
 	group, work := errgroup.WithContext(work)
@@ -118,8 +123,8 @@
 	n.controlLoops(group, work)
 	group.Go(func() error {
 		defer stop()
-		n.untilLeft(ctx, work)
-		return n.servers.end(n.killed)
+		n.waitUntilLeft(ctx, work)
+		return n.servers.drain(n.killed)
 	})
 	if err := group.Wait(); err != nil && !errors.Is(err, context.Canceled) {
 		return errors.Wrap(err, "node")
@@ -128,25 +133,26 @@
 	return nil
 }
 
-// untilLeft returns when the daemon has left, failed or was killed.
-func (n *Node) untilLeft(ctx, work context.Context) {
+// waitUntilLeft waits for the end of ctx or a planned stop and then drains. It returns when the
+// daemon has drained, has failed or was killed.
+func (n *Node) waitUntilLeft(ctx, work context.Context) {
 	wait, stop := context.WithCancel(ctx)
 	defer stop()
 	defer context.AfterFunc(work, stop)()
 	n.waitForStop(wait)
 	if n.killed.Err() != nil {
-		return // a crash tells nobody
+		return // a simulated crash notifies no peer
 	}
 	n.leave(work)
 }
 
-// controlLoops runs the loops of the parts until ctx ends.
+// controlLoops starts the loops of the components. They run until ctx is done.
 func (n *Node) controlLoops(group *errgroup.Group, ctx context.Context) {
 	loops := []func(context.Context) error{
-		n.parts.members.Run, n.parts.configs.Run, n.parts.lookups.Run, n.parts.admit.Run, n.parts.caps.Run, n.parts.shifts.Run,
-		n.parts.stops.Run, n.cutLoop,
+		n.components.members.Run, n.components.configs.Run, n.components.lookups.Run, n.components.admit.Run, n.components.caps.Run, n.components.shifts.Run,
+		n.components.stops.Run, n.enforceStopDeadlines,
 	}
-	for _, certificates := range []*tlsconf.Source{n.parts.peerTLS, n.parts.operatorTLS} {
+	for _, certificates := range []*tlsconf.Source{n.components.peerTLS, n.components.operatorTLS} {
 		if certificates != nil {
 			loops = append(loops, certificates.Run)
 		}
@@ -156,16 +162,18 @@
 	}
 }
 
-// serveAll serves the three listeners.
+// serveAll starts to serve the three listeners.
 func (n *Node) serveAll(group *errgroup.Group) {
 	limits := n.settings.Limits
-	group.Go(func() error { return serve(n.servers.caller, n.listeners.caller, callerBound(limits)) })
+	group.Go(func() error { return serve(n.servers.caller, n.listeners.caller, maxCallerConns(limits)) })
 	group.Go(func() error { return serve(n.servers.peer, n.listeners.peer, limits.PeerConnections) })
 	group.Go(func() error { return serve(n.servers.operator, n.listeners.operator, limits.OperatorConnections) })
 }
 
-// callerBound leaves room above the limit for connections that are told of it.
-func callerBound(limits static.Limits) int {
+// maxCallerConns returns the connection limit of the caller listener. It exceeds the limit in the
+// settings, so that the daemon can still accept connections above that limit and answer them with a
+// refusal.
+func maxCallerConns(limits static.Limits) int {
 	const room, share = 16, 8
 	return limits.CallerConnections + limits.CallerConnections/share + room
 }
@@ -175,9 +183,9 @@
 	caller, peer, operator *http.Server
 }
 
-// end lets the servers finish what they carry; once ctx ends, connections
-// break.
-func (s *servers) end(ctx context.Context) error {
+// drain shuts the servers down and lets them complete their requests. When ctx is done, it closes
+// the remaining connections.
+func (s *servers) drain(ctx context.Context) error {
 	all := []*http.Server{s.caller, s.peer, s.operator}
 	if err := shutdown(ctx, all...); err == nil {
 		return nil
--- a/node/operator.go
+++ b/node/operator.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// operatorHandler serves the operators' listener. Health and metrics are open,
-// so that probes and collectors need no token; they hold no secrets.
+// operatorHandler returns the handler of the operator listener. Health checks and metrics need no
+// token, so that probes and collectors can read them; they contain no secrets.
 func (n *Node) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", n.metrics.Handler())
-	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { say(w, http.StatusOK, "ok") })
+	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { writeText(w, http.StatusOK, "ok") })
 	mux.HandleFunc("GET /readyz", n.readyz)
-	mux.Handle("/", n.parts.operator.Handler())
+	mux.Handle("/", n.components.operator.Handler())
 	return mux
 }
 
-// zoneGrace is how long readiness waits for the platform's list of VMs and a
-// word from those of the own zone: until an entry VM knows its zone, it would
-// count slots that others count too. In an outage of the platform it must get
-// ready all the same.
-const zoneGrace = 4 * time.Second
+// zoneDiscoveryTimeout is how long readiness waits, from the start of the daemon, for the
+// platform's list of VMs and for an answer from those in this entry VM's zone. Until an entry VM
+// knows the members of its zone, it would count the in-flight requests of pools that other entry
+// VMs own and count too. The wait is bounded because an entry VM must become ready during an outage
+// of the platform as well.
+const zoneDiscoveryTimeout = 4 * time.Second
 
-// readyz says whether callers may be sent here.
+// readyz responds with status 200 if callers may be sent to this entry VM, and with 503 otherwise.
 func (n *Node) readyz(w http.ResponseWriter, _ *http.Request) {
 	switch {
-	case n.parts.leaver.Leaving():
-		say(w, http.StatusServiceUnavailable, "leaving")
-	case n.parts.configs.Snapshot() == nil:
-		say(w, http.StatusServiceUnavailable, "no configuration yet: neither a peer nor the platform gave one")
-	case !n.parts.members.ZoneKnown() && time.Since(n.started) < zoneGrace:
-		say(w, http.StatusServiceUnavailable, "the zone's other entry VMs are not known yet")
+	case n.components.leaveState.Leaving():
+		writeText(w, http.StatusServiceUnavailable, "leaving")
+	case n.components.configs.Snapshot() == nil:
+		writeText(w, http.StatusServiceUnavailable, "no configuration yet: neither a peer nor the platform gave one")
+	case !n.components.members.ZoneKnown() && time.Since(n.started) < zoneDiscoveryTimeout:
+		writeText(w, http.StatusServiceUnavailable, "the zone's other entry VMs are not known yet")
 	default:
-		say(w, http.StatusOK, "ready")
+		writeText(w, http.StatusOK, "ready")
 	}
 }
 
-func say(w http.ResponseWriter, status int, text string) {
+func writeText(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
 	_, _ = w.Write([]byte(text + "\n"))
--- a/node/facts.go
+++ b/node/runtimeinfo.go
@@ -13,25 +13,26 @@
 	"heatherlock/steering/routing"
 )
 
-// facts tells operators what this entry VM knows of the running system.
-type facts struct {
-	node  *Node
-	parts *parts
+// runtimeInfo reports the runtime state that this entry VM knows: to the operator API, to the
+// driver of shifts, to the tracking of planned stops, and to the zone's status on the platform.
+type runtimeInfo struct {
+	node       *Node
+	components *components
 }
 
-var _ operator.Runtime = (*facts)(nil)
+var _ operator.Runtime = (*runtimeInfo)(nil)
 
 // ConfigVersion implements operator.Runtime.
-func (f *facts) ConfigVersion() int64 { return f.parts.configs.Version() }
+func (f *runtimeInfo) ConfigVersion() int64 { return f.components.configs.Version() }
 
 // PlatformReachable implements operator.Runtime.
-func (f *facts) PlatformReachable() bool { return !f.parts.platform.Failing() }
+func (f *runtimeInfo) PlatformReachable() bool { return !f.components.platform.Failing() }
 
 // Members implements operator.Runtime.
-func (f *facts) Members() []operator.MemberFact {
+func (f *runtimeInfo) Members() []operator.MemberFact {
 	now := time.Now()
 	var all []operator.MemberFact
-	for _, m := range f.parts.members.All() {
+	for _, m := range f.components.members.All() {
 		all = append(all, operator.MemberFact{
 			VM: string(m.VM), Incarnation: string(m.Incarnation), Zone: string(m.Zone), Region: string(m.Region),
 			OperatorAddress: m.OperatorAddress, State: memberState(m.State), Age: ageOf(m.Heard, now),
@@ -53,19 +54,19 @@
 	return operator.Gone
 }
 
-func ageOf(heard, now time.Time) time.Duration {
-	if heard.IsZero() {
+func ageOf(lastReceived, now time.Time) time.Duration {
+	if lastReceived.IsZero() {
 		return 0
 	}
-	return max(0, now.Sub(heard))
+	return max(0, now.Sub(lastReceived))
 }
 
 // Zones implements operator.Runtime.
-func (f *facts) Zones() []operator.ZoneFact {
+func (f *runtimeInfo) Zones() []operator.ZoneFact {
 	now := time.Now()
 	regions := f.regions()
 	var all []operator.ZoneFact
-	for _, z := range f.parts.members.Zones() {
+	for _, z := range f.components.members.Zones() {
 		fact := operator.ZoneFact{
 			Zone: string(z.Zone), Region: string(regions[z.Zone]), ConfigVersion: z.ConfigVersion, Age: ageOf(z.Heard, now),
 		}
@@ -77,23 +78,23 @@
 	return all
 }
 
-// regions maps zones to regions by what members and places say.
-func (f *facts) regions() map[steering.Zone]steering.Region {
+// regions maps each zone to its region, as reported by the members in it.
+func (f *runtimeInfo) regions() map[steering.Zone]steering.Region {
 	known := make(map[steering.Zone]steering.Region)
-	for _, m := range f.parts.members.All() {
+	for _, m := range f.components.members.All() {
 		known[m.Zone] = m.Region
 	}
 	return known
 }
 
 // Pools implements operator.Runtime.
-func (f *facts) Pools() []operator.PoolFact {
+func (f *runtimeInfo) Pools() []operator.PoolFact {
 	now := time.Now()
 	var all []operator.PoolFact
 	for _, entry := range f.pools(now) {
 		fact := operator.PoolFact{
 			Place: entry.fact.Place, Service: entry.fact.Service, Slots: int(entry.fact.Slots),
-			InFlight: int(entry.fact.InFlight), Queued: int(entry.fact.Queued), Age: ageOf(entry.at, now),
+			InFlight: int(entry.fact.InFlight), Queued: int(entry.fact.Queued), Age: ageOf(entry.asOf, now),
 		}
 		if place := f.place(steering.Place(entry.fact.Place)); place != nil {
 			fact.Zone, fact.Region = string(place.Zone), string(place.Region)
@@ -103,22 +104,22 @@
 	return all
 }
 
-// pools returns the newest word on every pool, this entry VM's own included.
-func (f *facts) pools(now time.Time) []boardEntry {
-	f.parts.board.note(f.parts.admit.Pools(), now)
-	return f.parts.board.all(now)
+// pools returns the newest state of every known pool, including those that this entry VM owns.
+func (f *runtimeInfo) pools(now time.Time) []poolEntry {
+	f.components.poolFacts.update(f.components.admit.Pools(), now)
+	return f.components.poolFacts.recent(now)
 }
 
-func (f *facts) place(name steering.Place) *routing.Place {
-	if s := f.parts.configs.Snapshot(); s != nil {
+func (f *runtimeInfo) place(name steering.Place) *routing.Place {
+	if s := f.components.configs.Snapshot(); s != nil {
 		return s.Places[name]
 	}
 	return nil
 }
 
 // Shift implements operator.Runtime.
-func (f *facts) Shift(name string) (operator.ShiftFact, bool) {
-	s := f.parts.configs.Snapshot()
+func (f *runtimeInfo) Shift(name string) (operator.ShiftFact, bool) {
+	s := f.components.configs.Snapshot()
 	if s == nil || s.Shifts[name] == nil {
 		return operator.ShiftFact{}, false
 	}
@@ -130,24 +131,25 @@
 	return fact, true
 }
 
-// receivers is the newest word on every pool, for the pace of shifts.
-func (f *facts) receivers() []shiftdriver.Pool {
+// shiftPools returns the newest state of every known pool for the shift driver, which bounds the
+// rate of a shift by the load of the pools that receive it.
+func (f *runtimeInfo) shiftPools() []shiftdriver.Pool {
 	now := time.Now()
 	var pools []shiftdriver.Pool
 	for _, entry := range f.pools(now) {
 		pools = append(pools, shiftdriver.Pool{
 			Place: steering.Place(entry.fact.Place), Service: steering.Service(entry.fact.Service),
 			Slots: int(entry.fact.Slots), InUse: int(entry.fact.InFlight), Queued: int(entry.fact.Queued),
-			Age: ageOf(entry.at, now),
+			Age: ageOf(entry.asOf, now),
 		})
 	}
 	return pools
 }
 
-// Stop implements operator.Runtime: what the stopped targets still run, by the
-// newest word of the pools that hold them.
-func (f *facts) Stop(name string) (operator.StopFact, bool) {
-	s := f.parts.configs.Snapshot()
+// Stop implements operator.Runtime. It reports how many requests the stopped targets still run,
+// according to the newest state of their pools.
+func (f *runtimeInfo) Stop(name string) (operator.StopFact, bool) {
+	s := f.components.configs.Snapshot()
 	if s == nil || s.Stops[name] == nil {
 		return operator.StopFact{}, false
 	}
@@ -158,15 +160,16 @@
 	return f.targetStop(s, stop, time.Now()), true
 }
 
-// remaining is what is known of the work that a stop waits for.
-func (f *facts) remaining(stop string) (drain.Remaining, bool) {
+// remainingWork returns the requests that a planned stop still waits for, and whether the stop
+// is part of the configuration in force.
+func (f *runtimeInfo) remainingWork(stop string) (drain.Remaining, bool) {
 	fact, known := f.Stop(stop)
 	return drain.Remaining{InFlight: fact.InFlight, Complete: known && fact.Complete}, known
 }
 
-// entryVMStop is complete once the entry VM is gone.
-func (f *facts) entryVMStop(stop *routing.Stop) (operator.StopFact, bool) {
-	for _, m := range f.parts.members.All() {
+// entryVMStop reports the stop of an entry VM: its requests in flight, until the member is gone.
+func (f *runtimeInfo) entryVMStop(stop *routing.Stop) (operator.StopFact, bool) {
+	for _, m := range f.components.members.All() {
 		if string(m.VM) == stop.Subject && m.State != seam.MemberGone {
 			return operator.StopFact{InFlight: m.InFlight, Complete: false}, true
 		}
@@ -174,35 +177,35 @@
 	return operator.StopFact{Complete: true}, true
 }
 
-func (f *facts) targetStop(s *routing.Snapshot, stop *routing.Stop, now time.Time) operator.StopFact {
-	waiting := stoppedPools(s, stop)
+func (f *runtimeInfo) targetStop(s *routing.Snapshot, stop *routing.Stop, now time.Time) operator.StopFact {
+	pending := stopTargetsByPool(s, stop)
 	fact := operator.StopFact{}
 	for _, entry := range f.pools(now) {
-		key := boardKey{steering.Place(entry.fact.Place), steering.Service(entry.fact.Service)}
-		targets, covered := waiting[key]
+		key := poolKey{steering.Place(entry.fact.Place), steering.Service(entry.fact.Service)}
+		targets, covered := pending[key]
 		if !covered {
 			continue
 		}
-		delete(waiting, key)
+		delete(pending, key)
 		for _, draining := range entry.fact.Draining {
 			if targets[steering.Target(draining.Target)] {
 				fact.InFlight += int(draining.InFlight)
 			}
 		}
 	}
-	fact.Complete = len(waiting) == 0
+	fact.Complete = len(pending) == 0
 	return fact
 }
 
-// stoppedPools returns the pools with targets that the stop covers.
-func stoppedPools(s *routing.Snapshot, stop *routing.Stop) map[boardKey]map[steering.Target]bool {
-	pools := make(map[boardKey]map[steering.Target]bool)
+// stopTargetsByPool returns the targets that the stop covers, grouped by pool.
+func stopTargetsByPool(s *routing.Snapshot, stop *routing.Stop) map[poolKey]map[steering.Target]bool {
+	pools := make(map[poolKey]map[steering.Target]bool)
 	for _, place := range s.Places {
 		for _, target := range place.Targets {
 			if !covers(stop, place, target) {
 				continue
 			}
-			key := boardKey{place.Name, target.Service}
+			key := poolKey{place.Name, target.Service}
 			if pools[key] == nil {
 				pools[key] = make(map[steering.Target]bool)
 			}
@@ -224,16 +227,16 @@
 	return false
 }
 
-// Cap implements operator.Runtime: the permits held by all seats, which the
-// configuration in force says, and those in use, as their holders said within
-// the last seconds. Use is unknown until they were asked, and while one of them
-// is silent.
-func (f *facts) Cap(name string) (operator.CapFact, bool) {
-	s := f.parts.configs.Snapshot()
+// Cap implements operator.Runtime. It reports the permits held by all seats according to the
+// configuration in force, and the permits in use as reported by the seats' holders within the last
+// seconds. The number in use is unknown until the holders have been polled, and while one of them
+// does not answer.
+func (f *runtimeInfo) Cap(name string) (operator.CapFact, bool) {
+	s := f.components.configs.Snapshot()
 	if s == nil || s.Caps[name] == nil {
 		return operator.CapFact{}, false
 	}
-	total, known := f.parts.caps.Total(name)
+	total, known := f.components.caps.Total(name)
 	fact := operator.CapFact{PermitsInUse: total.InUse, InUseKnown: known && total.Silent == 0}
 	if seats := s.Seats[name]; seats != nil {
 		for _, seat := range seats.Seats {
@@ -243,15 +246,16 @@
 	return fact, true
 }
 
-// zone is what the zone's status on the platform says besides the version.
-func (f *facts) zone() runtime.ZoneFacts {
+// zoneStatus returns the contents of the zone's status on the platform, except for the
+// configuration version.
+func (f *runtimeInfo) zoneStatus() runtime.ZoneFacts {
 	now := time.Now()
-	zone := runtime.ZoneFacts{}
-	for _, m := range f.parts.members.All() {
+	zoneStatus := runtime.ZoneFacts{}
+	for _, m := range f.components.members.All() {
 		if m.Zone != f.node.settings.Zone {
 			continue
 		}
-		zone.Members = append(zone.Members, runtime.MemberStatus{
+		zoneStatus.Members = append(zoneStatus.Members, runtime.MemberStatus{
 			VM: m.VM, State: string(memberState(m.State)), ConfigVersion: m.ConfigVersion, InFlight: m.InFlight,
 			AgeMs: ageOf(m.Heard, now).Milliseconds(),
 		})
@@ -261,17 +265,17 @@
 		if place == nil || place.Zone != f.node.settings.Zone {
 			continue
 		}
-		zone.Pools = append(zone.Pools, runtime.PoolStatus{
+		zoneStatus.Pools = append(zoneStatus.Pools, runtime.PoolStatus{
 			Place: place.Name, Service: steering.Service(entry.fact.Service), Slots: int(entry.fact.Slots),
-			InFlight: int(entry.fact.InFlight), Queued: int(entry.fact.Queued), AgeMs: ageOf(entry.at, now).Milliseconds(),
+			InFlight: int(entry.fact.InFlight), Queued: int(entry.fact.Queued), AgeMs: ageOf(entry.asOf, now).Milliseconds(),
 		})
 		for _, draining := range entry.fact.Draining {
-			zone.Draining = append(zone.Draining, runtime.DrainStatus{
+			zoneStatus.Draining = append(zoneStatus.Draining, runtime.DrainStatus{
 				Target: steering.Target(draining.Target), InFlight: int(draining.InFlight),
 			})
 		}
 	}
-	return zone
+	return zoneStatus
 }
 
 func operatorTokens(s static.Settings) []operator.Token {
--- a/node/tls_test.go
+++ b/node/tls_test.go
@@ -11,10 +11,9 @@
 	"heatherlock/node/tlsconf"
 )
 
-// Symptom: a process that nobody admitted takes part in control and gets work.
-// Sequence: daemons with certificates of one authority run; one with a
-// certificate of another authority starts under a listed VM's name. Cause: peer
-// listeners that take anybody's word.
+// Guards against a foreign process that joins the members and receives requests: daemons with
+// certificates of one authority run, and a process with a certificate of another authority starts
+// under the name of a listed VM. The failure occurs if peer listeners do not verify certificates.
 func TestPeersAreAuthenticated(t *testing.T) {
 	var ours, others *tlsconf.Authority
 	prepare := func(f *fleet) {
@@ -29,23 +28,24 @@
 			return static.TLS{Peer: certificates}
 		}
 	}
-	inPreparedFleet(t, prepare, func(f *fleet) {
+	runPreparedFleetTest(t, prepare, func(f *fleet) {
 		f.start("ea3", "a")
-		f.settle()
+		f.waitForConvergence()
 		caller := f.caller("a")
-		// The targets of the caller's zone go, so that its work crosses zones.
+		// Closes the targets of the caller's zone, so that its requests are forwarded to the other
+		// zone.
 		for name, one := range f.targets {
 			if strings.HasPrefix(name, "tickets-a") {
 				assert.NilError(t, one.Close())
 			}
 		}
-		f.settle()
+		f.waitForConvergence()
 		got := f.get(caller, "ea1")
 		assert.Assert(t, strings.Contains(strings.Join(got.header.Values("Heatherlock-Via"), " "), "eb"), "%v", got.header)
 		answer, err := f.lookup(caller, "ea1", "tickets")
 		assert.NilError(t, err)
 		for _, entry := range answer.EntryVMs {
-			assert.Assert(t, string(entry.VM) != "ea3", "the stranger is offered to callers: %v", answer)
+			assert.Assert(t, string(entry.VM) != "ea3", "the unauthenticated entry VM is in a look-up answer: %v", answer)
 		}
 	})
 }
