--- a/api/check/check_test.go
+++ b/api/check/check_test.go
@@ -22,7 +22,7 @@
 	return decode(t, fmt.Sprintf(`{"kind":"Service","metadata":{"name":%q},"spec":{"hosts":["%s.example"]}}`, name, name))
 }
 
-// place has one target per service named, at addresses made from number.
+// place returns a place with one target per given service, at addresses derived from number.
 func place(t testing.TB, name, zone, region string, number int, services ...string) oas.Object {
 	targets := make([]string, len(services))
 	for i, s := range services {
@@ -43,7 +43,8 @@
 	return decode(t, fmt.Sprintf(`{"kind":"PlannedStop","metadata":{"name":%q},"spec":{"what":%q,"name":%q}}`, name, what, subject))
 }
 
-// three regions of one zone and one place each, all with tickets.
+// base returns three regions with one zone and one place each, all of which have targets of the
+// tickets service.
 func base(t testing.TB) Set {
 	return NewSet(service(t, "tickets"),
 		place(t, "norte-a", "norte-a", "norte", 1, "tickets", "tickets"),
@@ -64,12 +65,12 @@
 	}
 }
 
-func TestAloneRules(t *testing.T) {
+func TestSingleObjectRules(t *testing.T) {
 	cases := []struct{ name, raw, field string }{
 		{"scheme in host", `{"kind":"Service","metadata":{"name":"s"},"spec":{"hosts":["http://a"]}}`, "spec.hosts[0]"},
 		{"host twice", `{"kind":"Service","metadata":{"name":"s"},"spec":{"hosts":["a","A"]}}`, "spec.hosts[1]"},
-		{"small method", `{"kind":"Service","metadata":{"name":"s"},"spec":{"nonIdempotentMethods":["post"]}}`, "spec.nonIdempotentMethods[0]"},
-		{"late hedge", `{"kind":"Service","metadata":{"name":"s"},"spec":{"timeoutMs":10,"hedgeAfterMs":10}}`, "spec.hedgeAfterMs"},
+		{"lower-case method", `{"kind":"Service","metadata":{"name":"s"},"spec":{"nonIdempotentMethods":["post"]}}`, "spec.nonIdempotentMethods[0]"},
+		{"hedge after the timeout", `{"kind":"Service","metadata":{"name":"s"},"spec":{"timeoutMs":10,"hedgeAfterMs":10}}`, "spec.hedgeAfterMs"},
 		{"host name as address", `{"kind":"Place","metadata":{"name":"p"},"spec":{"region":"r","zone":"z","targets":[{"name":"a","service":"s","address":"host:80","slots":1}]}}`, "spec.targets[0].address"},
 		{"port 0", `{"kind":"Place","metadata":{"name":"p"},"spec":{"region":"r","zone":"z","targets":[{"name":"a","service":"s","address":"10.0.0.1:0","slots":1}]}}`, "spec.targets[0].address"},
 		{"not a CIDR", `{"kind":"ClientBlocks","metadata":{"name":"b"},"spec":{"blocks":[{"prefix":"10.1","place":"p"}]}}`, "spec.blocks[0].prefix"},
@@ -93,22 +94,22 @@
 		class  Class
 		field  string
 	}{
-		{"fine", shift(t, "n-s", "tickets", "norte", "sur", 50), "", ""},
+		{"valid", shift(t, "n-s", "tickets", "norte", "sur", 50), "", ""},
 		{"raising", shift(t, "c-s", "tickets", "centro", "sur", 100), "", ""},
-		{"circle", shift(t, "s-c", "tickets", "sur-a", "centro", 1), Invalid, "spec.to"},
-		{"circle at rest", shift(t, "s-c", "tickets", "sur-a", "centro", 0), "", ""},
+		{"cycle", shift(t, "s-c", "tickets", "sur-a", "centro", 1), Invalid, "spec.to"},
+		{"cycle with 0 percent", shift(t, "s-c", "tickets", "sur-a", "centro", 0), "", ""},
 		{"over 100", shift(t, "c-n", "tickets", "centro-a", "norte", 51), Invalid, "spec.percent"},
 		{"no such service", shift(t, "x", "nope", "norte", "sur", 1), Invalid, "spec.service"},
 		{"no such place", shift(t, "x", "tickets", "norte", "nowhere", 1), Invalid, "spec.to"},
 		{"overlap", shift(t, "x", "tickets", "norte", "norte-a", 1), Invalid, "spec.to"},
-		{"cap of nothing", limit(t, "x", "nope", 1), Invalid, "spec.shift"},
+		{"cap of unknown shift", limit(t, "x", "nope", 1), Invalid, "spec.shift"},
 		{"cap of 0", limit(t, "c-s", "c-s", 0), BreaksPromise, "spec.requests"},
 		{"cap below use", limit(t, "c-s", "c-s", 9), BreaksPromise, "spec.requests"},
 		{"cap at use", limit(t, "c-s", "c-s", 10), "", ""},
 		{"address twice", place(t, "sur-b", "sur-b", "sur", 1, "tickets"), Invalid, "spec.targets[0].address"},
 		{"two regions", place(t, "x", "sur-a", "norte", 9), Invalid, "spec.region"},
-		{"stop of nothing", stop(t, "x", "target", "nope"), Invalid, "spec.name"},
-		{"stop of no entry VM", stop(t, "x", "entryVM", "nope"), Invalid, "spec.name"},
+		{"stop of unknown target", stop(t, "x", "target", "nope"), Invalid, "spec.name"},
+		{"stop of unknown entry VM", stop(t, "x", "entryVM", "nope"), Invalid, "spec.name"},
 		{"stop of one of two", stop(t, "x", "target", "norte-a-tickets-0"), "", ""},
 		{"stop of the last target", stop(t, "x", "target", "sur-a-tickets-0"), BreaksPromise, "spec.name"},
 		{"stop of a place", stop(t, "x", "place", "norte-a"), "", ""},
@@ -142,9 +143,9 @@
 	assert.Equal(t, alone.With(stop(t, "a", "place", "p")).All(Facts{}).Class(), BreaksPromise)
 }
 
-// Symptom: an operator corrects one object and is refused for another's fault.
-// Sequence: a broken object got in (two operators raced); then any change is
-// checked against the whole set. Cause: judging the set instead of the change.
+// Guards against rejecting an operator's change of one object because of a problem of another: two
+// operators' concurrent writes have stored a contradiction, and later changes are checked. The
+// failure occurs if the check judges the whole set instead of the change.
 func TestOldProblemsOfOthersDoNotBlockAChange(t *testing.T) {
 	set := base(t).With(shift(t, "a", "tickets", "centro", "sur", 1)).With(shift(t, "b", "tickets", "sur", "centro", 1))
 	assert.Equal(t, set.All(Facts{}).Class(), Invalid)
@@ -153,8 +154,8 @@
 	assert.Equal(t, len(set.Put(Facts{}, shift(t, "a", "tickets", "centro", "sur", 0))), 0)
 }
 
-// Whatever order and mixture of changes is tried, a set built only of changes
-// that passed has no problem, whichever way it is looked at.
+// Checks that a set built only from accepted changes has no problems, for random sequences of
+// changes.
 func TestAcceptedChangesNeverAddUpToAProblem(t *testing.T) {
 	start := base(t)
 	ends := []string{"norte", "centro", "sur", "norte-a", "centro-a", "sur-a"}
@@ -168,11 +169,11 @@
 				o := shift(t, name, "tickets", "norte", "sur", rapid.IntRange(0, 100).Draw(rt, "percent"))
 				o.Shift.Spec.From = rapid.SampledFrom(ends).Draw(rt, "from")
 				o.Shift.Spec.To = rapid.SampledFrom(ends).Draw(rt, "to")
-				set = putIfFine(set, o)
+				set = putIfValid(set, o)
 			case 2:
-				set = putIfFine(set, limit(t, name, name, rapid.IntRange(0, 3).Draw(rt, "requests")))
+				set = putIfValid(set, limit(t, name, name, rapid.IntRange(0, 3).Draw(rt, "requests")))
 			case 3:
-				set = putIfFine(set, stop(t, name, "zone", rapid.SampledFrom(ends).Draw(rt, "zone")))
+				set = putIfValid(set, stop(t, name, "zone", rapid.SampledFrom(ends).Draw(rt, "zone")))
 			case 4:
 				refs := set.Refs()
 				ref := rapid.SampledFrom(refs).Draw(rt, "ref")
@@ -187,15 +188,15 @@
 	})
 }
 
-func putIfFine(set Set, o oas.Object) Set {
+func putIfValid(set Set, o oas.Object) Set {
 	if len(set.Put(Facts{}, o)) > 0 {
 		return set
 	}
 	return set.With(o)
 }
 
-// Whatever is sent, decoding ends with an object or with problems that name a
-// remedy; it never panics, and an object that passes survives a round trip.
+// Checks that decoding any input returns an object or problems with a remedy and never panics, and
+// that an accepted object can be encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"kind":"Service","metadata":{"name":"s"},"spec":{"hosts":["a"]}}`))
 	f.Add([]byte(`{"kind":"Place","metadata":{"name":"p"},"spec":{"region":"r","zone":"z","targets":[{"name":"a","service":"s","address":"[::1]:80","slots":1}]}}`))
--- a/api/check/doc.go
+++ b/api/check/doc.go
@@ -1,14 +1,14 @@
-// Package check judges objects before they are stored: each one against the
-// schema, and the whole set against the rules that span several objects. The
-// server runs it on every write and `heatherlock check` runs it offline, so an
-// object that passes offline is refused by the server only for what has changed
-// there in between.
+// Package check validates configuration objects before they are stored: Decode checks one object
+// against the schema and the rules that concern it alone, and the methods of Set check a change
+// against the rules that span several objects. The server runs the checks on every write and
+// `heatherlock check` runs them offline, so the server rejects an object that passes offline only
+// because of what has changed on the server in between.
 //
-// A Problem is either Invalid (the object cannot be meant) or BreaksPromise (it
-// can be meant, but callers would lose something they were promised; an operator
-// may override it with a recorded reason).
+// A Problem is either Invalid (the object is malformed or contradicts others) or BreaksPromise (the
+// object is valid, but callers would lose a guarantee; an operator may override the problem with a
+// recorded reason).
 //
-// The check is done against the set as it was read. Two operators who write
-// different objects at the same moment can both pass; the check repeated on
-// every read then shows the problem in the status of the object concerned.
+// A change is checked against the set of objects as it was read. If two operators write different
+// objects at the same time, both changes can pass. The check is repeated on every read and then
+// shows the problem in the status of the object concerned.
 package check
--- a/api/check/alone.go
+++ b/api/check/object.go
@@ -9,14 +9,14 @@
 	"heatherlock/api/oas"
 )
 
-// hostPattern allows a host name or IP number, without scheme, port or path.
+// hostPattern matches a host name or an IP address, without a scheme, port or path.
 var hostPattern = regexp.MustCompile(`^[A-Za-z0-9]([A-Za-z0-9.:\-]{0,251}[A-Za-z0-9])?$`)
 
-// methodPattern allows the HTTP method names in use; they are case-sensitive.
+// methodPattern matches the names of HTTP methods, which are case-sensitive.
 var methodPattern = regexp.MustCompile(`^[A-Z]{1,20}$`)
 
-// Alone returns the problems of an object that can be seen without any other.
-func Alone(o oas.Object) Problems {
+// CheckObject returns the problems of an object that can be found without looking at other objects.
+func CheckObject(o oas.Object) Problems {
 	problems := Problems{}
 	r := report{RefOf(o), &problems}
 	switch o.Type {
@@ -41,18 +41,18 @@
 	for i, host := range spec.Hosts {
 		field := fmt.Sprintf("spec.hosts[%d]", i)
 		if !hostPattern.MatchString(host) {
-			r.invalid(field, "give a host name without scheme, port or path", "%q is not a host name", short(host))
+			r.invalid(field, "give a host name without scheme, port or path", "%q is not a host name", truncate(host))
 		}
 		if seen[strings.ToLower(host)] {
-			r.invalid(field, "remove it", "%q is listed twice", short(host))
+			r.invalid(field, "remove it", "%q is listed twice", truncate(host))
 		}
 		seen[strings.ToLower(host)] = true
 	}
 	for i, method := range spec.NonIdempotentMethods {
-		// Methods are compared as written: "post" would match no request, and
-		// purchases would be retried as if they were idempotent.
+		// Methods are compared case-sensitively: "post" would match no request, and purchases would
+		// be retried as if they were idempotent.
 		if !methodPattern.MatchString(method) {
-			r.invalid(fmt.Sprintf("spec.nonIdempotentMethods[%d]", i), "write it in capitals, for example POST", "%q is not an HTTP method", short(method))
+			r.invalid(fmt.Sprintf("spec.nonIdempotentMethods[%d]", i), "write it in capitals, for example POST", "%q is not an HTTP method", truncate(method))
 		}
 	}
 	hedge, timeout := spec.HedgeAfterMs.Or(0), spec.TimeoutMs.Or(0)
@@ -66,12 +66,12 @@
 	for i, target := range spec.Targets {
 		field := fmt.Sprintf("spec.targets[%d]", i)
 		if names[target.Name] {
-			r.invalid(field+".name", "give each target a name of its own", "%q is used twice", short(target.Name))
+			r.invalid(field+".name", "give each target a name of its own", "%q is used twice", truncate(target.Name))
 		}
 		names[target.Name] = true
 		checkAddress(r, field+".address", target.Address)
 		if addresses[target.Address] {
-			r.invalid(field+".address", "remove one of the two: its slots would be counted twice", "%s is used twice", short(target.Address))
+			r.invalid(field+".address", "remove one of the two: its slots would be counted twice", "%s is used twice", truncate(target.Address))
 		}
 		addresses[target.Address] = true
 		if most := target.MaxConnections.Or(0); most > 0 && target.Slots > most {
@@ -84,7 +84,7 @@
 	const remedy = "give an IP number and a port, for example 10.0.0.7:8080 or [2001:db8::7]:8080"
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
-		r.invalid(field, remedy, "%q is not IP:port", short(address))
+		r.invalid(field, remedy, "%q is not IP:port", truncate(address))
 		return
 	}
 	if parsed.Port() == 0 || parsed.Addr().IsUnspecified() || parsed.Addr().IsMulticast() {
@@ -98,7 +98,7 @@
 		field := fmt.Sprintf("spec.blocks[%d].prefix", i)
 		prefix, err := netip.ParsePrefix(block.Prefix)
 		if err != nil {
-			r.invalid(field, "give a CIDR, for example 10.1.0.0/16", "%q is not a CIDR", short(block.Prefix))
+			r.invalid(field, "give a CIDR, for example 10.1.0.0/16", "%q is not a CIDR", truncate(block.Prefix))
 			continue
 		}
 		if prefix != prefix.Masked() {
--- a/api/check/problem.go
+++ b/api/check/problem.go
@@ -7,16 +7,16 @@
 	"heatherlock/api/oas"
 )
 
-// Class says what can be done about a problem.
+// Class tells whether an operator can override a problem.
 type Class string
 
-// Classes of problem.
+// Classes of problems. An Invalid problem cannot be overridden.
 const (
 	Invalid       Class = "invalid"
-	BreaksPromise Class = "breaks_promise" // may be overridden with a reason
+	BreaksPromise Class = "breaks_promise" // an operator can override it with a recorded reason
 )
 
-// Ref names an object.
+// Ref identifies an object by its kind and name.
 type Ref struct {
 	Kind oas.Kind
 	Name string
@@ -25,7 +25,8 @@
 // String returns "Kind/name".
 func (r Ref) String() string { return string(r.Kind) + "/" + r.Name }
 
-// Problem is one thing wrong with one field of one object.
+// Problem is a problem with one field of one object. Field is empty if the problem concerns the
+// whole object.
 type Problem struct {
 	Class   Class
 	Object  Ref
@@ -34,7 +35,7 @@
 	Remedy  string
 }
 
-// String returns the problem on one line, the remedy last.
+// String returns the problem on one line, which ends with the remedy.
 func (p Problem) String() string {
 	return fmt.Sprintf("%s %s: %s; %s", p.Object, p.Field, p.Message, p.Remedy)
 }
@@ -42,7 +43,8 @@
 // Problems is a list of problems, in a stable order.
 type Problems []Problem
 
-// Class returns Invalid if any problem is, else BreaksPromise, else "".
+// Class returns Invalid if any problem is Invalid, BreaksPromise if there are only problems of that
+// class, and "" if there are no problems.
 func (ps Problems) Class() Class {
 	class := Class("")
 	for _, p := range ps {
@@ -54,7 +56,7 @@
 	return class
 }
 
-// Error implements error, one line per problem.
+// Error implements error. The text has one line per problem.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
@@ -63,11 +65,11 @@
 	return strings.Join(lines, "\n")
 }
 
-// MaxProblems bounds how many problems are reported for one change: the first
-// ones show what is wrong, and the reply to a hostile object stays small.
+// MaxProblems is the maximum number of problems that are reported for one change. The first ones
+// suffice to show what is wrong, and the limit keeps the response to a malicious object small.
 const MaxProblems = 100
 
-// report collects problems of one object.
+// report adds problems of one object to a list.
 type report struct {
 	object   Ref
 	problems *Problems
@@ -77,7 +79,7 @@
 	r.add(Invalid, field, remedy, fmt.Sprintf(format, args...))
 }
 
-func (r report) breaks(field, remedy, format string, args ...any) {
+func (r report) breaksPromise(field, remedy, format string, args ...any) {
 	r.add(BreaksPromise, field, remedy, fmt.Sprintf(format, args...))
 }
 
--- a/api/check/schema.go
+++ b/api/check/schema.go
@@ -16,16 +16,15 @@
 	"heatherlock/api/oas"
 )
 
-// Kinds lists every kind in the order in which objects are applied: an object
-// comes after those it refers to.
+// Kinds lists all kinds in the order in which objects are applied: an object comes after the
+// objects that it refers to.
 var Kinds = []oas.Kind{
 	oas.KindService, oas.KindPlace, oas.KindClientBlocks,
 	oas.KindShift, oas.KindCap, oas.KindPlannedStop,
 }
 
-// schemas loads the embedded schema once. Unknown fields are refused in it:
-// a misspelt field would otherwise be dropped without a word and its default
-// would take effect.
+// schemas loads the embedded schema on first use. It disallows unknown fields: a misspelled field
+// would otherwise be ignored silently and its default would take effect.
 var schemas = sync.OnceValue(func() openapi3.Schemas {
 	doc, err := openapi3.NewLoader().LoadFromData(api.OpenAPI)
 	if err != nil {
@@ -40,7 +39,7 @@
 	return doc.Components.Schemas
 })
 
-// Schema returns the schema of a kind, or nil when there is none.
+// Schema returns the schema of a kind, or nil if the kind is unknown.
 func Schema(kind string) *openapi3.Schema {
 	if !slices.Contains(Kinds, oas.Kind(kind)) {
 		return nil
@@ -48,8 +47,8 @@
 	return schemas()[kind].Value
 }
 
-// Decode reads one object and checks it against the schema and the rules that
-// concern it alone. The object is usable only if there are no problems.
+// Decode decodes one JSON object and checks it against the schema and the rules that concern it
+// alone. The returned object is valid only if there are no problems.
 func Decode(raw []byte) (oas.Object, Problems) {
 	object := oas.Object{}
 	ref, problems := validate(raw)
@@ -60,10 +59,10 @@
 		report{ref, &problems}.invalid("", "correct the value", "cannot be read: %v", err)
 		return object, problems
 	}
-	return object, merge(Alone(object))
+	return object, merge(CheckObject(object))
 }
 
-// validate checks raw JSON against the schema of the kind it names.
+// validate checks raw JSON against the schema of the kind in its "kind" field.
 func validate(raw []byte) (Ref, Problems) {
 	problems := Problems{}
 	decoder := json.NewDecoder(bytes.NewReader(raw))
@@ -81,23 +80,23 @@
 	kind, _ := fields["kind"].(string)
 	schema := Schema(kind)
 	if schema == nil {
-		report{Ref{}, &problems}.invalid("kind", "use one of "+kindList(), "%q is not a kind", short(kind))
+		report{Ref{}, &problems}.invalid("kind", "use one of "+kindList(), "%q is not a kind", truncate(kind))
 		return Ref{}, problems
 	}
-	ref := Ref{Kind: oas.Kind(kind), Name: nameIn(fields)}
+	ref := Ref{Kind: oas.Kind(kind), Name: metadataName(fields)}
 	err := schema.VisitJSON(value, openapi3.MultiErrors())
 	addSchemaErrors(report{ref, &problems}, err)
 	return ref, problems
 }
 
-// nameIn returns metadata.name, or "" when there is none.
-func nameIn(fields map[string]any) string {
+// metadataName returns metadata.name, truncated for use in messages, or "" if it is missing.
+func metadataName(fields map[string]any) string {
 	metadata, _ := fields["metadata"].(map[string]any)
 	name, _ := metadata["name"].(string)
-	return short(name)
+	return truncate(name)
 }
 
-// addSchemaErrors turns the validator's errors into problems.
+// addSchemaErrors converts the schema validator's errors to problems.
 func addSchemaErrors(r report, err error) {
 	switch e := err.(type) {
 	case nil:
@@ -112,7 +111,7 @@
 	}
 }
 
-// fieldPath turns [spec targets 0 slots] into spec.targets[0].slots.
+// fieldPath formats the JSON pointer [spec targets 0 slots] as spec.targets[0].slots.
 func fieldPath(pointer []string) string {
 	var b strings.Builder
 	for _, part := range pointer {
@@ -123,7 +122,7 @@
 		if b.Len() > 0 {
 			b.WriteByte('.')
 		}
-		b.WriteString(short(part))
+		b.WriteString(truncate(part))
 	}
 	return b.String()
 }
@@ -162,11 +161,11 @@
 	return strings.Join(names, ", ")
 }
 
-// maxEchoBytes bounds what a message repeats of a caller's input.
+// maxEchoBytes is the maximum number of bytes of input that a message repeats.
 const maxEchoBytes = 80
 
-// short bounds what a message repeats of a caller's input.
-func short(s string) string {
+// truncate shortens s to at most maxEchoBytes, plus an ellipsis, for use in a message.
+func truncate(s string) string {
 	if len(s) <= maxEchoBytes {
 		return s
 	}
--- a/api/check/set.go
+++ b/api/check/set.go
@@ -9,25 +9,25 @@
 	"heatherlock/api/oas"
 )
 
-// Facts is what is known beside the objects. The zero value knows nothing, and
-// rules that need a fact that is not known are passed over.
+// Facts holds the runtime state that some rules need in addition to the objects. In the zero value
+// nothing is known. Rules that need a fact that is not known are skipped.
 type Facts struct {
 	Now time.Time
-	// EntryVMs maps each entry VM to its zone; nil when not known.
+	// EntryVMs maps the name of each entry VM to its zone; nil if not known.
 	EntryVMs map[string]string
-	// PermitsInUse maps a cap to the permits in use now.
+	// PermitsInUse maps the name of a cap to the number of its permits in use.
 	PermitsInUse map[string]int
-	// MovedPercent maps a shift to the percent that it has moved.
+	// MovedPercent maps the name of a shift to the percentage of callers that it has moved so far.
 	MovedPercent map[string]int
 }
 
-// Set is the set of all objects. The zero value is empty; With and Without
-// return changed copies.
+// Set is an immutable set of objects. The zero value is empty. With and Without return changed
+// copies.
 type Set struct {
 	objects map[Ref]oas.Object
 }
 
-// NewSet returns a set of the objects; of two with one name the last stays.
+// NewSet returns a set of the objects. If two have the same kind and name, it keeps the last one.
 func NewSet(objects ...oas.Object) Set {
 	s := Set{objects: make(map[Ref]oas.Object, len(objects))}
 	for _, o := range objects {
@@ -36,7 +36,8 @@
 	return s
 }
 
-// With returns the set with o added or replaced.
+// With returns a copy of the set to which o is added, replacing any object of the same kind and
+// name.
 func (s Set) With(o oas.Object) Set {
 	next := make(map[Ref]oas.Object, len(s.objects)+1)
 	maps.Copy(next, s.objects)
@@ -44,27 +45,28 @@
 	return Set{next}
 }
 
-// Without returns the set without an object.
+// Without returns a copy of the set without the object that ref identifies.
 func (s Set) Without(ref Ref) Set {
 	next := maps.Clone(s.objects)
 	delete(next, ref)
 	return Set{next}
 }
 
-// Get returns an object.
+// Get returns the object that ref identifies, and whether the set contains it.
 func (s Set) Get(ref Ref) (oas.Object, bool) {
 	o, ok := s.objects[ref]
 	return o, ok
 }
 
-// Refs returns the names of the objects in the order in which they are applied.
+// Refs returns references to all objects in the order in which they are applied.
 func (s Set) Refs() []Ref {
 	refs := slices.Collect(maps.Keys(s.objects))
 	slices.SortFunc(refs, Order)
 	return refs
 }
 
-// Order compares two objects by the order in which they are applied.
+// Order compares two objects by the order in which they are applied. It returns a negative number
+// if a comes first, a positive number if b does, and zero if they are the same object.
 func Order(a, b Ref) int {
 	return cmp.Or(
 		cmp.Compare(slices.Index(Kinds, a.Kind), slices.Index(Kinds, b.Kind)),
@@ -72,7 +74,7 @@
 	)
 }
 
-// of returns the objects of a kind by name, sorted.
+// of returns the objects of a kind, sorted by name.
 func (s Set) of(kind oas.Kind) []oas.Object {
 	var found []oas.Object
 	for ref, o := range s.objects {
@@ -89,7 +91,7 @@
 	return ok
 }
 
-// MetadataOf returns the metadata of an object, to be read or changed in place.
+// MetadataOf returns a pointer to the metadata of an object, through which it can be changed.
 func MetadataOf(o *oas.Object) *oas.Metadata {
 	switch o.Type {
 	case oas.ServiceObject:
@@ -108,7 +110,7 @@
 	return &oas.Metadata{}
 }
 
-// StatusOf returns the status of an object, to be read or changed in place.
+// StatusOf returns a pointer to the status of an object, through which it can be changed.
 func StatusOf(o *oas.Object) *oas.OptObjectStatus {
 	switch o.Type {
 	case oas.ServiceObject:
@@ -127,57 +129,57 @@
 	return &oas.OptObjectStatus{}
 }
 
-// RefOf names an object.
+// RefOf returns the reference that identifies an object.
 func RefOf(o oas.Object) Ref {
 	return Ref{Kind: oas.Kind(o.Type), Name: string(MetadataOf(&o).Name)}
 }
 
-// Put returns the problems of storing o: every problem of o itself, and the
-// problems that others would have which they do not have now.
+// Put returns the problems of storing o: every problem of o itself, and the problems of other
+// objects that the change would introduce. It does not change the set.
 func (s Set) Put(facts Facts, o oas.Object) Problems {
 	after := s.With(o)
 	problems := after.rules(facts)
 	old := s.rules(facts)
 	own := RefOf(o)
-	return merge(Alone(o), change(own, old, problems), lostTargets(own, s, after))
+	return merge(CheckObject(o), newProblems(own, old, problems), lostTargets(own, s, after))
 }
 
-// Delete returns the problems that others would have without the object.
+// Delete returns the problems that deleting the object would introduce. It does not change the set.
 func (s Set) Delete(facts Facts, ref Ref) Problems {
 	after := s.Without(ref)
-	return merge(change(ref, s.rules(facts), after.rules(facts)), lostTargets(ref, s, after), lostCap(ref, s, after, facts))
+	return merge(newProblems(ref, s.rules(facts), after.rules(facts)), lostTargets(ref, s, after), lostCap(ref, s, after, facts))
 }
 
-// All returns every problem of the set, without regard to how it came about.
+// All returns every problem of the set, regardless of which change introduced it.
 func (s Set) All(facts Facts) Problems {
 	var lists []Problems
 	for _, ref := range s.Refs() {
-		lists = append(lists, Alone(s.objects[ref]))
+		lists = append(lists, CheckObject(s.objects[ref]))
 	}
 	return merge(append(lists, s.rules(facts))...)
 }
 
-// change returns what is new in after, and all that concerns the object itself.
-// A message that several objects share is reported once, on the object changed
-// if it is among them.
-func change(own Ref, before, after Problems) Problems {
+// newProblems returns the problems in after that are not in before, and all that concern the
+// changed object own. A message that several objects share is reported once, on the changed object
+// if it is one of them.
+func newProblems(own Ref, before, after Problems) Problems {
 	known := make(map[Problem]bool, len(before))
 	for _, p := range before {
 		known[p] = true
 	}
-	said := map[string]bool{}
+	reported := map[string]bool{}
 	var kept Problems
 	for _, p := range after {
 		if p.Object == own {
 			kept = append(kept, p)
-			said[p.Message] = true
+			reported[p.Message] = true
 		}
 	}
 	for _, p := range after {
-		if known[p] || said[p.Message] {
+		if known[p] || reported[p.Message] {
 			continue
 		}
-		said[p.Message] = true
+		reported[p.Message] = true
 		kept = append(kept, p)
 	}
 	return kept
--- a/api/check/shifts.go
+++ b/api/check/shifts.go
@@ -7,15 +7,16 @@
 	"heatherlock/api/oas"
 )
 
-// fullPercent is the whole of a place's callers.
+// fullPercent is the percentage that stands for all callers of a place.
 const fullPercent = 100
 
-// placeIndex resolves the names that a shift or stop may use.
+// placeIndex resolves the names of places, zones and regions to which shifts and planned stops
+// refer.
 type placeIndex struct {
 	places   map[string]oas.PlaceSpec
 	byZone   map[string][]string
 	byRegion map[string][]string
-	regionOf map[string]string // zone to region, as the first place says
+	regionOf map[string]string // region of each zone, according to the zone's first place
 }
 
 func indexPlaces(s Set) placeIndex {
@@ -37,32 +38,32 @@
 	return index
 }
 
-// resolve returns the places that a name stands for. ok is false when the name
-// stands for different places as a place, a zone and a region.
+// resolve returns the places to which a name refers, or none if the name is unknown. ok is false if
+// the name is ambiguous: it refers to different places as a place, a zone or a region.
 func (x placeIndex) resolve(name string) (places []string, ok bool) {
-	var readings [][]string
+	var candidates [][]string
 	if _, found := x.places[name]; found {
-		readings = append(readings, []string{name})
+		candidates = append(candidates, []string{name})
 	}
 	if found := x.byZone[name]; len(found) > 0 {
-		readings = append(readings, found)
+		candidates = append(candidates, found)
 	}
 	if found := x.byRegion[name]; len(found) > 0 {
-		readings = append(readings, found)
+		candidates = append(candidates, found)
 	}
-	for _, other := range readings {
-		if !slices.Equal(other, readings[0]) {
+	for _, other := range candidates {
+		if !slices.Equal(other, candidates[0]) {
 			return nil, false
 		}
 	}
-	if len(readings) == 0 {
+	if len(candidates) == 0 {
 		return nil, true
 	}
-	return readings[0], true
+	return candidates[0], true
 }
 
-// serves reports whether one of the places has a target of the service; the
-// empty service asks for any target.
+// serves reports whether one of the places has a target of the service. An empty service matches
+// every target.
 func (x placeIndex) serves(places []string, service string) bool {
 	for _, place := range places {
 		for _, target := range x.places[place].Targets {
@@ -74,8 +75,8 @@
 	return false
 }
 
-// move is a shift with its names resolved.
-type move struct {
+// resolvedShift is a shift whose ends are resolved to places.
+type resolvedShift struct {
 	object   oas.Object
 	name     string
 	service  string // empty means every service
@@ -83,34 +84,34 @@
 	percent  int
 }
 
-// overlaps reports whether two shifts move a service in common.
-func (m move) overlaps(other move) bool {
+// overlaps reports whether there is a service that both shifts move.
+func (m resolvedShift) overlaps(other resolvedShift) bool {
 	return m.service == "" || other.service == "" || m.service == other.service
 }
 
-// checkShifts finds shifts that cannot be resolved, lead nowhere, contradict
-// each other or go round in a circle.
+// checkShifts finds shifts that refer to unknown or ambiguous names, that have no target at their
+// receiving end, that together move more callers than there are, or that form a cycle.
 func (s Set) checkShifts(problems *Problems, index placeIndex) {
-	var moves []move
+	var shifts []resolvedShift
 	for _, o := range s.of(oas.KindShift) {
 		if m, ok := s.checkShift(s.reportOn(problems, o), index, o); ok {
-			moves = append(moves, m)
+			shifts = append(shifts, m)
 		}
 	}
-	for i, m := range moves {
-		s.checkShare(problems, m, moves[:i])
-		if path := cycle(m, moves); path != nil {
+	for i, m := range shifts {
+		s.checkPercentSum(problems, m, shifts[:i])
+		if path := cycle(m, shifts); path != nil {
 			s.reportOn(problems, m.object).invalid("spec.to", "break the circle: delete one of the shifts or set its percent to 0", "shifts go round in a circle: %s", strings.Join(path, ", "))
 		}
 	}
 }
 
-func (s Set) checkShift(r report, index placeIndex, o oas.Object) (move, bool) {
+func (s Set) checkShift(r report, index placeIndex, o oas.Object) (resolvedShift, bool) {
 	spec := o.Shift.Spec
-	m := move{object: o, name: string(o.Shift.Metadata.Name), service: spec.Service.Or(""), percent: spec.Percent}
+	m := resolvedShift{object: o, name: string(o.Shift.Metadata.Name), service: spec.Service.Or(""), percent: spec.Percent}
 	before := len(*r.problems)
 	if m.service != "" && !s.has(oas.KindService, m.service) {
-		r.invalid("spec.service", "apply the Service, or correct the name", "there is no Service/%s", short(m.service))
+		r.invalid("spec.service", "apply the Service, or correct the name", "there is no Service/%s", truncate(m.service))
 	}
 	m.from = resolveEnd(r, index, "spec.from", spec.From)
 	m.to = resolveEnd(r, index, "spec.to", spec.To)
@@ -124,7 +125,7 @@
 		}
 	}
 	if m.percent > 0 && !index.serves(m.to, m.service) {
-		r.invalid("spec.to", "add targets to the receiving places first", "%s has no target to take the callers", short(spec.To))
+		r.invalid("spec.to", "add targets to the receiving places first", "%s has no target to take the callers", truncate(spec.To))
 	}
 	return m, true
 }
@@ -132,17 +133,18 @@
 func resolveEnd(r report, index placeIndex, field, name string) []string {
 	places, ok := index.resolve(name)
 	if !ok {
-		r.invalid(field, "rename one of them, or name the places one by one", "%q names different things as place, zone and region", short(name))
+		r.invalid(field, "rename one of them, or name the places one by one", "%q names different things as place, zone and region", truncate(name))
 		return nil
 	}
 	if len(places) == 0 {
-		r.invalid(field, "apply a Place in it, or correct the name", "%q is no place, zone or region", short(name))
+		r.invalid(field, "apply a Place in it, or correct the name", "%q is no place, zone or region", truncate(name))
 	}
 	return places
 }
 
-// checkShare finds shifts that together move more callers of a place than it has.
-func (s Set) checkShare(problems *Problems, m move, earlier []move) {
+// checkPercentSum finds shifts that together move more than all callers of a place. It compares m
+// with the shifts before it.
+func (s Set) checkPercentSum(problems *Problems, m resolvedShift, earlier []resolvedShift) {
 	for _, place := range m.from {
 		sum, names := m.percent, []string{m.name}
 		for _, other := range earlier {
@@ -159,16 +161,16 @@
 	}
 }
 
-// cycle returns the names of shifts that lead from m back to where it takes
-// callers away, or nil. A shift at 0 percent moves nobody and is passed over.
-func cycle(m move, moves []move) []string {
+// cycle returns the sorted names of shifts that lead from m back to the places from which m moves
+// callers, or nil if there are none. Shifts with 0 percent move no callers and are ignored.
+func cycle(m resolvedShift, shifts []resolvedShift) []string {
 	if m.percent == 0 {
 		return nil
 	}
 	visited := map[string]bool{m.name: true}
-	var walk func(at move, path []string) []string
-	walk = func(at move, path []string) []string {
-		for _, next := range moves {
+	var walk func(at resolvedShift, path []string) []string
+	walk = func(at resolvedShift, path []string) []string {
+		for _, next := range shifts {
 			if next.percent == 0 || !next.overlaps(at) || !next.overlaps(m) || !intersect(at.to, next.from) {
 				continue
 			}
--- a/api/check/stops.go
+++ b/api/check/stops.go
@@ -7,17 +7,18 @@
 	"heatherlock/api/oas"
 )
 
-// stopped is a target with the planned stops that cover it.
-type stopped struct {
+// stoppedTarget is a target with the planned stops that cover it.
+type stoppedTarget struct {
 	place, service string
 	byTarget       []string // stops that name the target itself
 	byArea         []string // stops of its place or zone
 }
 
-func (t stopped) covered() bool { return len(t.byTarget)+len(t.byArea) > 0 }
+func (t stoppedTarget) covered() bool { return len(t.byTarget)+len(t.byArea) > 0 }
 
-// checkStops finds stops of unknown things, and stops that together leave a
-// service, a place, a zone or a shift without what it needs.
+// checkStops finds planned stops of unknown subjects, and planned stops that together leave a
+// service or a place without a target, a zone without an entry VM, or a shift without a receiving
+// place.
 func (s Set) checkStops(problems *Problems, index placeIndex, facts Facts) {
 	stops := s.of(oas.KindPlannedStop)
 	for _, o := range stops {
@@ -44,7 +45,7 @@
 		known = known || facts.EntryVMs == nil
 	}
 	if !known {
-		r.invalid("spec.name", "correct the name; `heatherlock status` lists what there is", "there is no %s %q", spec.What, short(spec.Name))
+		r.invalid("spec.name", "correct the name; `heatherlock status` lists what there is", "there is no %s %q", spec.What, truncate(spec.Name))
 	}
 }
 
@@ -58,12 +59,12 @@
 }
 
 // coverage lists every target with the stops that cover it.
-func (s Set) coverage(stops []oas.Object) []stopped {
-	var targets []stopped
+func (s Set) coverage(stops []oas.Object) []stoppedTarget {
+	var targets []stoppedTarget
 	for _, o := range s.of(oas.KindPlace) {
 		place := string(o.Place.Metadata.Name)
 		for _, target := range o.Place.Spec.Targets {
-			t := stopped{place: place, service: target.Service}
+			t := stoppedTarget{place: place, service: target.Service}
 			for _, stop := range stops {
 				t.cover(stop.PlannedStop, target.Name, o.Place.Spec.Zone)
 			}
@@ -73,7 +74,7 @@
 	return targets
 }
 
-func (t *stopped) cover(stop oas.PlannedStop, target, zone string) {
+func (t *stoppedTarget) cover(stop oas.PlannedStop, target, zone string) {
 	name := string(stop.Metadata.Name)
 	switch {
 	case stop.Spec.What == oas.PlannedStopSpecWhatTarget && stop.Spec.Name == target:
@@ -85,7 +86,7 @@
 	}
 }
 
-func (s Set) checkServicesCovered(problems *Problems, targets []stopped) {
+func (s Set) checkServicesCovered(problems *Problems, targets []stoppedTarget) {
 	for _, o := range s.of(oas.KindService) {
 		service := string(o.Service.Metadata.Name)
 		var names []string
@@ -101,14 +102,14 @@
 			names = append(names, slices.Concat(t.byTarget, t.byArea)...)
 		}
 		if found > 0 && left == 0 {
-			s.blame(problems, names, "planned stops %s leave Service/"+service+" without a target anywhere")
+			s.reportStops(problems, names, "planned stops %s leave Service/"+service+" without a target anywhere")
 		}
 	}
 }
 
-// checkPlacesCovered concerns stops of single targets only: who stops a whole
-// place means to empty it.
-func (s Set) checkPlacesCovered(problems *Problems, targets []stopped) {
+// checkPlacesCovered finds places where the stops of single targets together cover every target of
+// a service. It ignores stops of whole places and zones, whose purpose is to empty the place.
+func (s Set) checkPlacesCovered(problems *Problems, targets []stoppedTarget) {
 	type pool struct{ place, service string }
 	left, stops := map[pool]int{}, map[pool][]string{}
 	var order []pool
@@ -125,12 +126,12 @@
 	}
 	for _, key := range order {
 		if left[key] == 0 {
-			s.blame(problems, stops[key], "planned stops %s leave Place/"+key.place+" without a target of Service/"+key.service)
+			s.reportStops(problems, stops[key], "planned stops %s leave Place/"+key.place+" without a target of Service/"+key.service)
 		}
 	}
 }
 
-// checkEntryVMs finds zones whose every entry VM is to stop.
+// checkEntryVMs finds zones in which planned stops cover every entry VM.
 func (s Set) checkEntryVMs(problems *Problems, stops []oas.Object, facts Facts) {
 	left, names := map[string]int{}, map[string][]string{}
 	for vm, zone := range facts.EntryVMs {
@@ -143,7 +144,7 @@
 	}
 	for zone, n := range left {
 		if n == 0 {
-			s.blame(problems, names[zone], "planned stops %s leave zone "+zone+" without an entry VM")
+			s.reportStops(problems, names[zone], "planned stops %s leave zone "+zone+" without an entry VM")
 		}
 	}
 }
@@ -158,7 +159,7 @@
 	return names
 }
 
-// checkReceivers finds shifts whose every receiving place is to stop.
+// checkReceivers finds shifts for which planned stops cover every receiving place.
 func (s Set) checkReceivers(problems *Problems, stops []oas.Object, index placeIndex) {
 	for _, o := range s.of(oas.KindShift) {
 		to, _ := index.resolve(o.Shift.Spec.To)
@@ -175,17 +176,18 @@
 			}
 		}
 		if left == 0 {
-			s.blame(problems, names, "planned stops %s cover every place that Shift/"+string(o.Shift.Metadata.Name)+" moves callers to")
+			s.reportStops(problems, names, "planned stops %s cover every place that Shift/"+string(o.Shift.Metadata.Name)+" moves callers to")
 		}
 	}
 }
 
-// blame reports one problem on each of the stops that bring it about.
-func (s Set) blame(problems *Problems, names []string, format string) {
+// reportStops reports the same problem for each of the stops that together cause it. The %s in
+// format stands for their names.
+func (s Set) reportStops(problems *Problems, names []string, format string) {
 	slices.Sort(names)
 	names = slices.Compact(names)
 	message := strings.Replace(format, "%s", strings.Join(names, ", "), 1)
 	for _, name := range names {
-		report{Ref{oas.KindPlannedStop, name}, problems}.breaks("spec.name", "add targets elsewhere first, stop one after the other, or override with a reason", "%s", message)
+		report{Ref{oas.KindPlannedStop, name}, problems}.breaksPromise("spec.name", "add targets elsewhere first, stop one after the other, or override with a reason", "%s", message)
 	}
 }
--- a/api/check/stream.go
+++ b/api/check/stream.go
@@ -8,8 +8,8 @@
 	"github.com/go-faster/errors"
 )
 
-// Split reads a stream of JSON objects, or of arrays of them, and returns each
-// object's text.
+// Split reads a stream of JSON objects or arrays of objects until EOF and returns the JSON text of
+// each object. On an error it also returns the objects read before it.
 func Split(r io.Reader) ([]json.RawMessage, error) {
 	decoder := json.NewDecoder(r)
 	var all []json.RawMessage
--- a/node/operator.go
+++ b/node/operator.go
@@ -18,9 +18,9 @@
 
 // zoneDiscoveryTimeout is how long readiness waits, from the start of the daemon, for the
 // platform's list of VMs and for an answer from those in this entry VM's zone. Until an entry VM
-// knows the members of its zone, it would count the in-flight requests of pools that other entry
-// VMs own and count too. The wait is bounded because an entry VM must become ready during an outage
-// of the platform as well.
+// knows the members of its zone, it would count the slots of pools that other entry VMs own and
+// count too. The wait is bounded because an entry VM must become ready during an outage of the
+// platform as well.
 const zoneDiscoveryTimeout = 4 * time.Second
 
 // readyz responds with status 200 if callers may be sent to this entry VM, and with 503 otherwise.
