--- a/node/runtimeinfo.go
+++ b/node/runtimeinfo.go
@@ -167,7 +167,8 @@
 	return drain.Remaining{InFlight: fact.InFlight, Complete: known && fact.Complete}, known
 }
 
-// entryVMStop reports the stop of an entry VM: its requests in flight, until the member is gone.
+// entryVMStop reports the requests in flight of an entry VM that a planned stop covers. The stop is
+// complete once the member is gone.
 func (f *runtimeInfo) entryVMStop(stop *routing.Stop) (operator.StopFact, bool) {
 	for _, m := range f.components.members.All() {
 		if string(m.VM) == stop.Subject && m.State != seam.MemberGone {
