--- a/node/failure_test.go
+++ b/node/failure_test.go
@@ -189,7 +189,7 @@
 		}
 		f.get(caller, "ea2")
 		f.store.Down(false)
-		time.Sleep(30 * time.Second) // longer than the longest backoff delay
+		time.Sleep(30 * time.Second) // outlasts the backoff delays of configuration reads
 		f.checkInForce(f.createObject("Service", "late", `{"hosts":["late.example"]}`))
 	})
 }
