--- a/cmd/internal/quickstart/callers.go
+++ b/cmd/internal/quickstart/callers.go
@@ -11,24 +11,25 @@
 	"heatherlock/standin/deploy"
 )
 
-// Sizes of the callers.
+// Number of callers and size of the special loads.
 const (
 	callersPerZone = 24
-	// crashingAtOnce callers send the request that crashes targets at the same
-	// moment, and each crashingRepeats times again, one after another.
-	crashingAtOnce  = 3
-	crashingRepeats = 2
-	// stopUploads are under way in each zone of the region in which a target
-	// is to stop, so that the stop meets some.
-	stopUploads = 6
-	// rushRequests are sent at once by one zone's callers, each with so little
-	// time that the deployment's slots cannot take them all.
-	rushRequests = 250
-	rushTimeout  = 150 * time.Millisecond
+	// crashSenders callers send the request that crashes targets concurrently.
+	// Each sends it crashRepeats more times, one after another.
+	crashSenders = 3
+	crashRepeats = 2
+	// uploadsPerZone uploads are sent in each zone of the region with the planned
+	// stop, so that some are in flight when the stop is declared.
+	uploadsPerZone = 6
+	// burstRequests are sent at once by the callers of one zone. burstTimeout is
+	// too short for the slots of the deployment to run them all.
+	burstRequests = 250
+	burstTimeout  = 150 * time.Millisecond
 )
 
-// startCallers makes the callers of every zone and the streams of their work.
-func (r *running) startCallers() {
+// startCallers creates the callers of every zone and the request streams that
+// they send.
+func (r *runState) startCallers() {
 	d := r.system.deployment
 	phases := rand.New(rand.NewPCG(r.options.Seed, 0))
 	r.callers = map[string][]*caller.Caller{}
@@ -40,7 +41,7 @@
 				Home: z.Name, Source: traffic.SourceIn(z.Block, i), Bootstrap: bootstrap,
 				Reporter: r.system.witness, Excused: r.system.excused, Phase: phases.Float64(),
 				Link: func(dial caller.Dial) caller.Dial {
-					return r.system.network.overLinks(dial, z.Name, d.Delays.Clients)
+					return r.system.network.withZoneDelay(dial, z.Name, d.Delays.Clients)
 				},
 			}))
 		}
@@ -53,7 +54,7 @@
 	r.traffic = traffic.New(streams, r.options.Seed, "")
 }
 
-func (r *running) closeCallers() {
+func (r *runState) closeCallers() {
 	for _, callers := range r.callers {
 		for _, c := range callers {
 			c.Close()
@@ -61,32 +62,34 @@
 	}
 }
 
-// rush has one zone's callers buy all at once, more than all places can run in
-// the time allowed: some must be refused, and those must not run.
-func (r *running) rush() {
+// sendBurst sends a burst of purchases from the callers of one zone, more than
+// all places can run within the timeout: some must be refused, and the refused
+// ones must not run.
+func (r *runState) sendBurst() {
 	d := r.system.deployment
 	zone := d.Zones[len(d.Zones)-1].Name
 	for _, s := range d.Services {
 		if s.Work != deploy.WorkPurchase {
 			continue
 		}
-		for i := range rushRequests {
+		for i := range burstRequests {
 			request := traffic.RequestFor(s, fmt.Sprintf("rush-%s-%d", s.Name, i))
-			request.Timeout = rushTimeout
+			request.Timeout = burstTimeout
 			r.traffic.Send(traffic.Errand{From: r.callers[zone][i%callersPerZone], Request: request})
 		}
 	}
 }
 
-// sendUploads has uploads under way in the region that the shift leaves.
-func (r *running) sendUploads(name string) {
+// sendUploads sends uploads from the zones of the region that the shift moves
+// callers out of. The name becomes part of the request IDs.
+func (r *runState) sendUploads(name string) {
 	d := r.system.deployment
 	for _, s := range d.Services {
 		if s.Work != deploy.WorkUpload {
 			continue
 		}
 		for _, place := range d.PlacesOf(d.ShiftFrom) {
-			for i := range stopUploads {
+			for i := range uploadsPerZone {
 				request := traffic.RequestFor(s, fmt.Sprintf("%s-%s-%s-%d", name, s.Name, place, i))
 				r.traffic.Send(traffic.Errand{From: r.callers[place][i], Request: request})
 			}
@@ -94,26 +97,28 @@
 	}
 }
 
-// waitForUpload waits until a target that may be stopped runs an upload.
-func (r *running) waitForUpload(ctx context.Context) {
-	for ctx.Err() == nil && !r.operator.uploading() {
-		time.Sleep(uploadPoll)
+// waitForUpload waits until the target that the planned stop would choose runs
+// an upload, or until ctx ends.
+func (r *runState) waitForUpload(ctx context.Context) {
+	for ctx.Err() == nil && !r.operator.runsUpload() {
+		time.Sleep(uploadPollInterval)
 	}
 }
 
-// uploadPoll is the pause between two looks at what targets run.
-const uploadPoll = 5 * time.Millisecond
+// uploadPollInterval is the interval between checks for a running upload.
+const uploadPollInterval = 5 * time.Millisecond
 
-// sendCrashing sends a request that crashes each target it reaches, at once and
-// again and again, through different callers and so different entry VMs.
-func (r *running) sendCrashing() {
+// sendCrashRequests sends one request that crashes every target that runs it,
+// concurrently and repeatedly, from different callers and thus through different
+// entry VMs.
+func (r *runState) sendCrashRequests() {
 	s := r.system.deployment.Services[0]
 	request := traffic.RequestFor(s, "crashing")
 	request.CrashMarker = crashMarker
 	callers := r.callers[r.system.faultZone()]
-	for i := range crashingAtOnce {
+	for i := range crashSenders {
 		var errands []traffic.Errand
-		for j := range 1 + crashingRepeats {
+		for j := range 1 + crashRepeats {
 			errands = append(errands, traffic.Errand{From: callers[(i+j)%len(callers)], Request: request})
 		}
 		r.traffic.Send(errands...)
--- a/cmd/internal/quickstart/faults.go
+++ b/cmd/internal/quickstart/faults.go
@@ -7,60 +7,61 @@
 	"heatherlock/standin/target"
 )
 
-// Fault is something planted in a run.
+// Fault is a fault that can be injected into a run.
 type Fault string
 
-// Faults that a run can be watched under.
+// Faults that a run can inject.
 const (
-	FaultPlatformDown   Fault = "platform-down"
-	FaultPlatformSlow   Fault = "platform-slow"
-	FaultReplyLost      Fault = "reply-lost"
-	FaultKillEntryVM    Fault = "kill-entry-vm"
-	FaultCutZone        Fault = "cut-zone"
-	FaultCrashRequest   Fault = "crash-request"
-	FaultLyingHealth    Fault = "lying-health"
-	FaultFewerSlots     Fault = "fewer-slots"
-	FaultShortAnswers   Fault = "short-answers"
-	FaultCrossedAnswers Fault = "crossed-answers"
-	FaultLateAnswers    Fault = "late-answers"
-	FaultTargetErrors   Fault = "target-errors"
+	FaultPlatformDown       Fault = "platform-down"
+	FaultPlatformSlow       Fault = "platform-slow"
+	FaultReplyLost          Fault = "reply-lost"
+	FaultKillEntryVM        Fault = "kill-entry-vm"
+	FaultCutZone            Fault = "cut-zone"
+	FaultCrashRequest       Fault = "crash-request"
+	FaultFalseHealth        Fault = "lying-health"
+	FaultFewerSlots         Fault = "fewer-slots"
+	FaultTruncatedResponses Fault = "short-answers"
+	FaultMisroutedResponses Fault = "crossed-answers"
+	FaultLateResponses      Fault = "late-answers"
+	FaultTargetErrors       Fault = "target-errors"
 )
 
-// AllFaults lists them.
+// AllFaults lists every fault in the order in which help and errors print them.
 var AllFaults = []Fault{
 	FaultPlatformDown, FaultPlatformSlow, FaultReplyLost, FaultKillEntryVM, FaultCutZone, FaultCrashRequest,
-	FaultLyingHealth, FaultFewerSlots, FaultShortAnswers, FaultCrossedAnswers, FaultLateAnswers, FaultTargetErrors,
+	FaultFalseHealth, FaultFewerSlots, FaultTruncatedResponses, FaultMisroutedResponses, FaultLateResponses, FaultTargetErrors,
 }
 
-// Sizes of planted faults.
+// Parameters of the injected faults. Those ending in Every affect one response in
+// that many.
 const (
-	slowPlatform = 500 * time.Millisecond
-	lostReplies  = 20
-	faultyEvery  = 10
-	crossedEvery = 7
-	failEvery    = 2
-	lateAnswer   = 300 * time.Millisecond
+	platformDelay  = 500 * time.Millisecond
+	lostReplyCount = 20
+	truncateEvery  = 10
+	misrouteEvery  = 7
+	failEvery      = 2
+	responseDelay  = 300 * time.Millisecond
 )
 
-// plant switches a fault on and returns what switches it off.
-func (s *system) plant(f Fault, sendCrashing func()) (heal func()) {
+// inject starts a fault and returns the function that ends it.
+func (s *system) inject(f Fault, sendCrashing func()) (revert func()) {
 	switch f {
 	case FaultPlatformDown:
 		s.store.Down(true)
 		return func() { s.store.Down(false) }
 	case FaultPlatformSlow:
-		s.store.Slow(slowPlatform)
+		s.store.Slow(platformDelay)
 		return func() { s.store.Slow(0) }
 	case FaultReplyLost:
-		s.store.LoseReplies(lostReplies)
+		s.store.LoseReplies(lostReplyCount)
 		return func() { s.store.LoseReplies(0) }
 	case FaultCutZone:
 		zone := s.faultZone()
 		s.store.CutOff(zone, true)
-		s.noteCut(time.Now())
-		s.network.cutOff(zone)
+		s.recordIsolation(time.Now())
+		s.network.isolate(zone)
 		return func() {
-			s.network.cutOff("")
+			s.network.isolate("")
 			s.store.CutOff(zone, false)
 		}
 	case FaultKillEntryVM:
@@ -69,40 +70,41 @@
 		sendCrashing()
 		return func() {}
 	}
-	return s.plantAtTargets(f)
+	return s.injectAtTargets(f)
 }
 
-// faultZone is the first zone: neither the shift nor the planned stop is
-// there, so that the run can tell what a fault did from what they did.
+// faultZone returns the zone in which faults are injected. It is the first zone,
+// which neither the shift nor the planned stop affects, so that the effects of a
+// fault can be told apart from theirs.
 func (s *system) faultZone() string { return s.deployment.Zones[0].Name }
 
-// add sets the switches of one fault beside those already set.
-func (f Fault) add(to *target.Faults) {
+// applyTo sets the fields of one fault and leaves those of other faults set.
+func (f Fault) applyTo(to *target.Faults) {
 	switch f {
-	case FaultLyingHealth:
+	case FaultFalseHealth:
 		to.Health, to.Load = target.HealthBad, &target.Load{InFlight: 99, Slots: 1}
 	case FaultFewerSlots:
 		to.WorkingSlots = 1
-	case FaultShortAnswers:
-		to.ShortEvery = faultyEvery
-	case FaultCrossedAnswers:
-		to.CrossedEvery = crossedEvery
-	case FaultLateAnswers:
-		to.Late = lateAnswer
+	case FaultTruncatedResponses:
+		to.ShortEvery = truncateEvery
+	case FaultMisroutedResponses:
+		to.CrossedEvery = misrouteEvery
+	case FaultLateResponses:
+		to.Late = responseDelay
 	case FaultTargetErrors:
 		to.FailEvery = failEvery
 	}
 }
 
-// plantAtTargets adds a fault to those of the zone's targets; the first heal
-// takes all of them away.
-func (s *system) plantAtTargets(f Fault) (heal func()) {
-	f.add(&s.atTargets)
-	s.setTargets(s.atTargets)
-	return func() { s.setTargets(target.Faults{}) }
+// injectAtTargets adds a fault to those of the fault zone's targets. The first
+// revert function that is called removes all of them.
+func (s *system) injectAtTargets(f Fault) (revert func()) {
+	f.applyTo(&s.targetFaults)
+	s.setTargetFaults(s.targetFaults)
+	return func() { s.setTargetFaults(target.Faults{}) }
 }
 
-func (s *system) setTargets(f target.Faults) {
+func (s *system) setTargetFaults(f target.Faults) {
 	zone := s.faultZone()
 	for _, t := range s.deployment.Targets() {
 		if t.Place == zone {
@@ -111,18 +113,18 @@
 	}
 }
 
-// killEntryVM ends the first entry VM of the fault's zone without any leave,
-// as a failed VM ends, and later starts a replacement.
-func (s *system) killEntryVM() (heal func()) {
-	v, ok := s.lose(s.faultZone()+"-1", time.Now())
+// killEntryVM ends the first entry VM of the fault zone without a graceful leave,
+// as when a VM crashes. The returned function starts a replacement.
+func (s *system) killEntryVM() (revert func()) {
+	v, ok := s.markKilled(s.faultZone()+"-1", time.Now())
 	if !ok {
 		return func() {}
 	}
 	v.end()
-	return func() { _, _ = s.start(v.EntryVM, v.life+1) }
+	return func() { _, _ = s.start(v.EntryVM, v.incarnation+1) }
 }
 
-func contains(via, vm string) bool {
+func listContains(via, vm string) bool {
 	for name := range strings.SplitSeq(via, ",") {
 		if strings.TrimSpace(name) == vm {
 			return true
--- a/cmd/internal/quickstart/link.go
+++ b/cmd/internal/quickstart/link.go
@@ -7,39 +7,40 @@
 )
 
 const (
-	// linkPiece is the most that a link carries in one piece.
-	linkPiece = 16 << 10
-	// linkPieces bounds the pieces under way in one direction. With it a link
-	// of 20 ms still carries 200 MB a second.
-	linkPieces = 256
+	// maxChunkBytes is the maximum size of a chunk in bytes.
+	maxChunkBytes = 16 << 10
+	// maxChunksInFlight limits the chunks in flight in one direction. A link with a delay
+	// of 20 ms can still carry 200 MB/s with it.
+	maxChunksInFlight = 256
 )
 
-// piece is some bytes under way on a link.
-type piece struct {
-	bytes   []byte
-	arrives time.Time
+// chunk is data in flight on a delayed connection.
+type chunk struct {
+	bytes     []byte
+	deliverAt time.Time
 }
 
-// overLink puts a connection behind a link with a one-way delay. What is
-// written arrives later in the same order, and so does the end. A connection
-// that breaks ends for both sides.
-func overLink(conn net.Conn, oneWay time.Duration) net.Conn {
+// withDelay returns a connection that adds a one-way delay to conn. Data and the
+// end of the stream arrive after the delay and in order. When the connection
+// breaks, both sides are closed.
+func withDelay(conn net.Conn, oneWay time.Duration) net.Conn {
 	near, far := net.Pipe()
-	go carry(conn, far, oneWay)
-	go carry(far, conn, oneWay)
+	go forward(conn, far, oneWay)
+	go forward(far, conn, oneWay)
 	return near
 }
 
-// carry moves bytes from one connection to another until one ends.
-func carry(from, to net.Conn, oneWay time.Duration) {
-	underWay := make(chan piece, linkPieces)
-	go deliver(underWay, from, to)
-	defer close(underWay)
+// forward copies data from one connection to another after a delay, until one of
+// them ends.
+func forward(from, to net.Conn, oneWay time.Duration) {
+	inFlight := make(chan chunk, maxChunksInFlight)
+	go deliver(inFlight, from, to)
+	defer close(inFlight)
 	for {
-		buf := make([]byte, linkPiece)
+		buf := make([]byte, maxChunkBytes)
 		n, err := from.Read(buf)
 		if n > 0 {
-			underWay <- piece{bytes: buf[:n], arrives: time.Now().Add(oneWay)}
+			inFlight <- chunk{bytes: buf[:n], deliverAt: time.Now().Add(oneWay)}
 		}
 		if err != nil {
 			return
@@ -47,29 +48,30 @@
 	}
 }
 
-// deliver writes pieces when they arrive. When the sender ended, or the other
-// side takes no more, both connections are closed; the rest is dropped, so that
-// carry never waits for room.
-func deliver(underWay <-chan piece, from, to net.Conn) {
-	for p := range underWay {
-		time.Sleep(time.Until(p.arrives))
+// deliver writes each chunk when its delay is over. When the sender ends or a
+// write fails, it closes both connections and discards the remaining chunks, so
+// that forward never blocks on a full channel.
+func deliver(inFlight <-chan chunk, from, to net.Conn) {
+	for p := range inFlight {
+		time.Sleep(time.Until(p.deliverAt))
 		if _, err := to.Write(p.bytes); err != nil {
 			break
 		}
 	}
 	_ = to.Close()
 	_ = from.Close()
-	for range underWay {
+	for range inFlight {
 	}
 }
 
 type dialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// overLinks returns a dial function whose connections take the delay that the
-// deployment names between a zone and that of the address, and more.
-func (n *network) overLinks(dial dialFunc, zone string, more time.Duration) dialFunc {
+// withZoneDelay returns a dial function whose connections have the delay that the
+// deployment specifies between the given zone and the zone of the address, plus
+// extraDelay.
+func (n *network) withZoneDelay(dial dialFunc, zone string, extraDelay time.Duration) dialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		oneWay := more
+		oneWay := extraDelay
 		if to := n.zoneOf(address); to != "" {
 			oneWay += n.delays(zone, to)
 		}
@@ -78,6 +80,6 @@
 			return conn, err
 		}
 		time.Sleep(2 * oneWay) // the handshake's round trip
-		return overLink(conn, oneWay), nil
+		return withDelay(conn, oneWay), nil
 	}
 }
--- a/cmd/internal/quickstart/network.go
+++ b/cmd/internal/quickstart/network.go
@@ -8,87 +8,89 @@
 	"time"
 )
 
-// dialTimeout bounds a dial, also one that a cut swallows.
+// dialTimeout limits a dial, including one to an isolated zone.
 const dialTimeout = 2 * time.Second
 
-// network lets a zone be cut off from the others on one machine. Entry VMs
-// dial through it; it knows the zone of every address they dial. A cut
-// swallows new dials until they time out and closes the connections that cross
-// it.
+// network can isolate a zone from the others on one machine. Entry VMs dial
+// through it, and it knows the zone of every address that they dial. While a zone
+// is isolated, new dials into or out of it time out; its open connections to other
+// zones are closed when the isolation starts.
 type network struct {
-	mu    sync.Mutex
-	zones map[string]string // zone of an address
-	cut   string
-	conns map[*crossing]bool
-	// delays gives the one-way delay between two zones.
+	mu             sync.Mutex
+	zoneByAddress  map[string]string
+	isolatedZone   string // empty if no zone is isolated
+	crossZoneConns map[*crossZoneConn]bool
+	// delays returns the one-way delay between two zones.
 	delays func(from, to string) time.Duration
 }
 
-// crossing is a connection between two zones.
-type crossing struct {
+// crossZoneConn is a connection between two zones.
+type crossZoneConn struct {
 	net.Conn
 	network  *network
 	from, to string
 }
 
 func newNetwork(delays func(from, to string) time.Duration) *network {
-	return &network{zones: map[string]string{}, conns: map[*crossing]bool{}, delays: delays}
+	return &network{zoneByAddress: map[string]string{}, crossZoneConns: map[*crossZoneConn]bool{}, delays: delays}
 }
 
-// place tells the zone of some addresses.
-func (n *network) place(zone string, addresses ...string) {
+// setZone registers the zone of the addresses.
+func (n *network) setZone(zone string, addresses ...string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, a := range addresses {
-		n.zones[a] = zone
+		n.zoneByAddress[a] = zone
 	}
 }
 
-// from returns the dial function of a zone's entry VMs.
-func (n *network) from(zone string) dialFunc {
-	return n.overLinks(n.cuttable(zone), zone, 0)
+// dialFrom returns the dial function of the entry VMs of a zone.
+func (n *network) dialFrom(zone string) dialFunc {
+	return n.withZoneDelay(n.isolatable(zone), zone, 0)
 }
 
-// cuttable returns a dial function whose connections a cut breaks.
-func (n *network) cuttable(zone string) dialFunc {
+// isolatable returns a dial function whose connections are closed when isolate
+// separates their two ends.
+func (n *network) isolatable(zone string) dialFunc {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		to := n.zoneOf(address)
 		if n.blocked(zone, to) {
-			return nil, n.swallow(ctx, address)
+			return nil, n.dropDial(ctx, address)
 		}
 		conn, err := dialer.DialContext(ctx, network, address)
 		if err != nil || to == zone {
 			return conn, err
 		}
-		return n.track(&crossing{Conn: conn, network: n, from: zone, to: to})
+		return n.track(&crossZoneConn{Conn: conn, network: n, from: zone, to: to})
 	}
 }
 
 func (n *network) zoneOf(address string) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.zones[address]
+	return n.zoneByAddress[address]
 }
 
 func (n *network) blocked(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.crosses(from, to)
+	return n.separated(from, to)
 }
 
-func (n *network) crosses(from, to string) bool {
-	return n.cut != "" && from != to && (from == n.cut || to == n.cut)
+func (n *network) separated(from, to string) bool {
+	return n.isolatedZone != "" && from != to && (from == n.isolatedZone || to == n.isolatedZone)
 }
 
-func (n *network) isCut(zone string) bool {
+func (n *network) isIsolated(zone string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cut == zone
+	return n.isolatedZone == zone
 }
 
-// swallow waits as a dial does whose packets are lost.
-func (n *network) swallow(ctx context.Context, address string) error {
+// dropDial waits until the dial timeout or the end of ctx, like a dial whose
+// packets are lost, and returns a timeout error.
+func (n *network) dropDial(ctx context.Context, address string) error {
 	timer := time.NewTimer(dialTimeout)
 	defer timer.Stop()
 	select {
@@ -100,43 +102,43 @@
 
 type stringAddr string
 
-// Network returns the name of the network.
+// Network implements net.Addr.
 func (stringAddr) Network() string { return "tcp" }
 
-// String returns the address.
+// String implements net.Addr.
 func (a stringAddr) String() string { return string(a) }
 
-func (n *network) track(c *crossing) (net.Conn, error) {
+func (n *network) track(c *crossZoneConn) (net.Conn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.conns[c] = true
+	n.crossZoneConns[c] = true
 	return c, nil
 }
 
-// Close closes the connection.
-func (c *crossing) Close() error {
+// Close closes the connection and removes it from the network's list.
+func (c *crossZoneConn) Close() error {
 	c.network.mu.Lock()
-	delete(c.network.conns, c)
+	delete(c.network.crossZoneConns, c)
 	c.network.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// cutOff cuts a zone off; an empty zone heals the cut.
-func (n *network) cutOff(zone string) {
-	for _, c := range n.begin(zone) {
+// isolate isolates a zone from the others. An empty zone ends the isolation.
+func (n *network) isolate(zone string) {
+	for _, c := range n.setIsolatedZone(zone) {
 		_ = c.Close()
 	}
 }
 
-func (n *network) begin(zone string) []*crossing {
+func (n *network) setIsolatedZone(zone string) []*crossZoneConn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut = zone
-	var broken []*crossing
-	for c := range n.conns {
-		if n.crosses(c.from, c.to) {
-			broken = append(broken, c)
+	n.isolatedZone = zone
+	var separatedConns []*crossZoneConn
+	for c := range n.crossZoneConns {
+		if n.separated(c.from, c.to) {
+			separatedConns = append(separatedConns, c)
 		}
 	}
-	return broken
+	return separatedConns
 }
--- a/cmd/internal/quickstart/operator.go
+++ b/cmd/internal/quickstart/operator.go
@@ -14,7 +14,7 @@
 	"heatherlock/standin/witness"
 )
 
-// What the operator of a run declares.
+// Objects that the operator of a run declares, and how their state is polled.
 const (
 	shiftName = "quickstart-shift"
 	capName   = "quickstart-cap"
@@ -23,31 +23,33 @@
 	shiftPercent     = 50
 	shiftStepPercent = 50
 	shiftStepSeconds = 1
-	// capWindow is short, because permits new in a seat rest for some five
-	// windows, and a short run has to see them used.
+	// capWindow is short because permits that are new in a seat stay unused for
+	// about five windows, and a short run has to see them used.
 	capWindow = 400 * time.Millisecond
-	// capShare is the cap as a share of the work that the whole shift would
-	// bring, so that the cap binds.
+	// capShare is the cap as a share of the requests that the complete shift would
+	// move. It is below 1 so that the cap limits the shift.
 	capShare = 0.6
 
-	// confirmEvery is the pause between two looks at what is in force.
-	confirmEvery   = 100 * time.Millisecond
-	confirmTimeout = 2 * time.Second
+	// pollInterval is the interval at which entry VMs are polled for the
+	// configuration version in force.
+	pollInterval  = 100 * time.Millisecond
+	statusTimeout = 2 * time.Second
 )
 
-// operator declares objects through the operators' API and watches until they
-// are in force.
+// operator declares objects through the operators' API and polls entry VMs until
+// the objects are in force.
 type operator struct {
-	system *system
-	client *oas.Client
-	mu     sync.Mutex // guards caps
-	caps   []witness.CapLimit
-	moved  int
-	target string
+	system        *system
+	client        *oas.Client
+	mu            sync.Mutex // guards caps
+	caps          []witness.CapLimit
+	movedPercent  int
+	stoppedTarget string
 }
 
 func newOperator(s *system) (*operator, error) {
-	// Faults strike the first zone; the operator talks to the last one.
+	// Faults are injected in the first zone, so the operator uses an entry VM of
+	// the last one.
 	all := s.all()
 	client, err := s.operatorClient(all[len(all)-1])
 	if err != nil {
@@ -60,21 +62,21 @@
 	return oas.NewClient("http://" + v.addresses.Operator)
 }
 
-// create declares one object and tells the witness that it was accepted.
+// create declares one object and reports its acceptance to the witness.
 func (o *operator) create(ctx context.Context, object oas.Object) error {
 	kind, name := deploy.Identity(object)
 	stored, err := o.client.CreateObject(ctx, object, oas.CreateObjectParams{Kind: oas.Kind(kind)})
 	if err != nil {
-		return describe(err, kind, name)
+		return describeError(err, kind, name)
 	}
 	version := versionOf(stored)
-	o.system.witness.ConfigAccepted(version, time.Now(), o.system.lives())
+	o.system.witness.ConfigAccepted(version, time.Now(), o.system.incarnationNames())
 	return nil
 }
 
-// describe turns the operators' API's typed refusal into an error with its
-// remedy.
-func describe(err error, kind, name string) error {
+// describeError converts a typed refusal of the operators' API to an error that
+// contains its remedy.
+func describeError(err error, kind, name string) error {
 	var refused *oas.ProblemStatusCode
 	if !errors.As(err, &refused) {
 		return errors.Wrapf(err, "quickstart: declare %s %s", kind, name)
@@ -119,38 +121,39 @@
 	return nil
 }
 
-// waitInForce waits until every entry VM has what was accepted in force.
+// waitInForce waits until every accepted object is in force on every entry VM.
 func (o *operator) waitInForce(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for o.system.witness.ConfigPending() {
-		o.look(ctx)
+		o.pollVersions(ctx)
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("quickstart: the deployment was not in force on every entry VM within %s; see their logs (--log FILE)", readyTimeout)
-		case <-time.After(confirmEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 	return nil
 }
 
-// watch looks at what is in force until ctx ends.
+// watch polls the configuration versions in force until ctx ends.
 func (o *operator) watch(ctx context.Context) {
 	for ctx.Err() == nil {
-		o.look(ctx)
+		o.pollVersions(ctx)
 		select {
 		case <-ctx.Done():
-		case <-time.After(confirmEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// look asks each entry VM for the version it has in force.
-func (o *operator) look(ctx context.Context) {
+// pollVersions requests the configuration version in force from each entry VM and
+// reports it to the witness.
+func (o *operator) pollVersions(ctx context.Context) {
 	for _, v := range o.system.all() {
 		status, err := o.status(ctx, v)
 		if err == nil {
-			o.system.witness.ConfigSeen(v.lifeName(), status.ConfigVersion, time.Now())
+			o.system.witness.ConfigSeen(v.incarnationName(), status.ConfigVersion, time.Now())
 		}
 	}
 }
@@ -160,12 +163,12 @@
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	return client.GetStatus(ctx)
 }
 
-// shift declares a cap and the shift that it bounds.
+// shift declares a shift and the cap that limits it.
 func (o *operator) shift(ctx context.Context, load float64) error {
 	d := o.system.deployment
 	service := d.Services[0]
@@ -183,8 +186,8 @@
 		Kind: string(oas.KindCap), Metadata: oas.Metadata{Name: capName},
 		Spec: oas.CapSpec{Shift: shiftName, Requests: limit.Requests, WindowMs: oas.NewOptInt64(capWindow.Milliseconds())},
 	}
-	// A cap names its shift, so the shift comes first and moves nothing until
-	// its bound is there.
+	// A cap refers to its shift, so the shift is created first. It moves nothing
+	// until the cap exists.
 	shift.Spec.Percent = 0
 	if err := o.create(ctx, oas.NewShiftObject(shift)); err != nil {
 		return err
@@ -195,10 +198,10 @@
 	o.mu.Lock()
 	o.caps = append(o.caps, limit)
 	o.mu.Unlock()
-	return o.raise(ctx)
+	return o.raiseShift(ctx)
 }
 
-// capUsed reports whether the cap has counted work.
+// capUsed reports whether any request has been counted against the cap.
 func (o *operator) capUsed() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -210,56 +213,58 @@
 	return false
 }
 
-// retune makes a change in the middle of a run, so that faults meet one: it
-// adds one to the retries that the first service allows. While the platform is
-// out it must be refused, with when to come back.
-func (o *operator) retune(ctx context.Context) error {
+// changeRetryPercent changes an object in the middle of a run, so that a
+// configuration change happens during the injected faults: it adds one to the
+// retry percentage of the first service. While the platform is down, the change
+// must be refused with a time to retry after.
+func (o *operator) changeRetryPercent(ctx context.Context) error {
 	name := oas.ObjectName(o.system.deployment.Services[0].Name)
 	stored, err := o.client.GetObject(ctx, oas.GetObjectParams{Kind: oas.KindService, Name: name})
 	if err != nil {
-		return describe(err, string(oas.KindService), string(name))
+		return describeError(err, string(oas.KindService), string(name))
 	}
 	stored.Service.Spec.RetryPercent = oas.NewOptInt(stored.Service.Spec.RetryPercent.Value + 1)
 	updated, err := o.client.UpdateObject(ctx, stored, oas.UpdateObjectParams{Kind: oas.KindService, Name: name})
 	if err != nil {
-		return describe(err, string(oas.KindService), string(name))
+		return describeError(err, string(oas.KindService), string(name))
 	}
-	o.system.witness.ConfigAccepted(versionOf(updated), time.Now(), o.system.reachable())
+	o.system.witness.ConfigAccepted(versionOf(updated), time.Now(), o.system.reachableNames())
 	return nil
 }
 
-// raise sets the percent of the shift that is to be moved.
-func (o *operator) raise(ctx context.Context) error {
+// raiseShift sets the percentage of the shift to shiftPercent.
+func (o *operator) raiseShift(ctx context.Context) error {
 	stored, err := o.client.GetObject(ctx, oas.GetObjectParams{Kind: oas.KindShift, Name: shiftName})
 	if err != nil {
-		return describe(err, string(oas.KindShift), shiftName)
+		return describeError(err, string(oas.KindShift), shiftName)
 	}
 	stored.Shift.Spec.Percent = shiftPercent
 	updated, err := o.client.UpdateObject(ctx, stored, oas.UpdateObjectParams{Kind: oas.KindShift, Name: shiftName})
 	if err != nil {
-		return describe(err, string(oas.KindShift), shiftName)
+		return describeError(err, string(oas.KindShift), shiftName)
 	}
-	o.system.witness.ConfigAccepted(versionOf(updated), time.Now(), o.system.lives())
+	o.system.witness.ConfigAccepted(versionOf(updated), time.Now(), o.system.incarnationNames())
 	return nil
 }
 
-// plannedStop announces the stop of the target that runs most uploads in the
-// region that the shift leaves.
+// plannedStop declares the planned stop of the target that runs the most uploads in
+// the region that the shift moves callers out of.
 func (o *operator) plannedStop(ctx context.Context) error {
-	o.target = o.busiestUploadTarget()
+	o.stoppedTarget = o.busiestUploadTarget()
 	stop := oas.PlannedStop{
 		Kind: string(oas.KindPlannedStop), Metadata: oas.Metadata{Name: stopName},
-		Spec: oas.PlannedStopSpec{What: oas.PlannedStopSpecWhatTarget, Name: o.target},
+		Spec: oas.PlannedStopSpec{What: oas.PlannedStopSpecWhatTarget, Name: o.stoppedTarget},
 	}
 	if err := o.create(ctx, oas.NewPlannedStopObject(stop)); err != nil {
 		return err
 	}
-	o.system.witness.Stopped(witness.Stop{Target: o.target, Accepted: time.Now()})
+	o.system.witness.Stopped(witness.Stop{Target: o.stoppedTarget, Accepted: time.Now()})
 	return nil
 }
 
-// uploading reports whether a target that may be stopped runs an upload.
-func (o *operator) uploading() bool {
+// runsUpload reports whether the target that plannedStop would choose runs an
+// upload.
+func (o *operator) runsUpload() bool {
 	return o.system.witness.Running()[o.busiestUploadTarget()] > 0
 }
 
@@ -269,7 +274,7 @@
 	best, most := "", -1
 	for _, t := range d.Targets() {
 		s, _ := d.Service(t.Service)
-		if s.Work != deploy.WorkUpload || !contains(joined(d.PlacesOf(d.ShiftFrom)), t.Place) {
+		if s.Work != deploy.WorkUpload || !listContains(commaSeparated(d.PlacesOf(d.ShiftFrom)), t.Place) {
 			continue
 		}
 		if running[t.Name] > most {
@@ -279,13 +284,14 @@
 	return best
 }
 
-// progress reads how far the shift has moved.
-func (o *operator) progress(ctx context.Context) int {
-	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
+// shiftProgress returns the percentage that the shift has moved so far. If it
+// cannot be read, the last known value is returned.
+func (o *operator) shiftProgress(ctx context.Context) int {
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	object, err := o.client.GetObject(ctx, oas.GetObjectParams{Kind: oas.KindShift, Name: shiftName})
 	if err == nil && object.Type == oas.ShiftObject {
-		o.moved = max(o.moved, object.Shift.Status.Value.MovedPercent.Value)
+		o.movedPercent = max(o.movedPercent, object.Shift.Status.Value.MovedPercent.Value)
 	}
-	return o.moved
+	return o.movedPercent
 }
--- a/cmd/internal/quickstart/options.go
+++ b/cmd/internal/quickstart/options.go
@@ -9,48 +9,51 @@
 	"heatherlock/standin/deploy"
 )
 
-// Bounds of the options.
+// Limits and defaults of the options.
 const (
 	minFor     = 2 * time.Second
 	maxFor     = 10 * time.Minute
 	maxLoad    = 3
 	maxStretch = 20
 	defaultFor = 10 * time.Second
-	// defaultRunOver is about twice what the first shifted work takes.
+	// defaultRunOver is about twice the time until the first shifted request.
 	defaultRunOver = 5 * time.Second
-	// defaultLoad is the share of the targets' slots that callers keep busy.
+	// defaultLoad is a share of all target slots.
 	defaultLoad = 0.15
 )
 
-// Options are the choices of a run.
+// Options are the options of a run.
 type Options struct {
+	// For is how long callers send requests.
 	For time.Duration
-	// RunOver is how much longer a run may take until the cap has counted
-	// something.
+	// RunOver is how much longer than For a run may take if no request has been
+	// counted against the cap yet.
 	RunOver    time.Duration
 	Seed       uint64
 	JSONFile   string
 	Keep       bool
 	Deployment string
-	// Load is the share of all target slots that the callers' work needs.
+	// Load is the share of all target slots that the callers' requests occupy.
 	Load   float64
 	Faults []Fault
-	// Stretch multiplies the stand-ins' service times, so that the same share
-	// of the slots needs fewer requests of this machine.
+	// Stretch multiplies the service times of the stand-ins, so that the machine
+	// has to process fewer requests for the same slot utilization.
 	Stretch int
-	// LogFile takes the entry VMs' logs; empty drops them.
+	// LogFile is the file for the logs of the entry VMs. If it is empty, the logs
+	// are discarded.
 	LogFile string
-	// Processes is a directory for the settings of entry VMs that somebody
-	// else runs as processes; empty runs them in this process.
+	// Processes is a directory to which the settings of the entry VMs are written
+	// so that they can be started as separate processes. If it is empty, they run
+	// in this process.
 	Processes string
 }
 
-// Defaults returns the options of a run without flags.
+// Defaults returns the default options.
 func Defaults() Options {
 	return Options{For: defaultFor, RunOver: defaultRunOver, Seed: 1, Deployment: deploy.ChileName, Load: defaultLoad, Stretch: 1}
 }
 
-// Check reports the first option out of bounds, with the remedy.
+// Check returns an error with a remedy for the first invalid option.
 func (o Options) Check() error {
 	if o.For < minFor || o.For > maxFor {
 		return fmt.Errorf("quickstart: --for %s is out of bounds; give %s to %s", o.For, minFor, maxFor)
--- a/cmd/internal/quickstart/processes.go
+++ b/cmd/internal/quickstart/processes.go
@@ -15,33 +15,34 @@
 	"heatherlock/standin/deploy"
 )
 
-// Endings of the files in the directory of --processes.
+// Suffixes of the files in the directory given with --processes.
 const (
 	settingsSuffix = ".json"
-	// downSuffix marks an entry VM that whoever runs the processes is about to
-	// kill. The file goes away once the process is up again.
+	// downSuffix is the suffix of a marker file. Whoever runs the processes creates
+	// it before killing the entry VM and removes it once the process is up again.
 	downSuffix = ".down"
 )
 
 const (
-	// processesTimeout bounds the wait for all processes to be started.
+	// processesTimeout limits the wait for all processes to be started.
 	processesTimeout = 60 * time.Second
-	markPoll         = 20 * time.Millisecond
-	// killWithin is how long after its mark a process is killed at the latest.
-	killWithin = time.Second
+	// markerPollInterval is the interval of checks for marker files and process health.
+	markerPollInterval = 20 * time.Millisecond
+	// maxKillDelay is the maximum time between the creation of a marker file and the
+	// kill of the process.
+	maxKillDelay = time.Second
 )
 
-// processes stands for entry VMs that run as processes of their own, as on
-// their VMs. Nothing here starts them: it writes their settings to a directory
-// and waits. So a run can be watched while somebody kills, freezes and
-// restarts real daemons.
+// processes manages entry VMs that run as separate daemon processes. It does not
+// start them: it writes their settings to a directory and waits until they are up,
+// so that whoever runs them can kill, freeze and restart real daemons during a run.
 type processes struct {
 	dir      string
 	nextPort int
 }
 
-// expect writes the settings of an entry VM and takes it for started.
-func (p *processes) expect(s *system, e deploy.EntryVM, life int) (*entryVM, error) {
+// prepare writes the settings of an entry VM and registers it as started.
+func (p *processes) prepare(s *system, e deploy.EntryVM, incarnation int) (*entryVM, error) {
 	addresses, err := p.freeAddresses()
 	if err != nil {
 		return nil, err
@@ -58,23 +59,24 @@
 	if err := os.WriteFile(p.path(e.Name, settingsSuffix), text, 0o600); err != nil {
 		return nil, fmt.Errorf("quickstart: --processes: %w; name a directory that can be written", err)
 	}
-	v := &entryVM{EntryVM: e, life: life, addresses: addresses, end: func() {}}
-	s.add(v)
+	v := &entryVM{EntryVM: e, incarnation: incarnation, addresses: addresses, end: func() {}}
+	s.register(v)
 	return v, nil
 }
 
 func (p *processes) path(vm, suffix string) string { return filepath.Join(p.dir, vm+suffix) }
 
-// Ports for processes lie below those that the system gives to outgoing
-// connections, so that none is taken between the search and the daemon's start.
+// The ports of the processes are below the ephemeral port range of the operating
+// system, so that no outgoing connection takes one between the search for a free
+// port and the start of the daemon.
 const (
 	firstPort = 20000
 	lastPort  = 32000
-	// portStride keeps two runs at once apart.
+	// portStride separates the ports of concurrent runs.
 	portStride = 40
 )
 
-// freeAddresses finds three addresses that are free now.
+// freeAddresses returns three loopback addresses that are currently free.
 func (p *processes) freeAddresses() (node.Addresses, error) {
 	var found [3]string
 	for i := range found {
@@ -106,7 +108,7 @@
 	return "", errors.New("quickstart: no free port for the entry VMs' processes; end what listens on them")
 }
 
-// wait waits until every process answers.
+// wait waits until every process is healthy.
 func (p *processes) wait(s *system) error {
 	ctx, cancel := context.WithTimeout(context.Background(), processesTimeout)
 	defer cancel()
@@ -115,39 +117,41 @@
 			if ctx.Err() != nil {
 				return fmt.Errorf("quickstart: entry VM %s does not answer; run heatherlockd --settings %s", v.Name, p.path(v.Name, settingsSuffix))
 			}
-			time.Sleep(markPoll)
+			time.Sleep(markerPollInterval)
 		}
 	}
 	return nil
 }
 
-func healthy(ctx context.Context, operator string) bool { return says(ctx, operator, "/healthz") }
+func healthy(ctx context.Context, operator string) bool {
+	return probeSucceeds(ctx, operator, "/healthz")
+}
 
-// follow notes processes that are killed and started again, until ctx ends.
-func (p *processes) follow(ctx context.Context, s *system) {
+// followMarkers records which processes are killed and restarted, until ctx ends.
+func (p *processes) followMarkers(ctx context.Context, s *system) {
 	down := make(map[string]*entryVM)
 	for ctx.Err() == nil {
 		for _, e := range s.deployment.EntryVMs() {
-			p.followOne(ctx, s, e.Name, down)
+			p.checkMarker(ctx, s, e.Name, down)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(markPoll):
+		case <-time.After(markerPollInterval):
 		}
 	}
 }
 
-func (p *processes) followOne(ctx context.Context, s *system, name string, down map[string]*entryVM) {
+func (p *processes) checkMarker(ctx context.Context, s *system, name string, down map[string]*entryVM) {
 	_, err := os.Stat(p.path(name, downSuffix))
 	marked := err == nil
-	lost := down[name]
+	killed := down[name]
 	switch {
-	case marked && lost == nil:
-		if v, ok := s.lose(name, time.Now()); ok {
+	case marked && killed == nil:
+		if v, ok := s.markKilled(name, time.Now()); ok {
 			down[name] = v
 		}
-	case !marked && lost != nil && healthy(ctx, lost.addresses.Operator):
-		s.add(&entryVM{EntryVM: lost.EntryVM, life: lost.life + 1, addresses: lost.addresses, end: func() {}})
+	case !marked && killed != nil && healthy(ctx, killed.addresses.Operator):
+		s.register(&entryVM{EntryVM: killed.EntryVM, incarnation: killed.incarnation + 1, addresses: killed.addresses, end: func() {}})
 		delete(down, name)
 	}
 }
--- a/cmd/internal/quickstart/progress.go
+++ b/cmd/internal/quickstart/progress.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// progressEvery is the pause between two lines of progress.
-const progressEvery = 250 * time.Millisecond
+// progressInterval is the interval between updates of the progress line.
+const progressInterval = 250 * time.Millisecond
 
-func joined(names []string) string { return strings.Join(names, ",") }
+func commaSeparated(names []string) string { return strings.Join(names, ",") }
 
-// showProgress rewrites one line on a terminal until ctx ends.
-func (r *running) showProgress(ctx context.Context, begun time.Time) {
+// showProgress updates a progress line on a terminal until ctx ends.
+func (r *runState) showProgress(ctx context.Context, started time.Time) {
 	if !r.screen.Live {
 		return
 	}
 	for ctx.Err() == nil {
 		c := r.traffic.Counts()
 		fmt.Fprintf(r.screen.Out, "\r\x1b[K%5.1fs  %d requests  %d answered  %d refused  %d under way  shift %d%% moved",
-			time.Since(begun).Seconds(), c.Requests, c.Answered, c.Refused, r.traffic.Carried(), r.operator.progress(ctx))
+			time.Since(started).Seconds(), c.Requests, c.Answered, c.Refused, r.traffic.Carried(), r.operator.shiftProgress(ctx))
 		select {
 		case <-ctx.Done():
-		case <-time.After(progressEvery):
+		case <-time.After(progressInterval):
 		}
 	}
 	fmt.Fprint(r.screen.Out, "\r\x1b[K")
 }
 
-// keep leaves the system running and says what can be tried on it.
-func (r *running) keep(ctx context.Context) {
+// keepRunning prints commands to try on the running system and blocks until ctx ends.
+func (r *runState) keepRunning(ctx context.Context) {
 	all := r.system.all()
 	v := all[0]
 	fmt.Fprintf(r.screen.Out, `
--- a/cmd/internal/quickstart/report.go
+++ b/cmd/internal/quickstart/report.go
@@ -13,7 +13,7 @@
 	"heatherlock/standin/witness"
 )
 
-// Report is the outcome of a run. Its JSON names are the documented ones.
+// Report is the result of a run. Its JSON names are documented for users.
 type Report struct {
 	Deployment  string   `json:"deployment"`
 	Seed        uint64   `json:"seed"`
@@ -37,11 +37,13 @@
 	Cap         int      `json:"cap"`
 	CapPeak     int      `json:"cap_peak"`
 	CapAdmitted int      `json:"cap_admitted"`
-	// OverloadPeak is the most requests over a place's slots at once.
+	// OverloadPeak is the maximum number of concurrent requests above the slots of
+	// a place.
 	OverloadPeak int `json:"overload_peak"`
-	// TargetOverPeak is the most requests over one target's slots at once.
+	// TargetOverPeak is the maximum number of concurrent requests above the slots
+	// of one target.
 	TargetOverPeak int `json:"target_over_peak"`
-	// TargetRefusals counts requests that targets shed.
+	// TargetRefusals counts the requests that targets refused.
 	TargetRefusals int                        `json:"target_refusals"`
 	TargetsLost    int                        `json:"targets_lost"`
 	Uploads        int                        `json:"uploads"`
@@ -57,20 +59,20 @@
 	services       []deploy.Service
 }
 
-// PromiseResult is one promise with its judgement in words.
+// PromiseResult is the finding on one promise and its result as a word.
 type PromiseResult struct {
 	witness.Finding
 	Result string `json:"result"`
 }
 
-// Results of a promise.
+// Values of PromiseResult.Result.
 const (
 	resultHeld         = "held"
 	resultBroken       = "BROKEN"
 	resultNotExercised = "not exercised"
 )
 
-func (r *running) report(took time.Duration) *Report {
+func (r *runState) report(took time.Duration) *Report {
 	s := r.system
 	v := s.witness.Judge(time.Now(), witness.Planned{
 		Caps: r.operator.caps, Crashes: slices.Contains(r.options.Faults, FaultCrashRequest),
@@ -105,7 +107,7 @@
 	return resultHeld
 }
 
-// WriteJSON writes the report as one object.
+// WriteJSON writes the report to a file as one JSON object.
 func (r *Report) WriteJSON(path string) error {
 	return command.WriteReport(path, r)
 }
@@ -139,7 +141,8 @@
 	fmt.Fprintf(w, "\ndrain time %.2f s; configuration in force everywhere after at most %.2f s\n", r.DrainTime, r.ConfigSlowest)
 }
 
-// leastFree is the lowest headroom of a service at any place, in percent.
+// leastFree returns the lowest headroom of a service at any place, in percent of
+// its slots there.
 func (r *Report) leastFree(service string) float64 {
 	least := 100.0
 	for _, u := range r.Headroom {
--- a/cmd/internal/quickstart/report_test.go
+++ b/cmd/internal/quickstart/report_test.go
@@ -15,16 +15,16 @@
 	"heatherlock/standin/witness"
 )
 
-// idle is a run in which nothing has happened yet.
-func idle() *running {
+// idleRun returns a run in which nothing has happened yet.
+func idleRun() *runState {
 	s := &system{deployment: deploy.Chile(), witness: witness.New(), targets: &deploy.Running{}}
-	return &running{options: Defaults(), system: s, operator: &operator{system: s}, traffic: traffic.New(nil, 1, "")}
+	return &runState{options: Defaults(), system: s, operator: &operator{system: s}, traffic: traffic.New(nil, 1, "")}
 }
 
-// Symptom: a run passes in which a promise was never put to the test. Cause:
-// nothing seen counted as held.
-func TestNotExercisedIsNoPass(t *testing.T) {
-	report := idle().report(time.Second)
+// Guards against a run that passes although a promise was never exercised: zero
+// observations must not count as held.
+func TestUnexercisedPromiseFailsTheRun(t *testing.T) {
+	report := idleRun().report(time.Second)
 	assert.Check(t, !report.Held)
 	for _, p := range report.Promises {
 		assert.Equal(t, p.Result, resultNotExercised)
@@ -34,10 +34,10 @@
 	assert.Check(t, bytes.Contains(text.Bytes(), []byte("0 promises broken, 10 not exercised, 0 steps not done")))
 }
 
-// Symptom: a run exits 0 although a purchase ran twice. Cause: a finding that
+// Guards against exit code 0 after a purchase that ran twice, because the finding
 // does not reach the report.
-func TestBreachReachesTheReport(t *testing.T) {
-	r := idle()
+func TestBrokenPromiseIsReported(t *testing.T) {
+	r := idleRun()
 	w := r.system.witness
 	w.Declare("tickets-1", "norte-a", "tickets", 3)
 	for range 2 {
@@ -61,9 +61,9 @@
 	assert.Equal(t, keys["purchases_run_twice"], 1.0)
 }
 
-// Symptom: a cut upload passes because some fault was planted some time. Cause:
-// an excuse that reaches further than the moment of the fault and its path.
-func TestExcuses(t *testing.T) {
+// Guards against an interrupted upload that is excused by an unrelated fault: a
+// fault excuses only tries that ran while it happened and whose path it affected.
+func TestFaultExcusesOnlyAffectedTries(t *testing.T) {
 	at := time.Now()
 	after := func(s float64) time.Time { return at.Add(time.Duration(s * float64(time.Second))) }
 	s := &system{kills: []kill{{vm: "a-1", at: at, until: at}}}
@@ -71,7 +71,7 @@
 	assert.Check(t, s.excused("b-1", "b-1, a-1", after(-1), after(1)))
 	assert.Check(t, !s.excused("b-1", "b-1", after(-1), after(1)))
 	assert.Check(t, !s.excused("a-1", "", after(1), after(2)))
-	s.noteCut(after(10))
+	s.recordIsolation(after(10))
 	assert.Check(t, s.excused("b-1", "", after(9), after(10.5)))
 	assert.Check(t, !s.excused("b-1", "", after(10.1), after(10.5)), "began after the cut")
 	assert.Check(t, !s.excused("b-1", "", after(9), after(12)), "ended long after the cut")
@@ -87,9 +87,9 @@
 		"no fault \"x\"":         func(o *Options) { o.Faults = []Fault{"x"} },
 		"no deployment \"peru\"": func(o *Options) { o.Deployment = "peru" },
 	}
-	for want, spoil := range cases {
+	for want, modify := range cases {
 		o := Defaults()
-		spoil(&o)
+		modify(&o)
 		assert.ErrorContains(t, o.Check(), want)
 	}
 	assert.NilError(t, Defaults().Check())
--- a/cmd/internal/quickstart/run.go
+++ b/cmd/internal/quickstart/run.go
@@ -18,33 +18,35 @@
 	"heatherlock/standin/deploy"
 )
 
-// The moments of a run, as shares of its length. The planned stop comes early,
-// so that the time after it is long enough to show late work.
+// Times of the steps of a run, as shares of its length. The planned stop comes
+// early, so that enough time is left to detect requests that reach the target
+// after it has drained.
 const (
-	shiftAt   = 0.05
-	stopAt    = 0.2
-	faultAt   = 0.35
-	retuneAt  = 0.5
-	faultEnds = 0.7
-	rushAt    = 0.8
-	// uploads are sent once more, so that the stopped target's place has work
-	// that must not go there.
-	lateAt = 0.93
+	shiftAt     = 0.05
+	stopAt      = 0.2
+	faultAt     = 0.35
+	changeAt    = 0.5
+	faultEndsAt = 0.7
+	burstAt     = 0.8
+	// lateUploadsAt is when uploads are sent again, so that the place of the stopped target
+	// has requests that must not reach that target.
+	lateUploadsAt = 0.93
 )
 
-// stepTimeout is how long an operator waits for an answer to a change before it counts as
-// not done. An answer that takes longer leaves them not knowing what holds.
+// stepTimeout limits the wait for the response to an operator's change, after which
+// the step counts as not done. After a longer wait, operators do not know which
+// configuration is in force.
 const stepTimeout = 10 * time.Second
 
-// Screen is where a run shows itself.
+// Screen is where a run prints its progress and its report.
 type Screen struct {
 	Out io.Writer
-	// Live is set when Out is a terminal.
+	// Live is true if Out is a terminal.
 	Live bool
 }
 
-// Run runs the deployment and judges it. The report is complete when the
-// error is nil, whether or not the promises held.
+// Run runs the deployment and checks its promises. If the error is nil, the report
+// is complete, whether or not the promises held.
 func Run(ctx context.Context, o Options, screen Screen) (*Report, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -63,7 +65,7 @@
 		return nil, err
 	}
 	defer s.close()
-	r := &running{options: o, system: s, screen: screen}
+	r := &runState{options: o, system: s, screen: screen}
 	report, err := r.run(ctx)
 	if err != nil {
 		return nil, err
@@ -75,7 +77,7 @@
 		}
 	}
 	if o.Keep {
-		r.keep(ctx)
+		r.keepRunning(ctx)
 	}
 	return report, nil
 }
@@ -91,21 +93,21 @@
 	return telemetry.NewLogger(file, "debug"), func() { _ = file.Close() }, nil
 }
 
-// running is a run under way.
-type running struct {
+// runState is the state of a run in progress.
+type runState struct {
 	options  Options
 	system   *system
 	screen   Screen
 	operator *operator
 	callers  map[string][]*caller.Caller
 	traffic  *traffic.Traffic
-	// notDone lists steps of the plan that went otherwise than they must, with
-	// why.
+	// notDone lists the steps of the plan that did not have the required outcome,
+	// each with the error.
 	mu      sync.Mutex
 	notDone []string
 }
 
-func (r *running) run(ctx context.Context) (*Report, error) {
+func (r *runState) run(ctx context.Context) (*Report, error) {
 	if err := r.system.startAll(); err != nil {
 		return nil, err
 	}
@@ -114,12 +116,12 @@
 	}
 	r.startCallers()
 	defer r.closeCallers()
-	begun := time.Now()
-	r.work(ctx, begun)
-	return r.report(time.Since(begun)), nil
+	started := time.Now()
+	r.execute(ctx, started)
+	return r.report(time.Since(started)), nil
 }
 
-func (r *running) declare(ctx context.Context) (err error) {
+func (r *runState) declare(ctx context.Context) (err error) {
 	if r.operator, err = newOperator(r.system); err != nil {
 		return err
 	}
@@ -132,108 +134,109 @@
 	return r.system.waitReady(ctx)
 }
 
-// work sends the callers' work and carries out the plan beside it, then waits
-// for what is under way.
-func (r *running) work(ctx context.Context, begun time.Time) {
+// execute sends the callers' requests and concurrently executes the plan, then waits
+// for the requests in flight.
+func (r *runState) execute(ctx context.Context, started time.Time) {
 	load, end := context.WithCancel(ctx)
 	defer end()
 	watch, endWatch := context.WithCancel(ctx)
 	defer endWatch()
-	var beside sync.WaitGroup
-	beside.Go(func() {
+	var background sync.WaitGroup
+	background.Go(func() {
 		defer end()
-		r.untilExercised(load, begun)
+		r.waitUntilCapUsed(load, started)
 	})
-	beside.Go(func() { r.operator.watch(watch) })
-	beside.Go(func() { r.showProgress(watch, begun) })
+	background.Go(func() { r.operator.watch(watch) })
+	background.Go(func() { r.showProgress(watch, started) })
 	var plan sync.WaitGroup
-	plan.Go(func() { r.plan(ctx, load, begun) })
+	plan.Go(func() { r.plan(ctx, load, started) })
 	if r.system.processes != nil {
-		beside.Go(func() { r.system.processes.follow(watch, r.system) })
+		background.Go(func() { r.system.processes.followMarkers(watch, r.system) })
 	}
 	r.traffic.Run(load)
 	r.traffic.Wait()
 	plan.Wait()
 	endWatch()
-	beside.Wait()
+	background.Wait()
 }
 
-// untilExercised returns when the run's time is up and the cap has counted
-// something, or the time to run over has passed too. Callers keep look-up
-// answers and permits new in a seat rest, so the shift's first work may come
-// late in a short run.
-func (r *running) untilExercised(ctx context.Context, begun time.Time) {
-	if !traffic.SleepUntil(ctx, begun.Add(r.options.For)) {
+// waitUntilCapUsed returns when the time of the run is over and a request has been
+// counted against the cap, or when Options.RunOver has passed as well. In a short
+// run the first shifted requests may come late, because callers cache look-up
+// answers and permits that are new in a seat stay unused at first.
+func (r *runState) waitUntilCapUsed(ctx context.Context, started time.Time) {
+	if !traffic.SleepUntil(ctx, started.Add(r.options.For)) {
 		return
 	}
-	last := begun.Add(r.options.For + r.options.RunOver)
+	last := started.Add(r.options.For + r.options.RunOver)
 	for time.Now().Before(last) && !r.operator.capUsed() {
-		if !traffic.SleepUntil(ctx, time.Now().Add(confirmEvery)) {
+		if !traffic.SleepUntil(ctx, time.Now().Add(pollInterval)) {
 			return
 		}
 	}
 }
 
-// plan begins the steps of the plan while callers work. One that is under way at their end
-// is still done, under ctx: cut off by the end of the run itself, it would count as one that
-// the system did not do.
-func (r *running) plan(ctx, load context.Context, begun time.Time) {
+// plan starts the steps of the plan until load ends. A step in progress at that
+// time is completed under ctx: if the end of the run cancelled it, it would count
+// as a step that the system failed to carry out.
+func (r *runState) plan(ctx, load context.Context, started time.Time) {
 	at := func(share float64) bool {
-		return traffic.SleepUntil(load, begun.Add(time.Duration(share*float64(r.options.For))))
+		return traffic.SleepUntil(load, started.Add(time.Duration(share*float64(r.options.For))))
 	}
 	if !at(shiftAt) {
 		return
 	}
-	r.note("shift", within(ctx, func(ctx context.Context) error { return r.operator.shift(ctx, r.options.Load) }))
+	r.recordFailure("shift", withStepTimeout(ctx, func(ctx context.Context) error { return r.operator.shift(ctx, r.options.Load) }))
 	if !at(stopAt) {
 		return
 	}
 	r.sendUploads("stop")
 	r.waitForUpload(load)
-	r.note("planned stop", within(ctx, r.operator.plannedStop))
-	r.plantFaults(ctx, at)
-	if at(rushAt) {
-		r.rush()
+	r.recordFailure("planned stop", withStepTimeout(ctx, r.operator.plannedStop))
+	r.injectFaults(ctx, at)
+	if at(burstAt) {
+		r.sendBurst()
 	}
-	if at(lateAt) {
+	if at(lateUploadsAt) {
 		r.sendUploads("late")
 	}
 }
 
-// plantFaults plants the faults asked for and heals them,
-// and has the operator change something meanwhile.
-func (r *running) plantFaults(ctx context.Context, at func(share float64) bool) {
+// injectFaults injects the requested faults and ends them again. In between, the
+// operator changes an object.
+func (r *runState) injectFaults(ctx context.Context, at func(share float64) bool) {
 	if !at(faultAt) {
 		return
 	}
 	for _, f := range r.options.Faults {
-		defer r.system.plant(f, r.sendCrashing)()
+		defer r.system.inject(f, r.sendCrashRequests)()
 	}
-	if at(retuneAt) {
-		r.noteChange(within(ctx, r.operator.retune))
+	if at(changeAt) {
+		r.recordChange(withStepTimeout(ctx, r.operator.changeRetryPercent))
 	}
-	at(faultEnds)
+	at(faultEndsAt)
 }
 
-// within carries out a step of the operator's, which may take stepTimeout.
-func within(ctx context.Context, step func(context.Context) error) error {
+// withStepTimeout executes a step of the operator with stepTimeout.
+func withStepTimeout(ctx context.Context, step func(context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
 	return step(ctx)
 }
 
-// noteChange takes a refusal for what it should be while the platform is out.
-func (r *running) noteChange(err error) {
+// recordChange records a change that did not have the required outcome. While the
+// platform is down, the change must be refused.
+func (r *runState) recordChange(err error) {
 	if slices.Contains(r.options.Faults, FaultPlatformDown) == (err != nil) {
 		return
 	}
 	if err == nil {
 		err = errors.New("accepted while the platform was out")
 	}
-	r.note("change", err)
+	r.recordFailure("change", err)
 }
 
-func (r *running) note(step string, err error) {
+func (r *runState) recordFailure(step string, err error) {
 	if err == nil {
 		return
 	}
--- a/cmd/internal/quickstart/system.go
+++ b/cmd/internal/quickstart/system.go
@@ -22,7 +22,8 @@
 	"heatherlock/steering"
 )
 
-// readyTimeout bounds the wait for every entry VM to be ready.
+// readyTimeout limits the wait for all entry VMs to be ready, and for the deployment
+// to be in force on all of them.
 const readyTimeout = 15 * time.Second
 
 // crashMarker marks the requests that crash targets.
@@ -30,42 +31,43 @@
 
 // system is the running deployment.
 type system struct {
-	// certificates are those of the entry VMs' peer listeners, by VM.
-	certificates map[string]static.Certificates
-	deployment   deploy.Deployment
-	witness      *witness.Witness
-	store        *platform.Store
-	server       *http.Server
-	url          string
-	targets      *deploy.Running
-	network      *network
-	atTargets    target.Faults // planted at the targets of one zone
-	log          log.Logger
-	processes    *processes // nil when entry VMs run in this process
+	// certificates holds the certificates of the entry VMs' peer listeners, by VM.
+	certificates   map[string]static.Certificates
+	deployment     deploy.Deployment
+	witness        *witness.Witness
+	store          *platform.Store
+	platformServer *http.Server
+	platformURL    string
+	targets        *deploy.Running
+	network        *network
+	targetFaults   target.Faults // injected at the targets of the fault zone
+	log            log.Logger
+	processes      *processes // nil if the entry VMs run in this process
 
 	mu    sync.Mutex
 	vms   map[string]*entryVM
 	kills []kill
-	// cutAt is when a planted fault cut a zone off.
-	cutAt time.Time
+	// isolatedAt is when an injected fault isolated a zone; zero if none did.
+	isolatedAt time.Time
 }
 
-// entryVM is one process life of an entry VM.
+// entryVM is one incarnation of an entry VM.
 type entryVM struct {
 	deploy.EntryVM
-	life      int
-	addresses node.Addresses
-	// end ends the life at once, as a failed VM ends, and waits for it.
+	incarnation int
+	addresses   node.Addresses
+	// end ends the incarnation at once, as when a VM crashes, and waits for its end.
+	// It does nothing if the entry VM is a separate process.
 	end func()
-	// done yields the error that the life ended with by itself; nil when the
-	// entry VM is a process of its own.
+	// done receives the error with which the incarnation ended. It is nil if the
+	// entry VM is a separate process.
 	done chan error
 }
 
-// lifeName tells the lives of one entry VM apart.
-func (v *entryVM) lifeName() string { return fmt.Sprintf("%s#%d", v.Name, v.life) }
+// incarnationName returns a name that differs between the incarnations of one entry VM.
+func (v *entryVM) incarnationName() string { return fmt.Sprintf("%s#%d", v.Name, v.incarnation) }
 
-// kill is the time within which a planted fault ended an entry VM.
+// kill is the time span in which an injected fault ended an entry VM.
 type kill struct {
 	vm        string
 	at, until time.Time
@@ -82,32 +84,33 @@
 	}
 	s.targets = targets
 	s.witness.Regions(d.Regions())
-	if s.certificates, err = issue(d); err != nil {
+	if s.certificates, err = issueCertificates(d); err != nil {
 		targets.Close()
 		return nil, err
 	}
 	addresses := targets.Addresses()
 	for _, t := range d.Targets() {
-		s.network.place(t.Place, addresses[t.Name])
+		s.network.setZone(t.Place, addresses[t.Name])
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		targets.Close()
 		return nil, errors.Wrap(err, "quickstart: listen for the platform stand-in")
 	}
-	s.url = "http://" + listener.Addr().String()
-	s.server = &http.Server{Handler: s.store.Handler(), ReadHeaderTimeout: 5 * time.Second}
-	go func() { _ = s.server.Serve(listener) }()
+	s.platformURL = "http://" + listener.Addr().String()
+	s.platformServer = &http.Server{Handler: s.store.Handler(), ReadHeaderTimeout: 5 * time.Second}
+	go func() { _ = s.platformServer.Serve(listener) }()
 	return s, nil
 }
 
-// certificateLife outlasts any run with --keep.
-const certificateLife = 30 * 24 * time.Hour
+// certificateValidity is longer than any run with --keep.
+const certificateValidity = 30 * 24 * time.Hour
 
-// issue makes an authority for this run and a peer's certificate per entry VM,
-// so that they authenticate each other as in production.
-func issue(d deploy.Deployment) (map[string]static.Certificates, error) {
-	authority, err := tlsconf.NewAuthority(certificateLife)
+// issueCertificates creates a certificate authority for this run and issues a peer
+// certificate for each entry VM, so that entry VMs authenticate each other as in
+// production.
+func issueCertificates(d deploy.Deployment) (map[string]static.Certificates, error) {
+	authority, err := tlsconf.NewAuthority(certificateValidity)
 	if err != nil {
 		return nil, errors.Wrap(err, "quickstart: generate certificates")
 	}
@@ -120,7 +123,8 @@
 	return certificates, nil
 }
 
-// startAll starts every entry VM.
+// startAll starts every entry VM. With separate processes it waits until all are
+// healthy.
 func (s *system) startAll() error {
 	for _, e := range s.deployment.EntryVMs() {
 		if _, err := s.start(e, 0); err != nil {
@@ -133,31 +137,31 @@
 	return nil
 }
 
-func (s *system) start(e deploy.EntryVM, life int) (*entryVM, error) {
+func (s *system) start(e deploy.EntryVM, incarnation int) (*entryVM, error) {
 	if s.processes != nil {
-		return s.processes.expect(s, e, life)
+		return s.processes.prepare(s, e, incarnation)
 	}
 	n, err := node.New(s.settings(e), node.Options{
-		Log: log.With(s.log, "life", life), Version: "quickstart", Dial: s.network.from(e.Zone),
+		Log: log.With(s.log, "life", incarnation), Version: "quickstart", Dial: s.network.dialFrom(e.Zone),
 	})
 	if err != nil {
 		return nil, errors.Wrapf(err, "quickstart: start entry VM %s", e.Name)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	v := &entryVM{EntryVM: e, life: life, addresses: n.Addresses(), done: make(chan error, 1)}
+	v := &entryVM{EntryVM: e, incarnation: incarnation, addresses: n.Addresses(), done: make(chan error, 1)}
 	v.end = func() {
 		n.Kill()
 		stop()
 		<-v.done
 	}
-	s.network.place(e.Zone, v.addresses.Caller, v.addresses.Peer, v.addresses.Operator)
-	s.add(v)
+	s.network.setZone(e.Zone, v.addresses.Caller, v.addresses.Peer, v.addresses.Operator)
+	s.register(v)
 	go func() { v.done <- n.Run(ctx) }()
 	return v, nil
 }
 
-// add lists an entry VM with the platform and here.
-func (s *system) add(v *entryVM) {
+// register adds an entry VM to the platform's list and to s.vms.
+func (s *system) register(v *entryVM) {
 	s.store.SetVM(objects.VM{
 		Name: v.Name, Zone: v.Zone, Region: v.Region, State: objects.VMLive,
 		CallerAddress: v.addresses.Caller, PeerAddress: v.addresses.Peer, OperatorAddress: v.addresses.Operator,
@@ -167,11 +171,12 @@
 	s.mu.Unlock()
 }
 
-// lose notes that a fault ended a life of an entry VM and returns it.
-func (s *system) lose(name string, at time.Time) (*entryVM, bool) {
+// markKilled records that a fault ended the incarnation of an entry VM and returns
+// that incarnation.
+func (s *system) markKilled(name string, at time.Time) (*entryVM, bool) {
 	until := at
 	if s.processes != nil {
-		until = at.Add(killWithin)
+		until = at.Add(maxKillDelay)
 	}
 	s.mu.Lock()
 	v, ok := s.vms[name]
@@ -181,7 +186,7 @@
 	}
 	s.mu.Unlock()
 	if ok {
-		s.witness.ConfigGone(v.lifeName())
+		s.witness.ConfigGone(v.incarnationName())
 	}
 	return v, ok
 }
@@ -190,7 +195,7 @@
 	settings := static.Settings{
 		VM: steering.VM(e.Name), Zone: steering.Zone(e.Zone), Region: steering.Region(e.Region),
 		CallerListen: "127.0.0.1:0", PeerListen: "127.0.0.1:0", OperatorListen: "127.0.0.1:0",
-		Platform: static.Platform{URL: s.url},
+		Platform: static.Platform{URL: s.platformURL},
 		TLS:      static.TLS{Peer: s.certificates[e.Name]},
 	}
 	for _, v := range s.all() {
@@ -199,7 +204,7 @@
 	return settings
 }
 
-// all returns the entry VMs that run, in the deployment's order.
+// all returns the running entry VMs in the order of the deployment.
 func (s *system) all() []*entryVM {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -212,27 +217,28 @@
 	return all
 }
 
-// lives names every process life that runs.
-func (s *system) lives() []string {
+// incarnationNames returns the names of the running incarnations.
+func (s *system) incarnationNames() []string {
 	var names []string
 	for _, v := range s.all() {
-		names = append(names, v.lifeName())
+		names = append(names, v.incarnationName())
 	}
 	return names
 }
 
-// reachable names the process lives that are not cut off.
-func (s *system) reachable() []string {
+// reachableNames returns the names of the running incarnations outside an isolated zone.
+func (s *system) reachableNames() []string {
 	var names []string
 	for _, v := range s.all() {
-		if !s.network.isCut(v.Zone) {
-			names = append(names, v.lifeName())
+		if !s.network.isIsolated(v.Zone) {
+			names = append(names, v.incarnationName())
 		}
 	}
 	return names
 }
 
-// callerAddresses lists entry VMs for look-ups, those of the zone first.
+// callerAddresses returns the caller addresses of the running entry VMs, those of
+// the given zone first.
 func (s *system) callerAddresses(zone string) []string {
 	var near, far []string
 	for _, v := range s.all() {
@@ -245,10 +251,10 @@
 	return append(near, far...)
 }
 
-// waitReady waits until every entry VM says that it is ready.
+// waitReady waits until every entry VM reports that it is ready.
 func (s *system) waitReady(ctx context.Context) error {
 	if s.processes != nil {
-		return nil // startAll waited for the processes
+		return nil // startAll has waited for the processes
 	}
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -266,10 +272,11 @@
 	return nil
 }
 
-func ready(ctx context.Context, operator string) bool { return says(ctx, operator, "/readyz") }
+func ready(ctx context.Context, operator string) bool { return probeSucceeds(ctx, operator, "/readyz") }
 
-// says reports whether a probe of an entry VM answers 200.
-func says(ctx context.Context, operator, probe string) bool {
+// probeSucceeds reports whether a health probe of an entry VM responds with
+// status 200.
+func probeSucceeds(ctx context.Context, operator, probe string) bool {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+operator+probe, nil)
 	if err != nil {
 		return false
@@ -282,44 +289,45 @@
 	return reply.StatusCode == http.StatusOK
 }
 
-// excused reports whether a planted fault ended one of the entry VMs on the
-// path of a try while it ran.
+// excused reports whether an injected fault may have interrupted a try: it killed
+// an entry VM on the path of the try, or isolated a zone, while the try ran.
 func (s *system) excused(vm, via string, from, to time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, k := range s.kills {
-		onPath := k.vm == vm || contains(via, k.vm)
+		onPath := k.vm == vm || listContains(via, k.vm)
 		if onPath && !k.until.Before(from) && !k.at.After(to) {
 			return true
 		}
 	}
-	return s.cutUnder(from, to)
+	return s.interruptedByIsolation(from, to)
 }
 
-// cutWithin is how soon after a zone was cut off a try that crossed the cut
-// ends: the cut closes its connection.
-const cutWithin = time.Second
+// isolationEffectTime is the maximum time from the isolation of a zone until the end
+// of a try that it interrupts by closing a connection.
+const isolationEffectTime = time.Second
 
-// cutUnder reports whether a try may have been on a connection that a planted
-// cut closed. A refusal does not name the zone it could not reach, so every try
-// that ends right after the cut and began before it counts. The caller holds
-// mu.
-func (s *system) cutUnder(from, to time.Time) bool {
-	return !s.cutAt.IsZero() && from.Before(s.cutAt) && to.After(s.cutAt) && to.Before(s.cutAt.Add(cutWithin))
+// interruptedByIsolation reports whether a try may have used a connection that was
+// closed when a zone was isolated. A refusal does not name the zone that was
+// unreachable, so every try counts that began before the isolation and ended within
+// isolationEffectTime after it. The caller holds s.mu.
+func (s *system) interruptedByIsolation(from, to time.Time) bool {
+	return !s.isolatedAt.IsZero() && from.Before(s.isolatedAt) && to.After(s.isolatedAt) && to.Before(s.isolatedAt.Add(isolationEffectTime))
 }
 
-// noteCut records the moment of a planted cut.
-func (s *system) noteCut(at time.Time) {
+// recordIsolation records the time at which a zone was isolated.
+func (s *system) recordIsolation(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cutAt = at
+	s.isolatedAt = at
 }
 
-// close ends everything at once: nothing is under way any more.
+// close ends all entry VMs, targets and the platform stand-in at once. The caller
+// waits for the requests in flight beforehand.
 func (s *system) close() {
 	for _, v := range s.all() {
 		v.end()
 	}
 	s.targets.Close()
-	_ = s.server.Close()
+	_ = s.platformServer.Close()
 }
