--- a/cmd/heatherlockd/main.go
+++ b/cmd/heatherlockd/main.go
@@ -1,5 +1,5 @@
-// Command heatherlockd is the entry VM daemon: it answers look-ups, forwards
-// requests to targets, takes part in control with its peers and serves the
+// Command heatherlockd is the entry VM daemon. It answers look-ups, forwards
+// requests to targets, coordinates with the other entry VMs and serves the
 // operators' API.
 package main
 
@@ -23,7 +23,7 @@
 	"heatherlock/platform"
 )
 
-// version is set at link time.
+// version is set by the linker: -ldflags "-X main.version=v1.2.3".
 var version = "dev"
 
 // Exit codes.
@@ -37,7 +37,8 @@
 	os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// run is the daemon's life; it returns its exit code.
+// run runs the daemon until it is stopped or fails, and returns the exit code.
+// Errors in the settings are written to problems.
 func run(args []string, out, problems io.Writer) int {
 	options := readFlags(args)
 	if options.platform {
@@ -49,10 +50,10 @@
 		return exitSettings
 	}
 	logger := telemetry.NewLogger(out, settings.Log.Level)
-	// Libraries that complain to the standard logger do so as JSON lines too.
+	// Libraries that log to the standard logger write JSON lines too.
 	stdlog.SetOutput(log.NewStdlibAdapter(level.Warn(logger)))
 	stdlog.SetFlags(0)
-	collectSeldom()
+	configureGC()
 	daemon, err := node.New(settings, node.Options{Log: logger, Version: version})
 	if err != nil {
 		level.Error(logger).Log("msg", "daemon did not start", "err", err)
@@ -60,7 +61,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	// A second signal ends the process at once instead of being swallowed.
+	// A second signal ends the process at once instead of being ignored.
 	context.AfterFunc(ctx, stop)
 	if err := daemon.Run(ctx); err != nil {
 		level.Error(logger).Log("msg", "daemon failed", "err", err)
@@ -69,20 +70,21 @@
 	return exitOK
 }
 
-// gcPercent trades memory for time: the daemon's live heap is a few megabytes,
-// so that the usual 100 would collect garbage many times a second.
+// gcPercent trades memory for CPU time: the daemon's live heap is a few megabytes,
+// so the default of 100 would cause many garbage collections a second.
 const gcPercent = 400
 
-// memoryLimit keeps the process under the 128 MB that control may take of an
-// entry VM, with room for what the runtime does not count. Without it a change
-// among 680,000 client blocks leaves garbage of several times the live heap
-// before it is collected: a VM of little memory would kill the daemon in the
-// middle of a change that all entry VMs take at once. Near the limit the
-// collector just runs more often.
+// memoryLimit keeps the process under the 128 MB that control functions may use on
+// an entry VM, with a margin for memory that the runtime does not count. Without it,
+// a change among 680,000 client blocks produces garbage of several times the live
+// heap before it is collected, and a VM with little memory would kill the daemon
+// during a change that all entry VMs apply at the same time. Near the limit the
+// collector only runs more often.
 const memoryLimit = 96 << 20 // bytes
 
-// collectSeldom sets the garbage collector unless its own variables do.
-func collectSeldom() {
+// configureGC configures the garbage collector, except for settings that GOGC or
+// GOMEMLIMIT already determine.
+func configureGC() {
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(gcPercent)
 	}
@@ -91,7 +93,7 @@
 	}
 }
 
-// options are what the command line says.
+// options holds the values of the command line.
 type options struct {
 	settings string
 	platform bool
--- a/cmd/heatherlockd/main_test.go
+++ b/cmd/heatherlockd/main_test.go
@@ -14,7 +14,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// settings writes a settings file and returns the arguments that name it.
+// settings writes a settings file and returns the arguments that select it. It also
+// resets the command line parser.
 func settings(t *testing.T, text string) []string {
 	t.Helper()
 	flaggy.ResetParser()
@@ -23,10 +24,11 @@
 	return []string{"--settings", path}
 }
 
-// Symptom: a supervisor takes a settings error for a crash and restarts the
-// daemon for ever, or its operator mends one error per restart. Sequence: the
-// file is wrong, missing or not named. Cause: one exit code for everything.
-func TestWrongSettingsExitWithTheirOwnCode(t *testing.T) {
+// Guards against a supervisor that restarts the daemon forever because it cannot
+// tell a settings error from a crash: a settings file that is invalid, missing or
+// not given must have its own exit code. It also guards against operators who have
+// to fix one error per restart.
+func TestInvalidSettingsHaveTheirOwnExitCode(t *testing.T) {
 	for name, args := range map[string][]string{
 		"wrong":   settings(t, `{"vm":"a b","zone":"z","platform":{"url":"x"},"nope":1}`),
 		"missing": {"--settings", filepath.Join(t.TempDir(), "none.json")},
@@ -39,7 +41,7 @@
 	}
 }
 
-// notify calls found when a line of the log holds mark.
+// notify is a log writer that calls found when a write contains mark.
 type notify struct {
 	bytes.Buffer
 	mark  string
@@ -53,9 +55,9 @@
 	return n.Buffer.Write(p)
 }
 
-// Symptom: a restart of the supervisor kills the daemon with work in hand.
-// Sequence: SIGTERM while it runs. It must leave and end with code 0, and every
-// line of its log must be JSON.
+// Guards against requests lost when a supervisor restarts the daemon. On SIGTERM the
+// daemon must leave gracefully and exit with code 0, and every line of its log must
+// be JSON.
 func TestSIGTERMLeavesGracefully(t *testing.T) {
 	args := settings(t, `{"vm":"a1","zone":"a","region":"r","callerListen":"127.0.0.1:0","peerListen":"127.0.0.1:0",
 	  "operatorListen":"127.0.0.1:0","platform":{"url":"http://127.0.0.1:1"}}`)
--- a/cmd/heatherlockd/platform.go
+++ b/cmd/heatherlockd/platform.go
@@ -17,16 +17,18 @@
 	"heatherlock/platform"
 )
 
-// platformGCPercent trades time for memory, which is dear on these VMs: against the
-// usual 100 a day took 6.7 GB x seconds of memory instead of 8.2, and 17 seconds of
-// processor time instead of 13, over 11 VMs (phic-booking, trouble-1, one run each).
+// platformGCPercent trades CPU time for memory, which is expensive on these VMs.
+// Compared with the default of 100, a day of 11 VMs took 6.7 instead of 8.2
+// GB-seconds of memory and 17 instead of 13 seconds of CPU time (phic-booking,
+// trouble-1, one run each).
 const platformGCPercent = 40
 
-// settingsLook is how often the settings file is looked at for a change that no
-// signal announced.
-const settingsLook = 2 * time.Second
+// settingsPollInterval is how often the settings file is checked for changes that
+// were not announced by SIGHUP.
+const settingsPollInterval = 2 * time.Second
 
-// runPlatform is the daemon's life as an entry VM on the users' platform.
+// runPlatform runs the daemon as an entry VM on the users' platform until it is
+// stopped or fails, and returns the exit code.
 func runPlatform(out, problems io.Writer) int {
 	path := os.Getenv(platform.SettingsVariable)
 	settings, err := platform.LoadSettings(path)
@@ -37,30 +39,30 @@
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(platformGCPercent)
 	}
-	bounded := telemetry.NewBoundedWriter(out)
-	defer bounded.Close()
-	logger := telemetry.NewLogger(bounded, "info")
+	boundedOut := telemetry.NewBoundedWriter(out)
+	defer boundedOut.Close()
+	logger := telemetry.NewLogger(boundedOut, "info")
 	g, err := gateway.New(settings, logger)
 	if err != nil {
-		_ = level.Error(logger).Log("msg", "did not start", "err", err) // the writer counts what it drops
+		_ = level.Error(logger).Log("msg", "did not start", "err", err) // the writer counts the lines that it drops
 		return exitFailed
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	go watchSettings(ctx, path, g)
 	if err := g.Run(ctx); err != nil {
-		_ = level.Error(logger).Log("msg", "failed", "err", err) // as above
+		_ = level.Error(logger).Log("msg", "failed", "err", err) // the writer counts the lines that it drops
 		return exitFailed
 	}
 	return exitOK
 }
 
-// watchSettings hands on new settings after SIGHUP, and when the file changed
-// without a signal.
+// watchSettings reloads the settings file after SIGHUP and every
+// settingsPollInterval, until ctx ends.
 func watchSettings(ctx context.Context, path string, g *gateway.Gateway) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	ticker := time.NewTicker(settingsLook)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
