--- a/cmd/heatherlock/client_test.go
+++ b/cmd/heatherlock/client_test.go
@@ -27,32 +27,33 @@
 	standin "heatherlock/standin/platform"
 )
 
-// everywhere is a system in which everything is in force at once.
-type everywhere struct{ store *standin.Store }
+// allInForce is an operator.Runtime in which every revision of the store is in force
+// at once.
+type allInForce struct{ store *standin.Store }
 
-func (e everywhere) ConfigVersion() int64                  { return e.store.Revision() }
-func (e everywhere) PlatformReachable() bool               { return true }
-func (e everywhere) Members() []operator.MemberFact        { return nil }
-func (e everywhere) Pools() []operator.PoolFact            { return nil }
-func (e everywhere) Stop(string) (operator.StopFact, bool) { return operator.StopFact{}, false }
-func (e everywhere) Cap(string) (operator.CapFact, bool)   { return operator.CapFact{}, false }
-func (e everywhere) Shift(string) (operator.ShiftFact, bool) {
+func (e allInForce) ConfigVersion() int64                  { return e.store.Revision() }
+func (e allInForce) PlatformReachable() bool               { return true }
+func (e allInForce) Members() []operator.MemberFact        { return nil }
+func (e allInForce) Pools() []operator.PoolFact            { return nil }
+func (e allInForce) Stop(string) (operator.StopFact, bool) { return operator.StopFact{}, false }
+func (e allInForce) Cap(string) (operator.CapFact, bool)   { return operator.CapFact{}, false }
+func (e allInForce) Shift(string) (operator.ShiftFact, bool) {
 	return operator.ShiftFact{}, false
 }
-func (e everywhere) Zones() []operator.ZoneFact {
+func (e allInForce) Zones() []operator.ZoneFact {
 	return []operator.ZoneFact{{Zone: "a", ConfigVersion: e.store.Revision()}}
 }
 
-// entryVM is an operators' listener that can fail in two ways.
+// entryVM is a listener of the operators' API that can break connections in two ways.
 type entryVM struct {
 	*httptest.Server
-	down     atomic.Bool  // breaks each connection before anything is done
-	cutAfter atomic.Int32 // breaks this many connections after the work was done
+	down        atomic.Bool  // break every connection before the request is handled
+	lostReplies atomic.Int32 // number of changes whose connection breaks before the reply
 }
 
 func startEntryVM(t testing.TB, store *standin.Store, zone string) *entryVM {
 	t.Helper()
-	s, err := operator.New(operator.Config{VM: zone, Zone: zone, Platform: store.As(zone, zone), Runtime: everywhere{store}})
+	s, err := operator.New(operator.Config{VM: zone, Zone: zone, Platform: store.As(zone, zone), Runtime: allInForce{store}})
 	assert.NilError(t, err)
 	e := &entryVM{}
 	next := s.Handler()
@@ -60,7 +61,7 @@
 		if e.down.Load() {
 			panic(http.ErrAbortHandler)
 		}
-		if r.Method != http.MethodGet && e.cutAfter.Add(-1) >= 0 {
+		if r.Method != http.MethodGet && e.lostReplies.Add(-1) >= 0 {
 			next.ServeHTTP(httptest.NewRecorder(), r)
 			panic(http.ErrAbortHandler)
 		}
@@ -71,7 +72,7 @@
 	return e
 }
 
-// commandLine runs commands against entry VMs.
+// commandLine runs commands against the entry VMs with the given addresses.
 type commandLine struct{ addresses string }
 
 func (c commandLine) run(stdin string, args ...string) (code command.Code, out, errOut string) {
@@ -119,10 +120,9 @@
 	}
 }
 
-// Symptom: for a moment after an apply, a new shift moves callers without its
-// cap. Sequence: the shift is stored, its driver starts, the cap is stored.
-// Cause: objects stored in an order in which one is in force without the other.
-// Whatever the order in the file, no state on the way may show it.
+// Guards against a new shift that moves callers without its cap for a short time after
+// an apply: if the shift is stored with its percentage before the cap is stored, its
+// driver starts in between. This must not happen for any order of objects in the file.
 func TestNewShiftNeverRunsWithoutItsCap(t *testing.T) {
 	all := []string{
 		`{"kind":"Service","metadata":{"name":"tickets"},"spec":{}}`,
@@ -157,20 +157,19 @@
 	})
 }
 
-// Symptom: an apply ends with "exists" or stores a change twice. Sequence: the
-// entry VM stores the object, the connection breaks before the reply, the
-// client sends it again to another entry VM. Cause: a repeat that cannot be
-// told from a second change.
-func TestApplySurvivesEntryVMsThatBreakOff(t *testing.T) {
+// Guards against an apply that fails with "exists" or stores a change twice: the entry
+// VM stores the object, the connection breaks before the reply, and the client repeats
+// the change at another entry VM, which must recognize it as a repeat.
+func TestApplySurvivesLostReplies(t *testing.T) {
 	store := standin.NewStore(unbounded())
 	first, second := startEntryVM(t, store, "a"), startEntryVM(t, store, "b")
 	c := commandLine{first.URL + "," + second.URL}
-	first.cutAfter.Store(2)
-	second.cutAfter.Store(1)
+	first.lostReplies.Store(2)
+	second.lostReplies.Store(1)
 	code, out, errOut := c.run("", "apply", "-f", filepath.Join(examplesDir, "chile"))
 	assert.Equal(t, code, command.OK, out+errOut)
 	assert.Equal(t, store.Revision(), int64(15), "14 objects, and the shift a second time when its cap was there")
-	first.cutAfter.Store(1)
+	first.lostReplies.Store(1)
 	code, _, errOut = c.run("", "delete", "PlannedStop", "place-norte-a")
 	assert.Equal(t, code, command.OK, errOut)
 	second.down.Store(true)
@@ -179,35 +178,35 @@
 	assert.Equal(t, code, command.Unreachable, errOut)
 }
 
-// lines collects what a command writes while it runs.
-type lines struct {
+// outputLines collects the output of a command while it runs.
+type outputLines struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *outputLines) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.Write(p)
 }
 
-func (l *lines) all() []string {
+func (l *outputLines) all() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Split(strings.TrimSpace(l.buf.String()), "\n")
 }
 
-// Symptom: a watch that lost its connection skips changes or shows them twice.
-// Sequence: entry VMs go down and come back in turn while changes go on. Cause:
-// resuming from a place that one entry VM kept for itself.
-func TestWatchResumesWithNothingMissedOrRepeated(t *testing.T) {
+// Guards against a watch that skips or repeats changes after a lost connection: entry
+// VMs fail and recover in turn while objects change, so the watch must not resume from
+// a position that is known to one entry VM only.
+func TestWatchResumesWithoutLossOrRepetition(t *testing.T) {
 	store := standin.NewStore(unbounded())
 	vms := []*entryVM{startEntryVM(t, store, "a"), startEntryVM(t, store, "b")}
 	c := commandLine{vms[0].URL + "," + vms[1].URL}
 	ctx, cancel := context.WithCancel(context.Background())
-	out, done := &lines{}, make(chan command.Code)
+	out, done := &outputLines{}, make(chan command.Code)
 	go func() {
-		done <- program().Main(ctx, []string{"watch", "Service", "-o", "json", "-e", c.addresses}, command.IO{Out: out, Err: &lines{}})
+		done <- program().Main(ctx, []string{"watch", "Service", "-o", "json", "-e", c.addresses}, command.IO{Out: out, Err: &outputLines{}})
 	}()
 	api := store.As("x", "x")
 	value := json.RawMessage(`{"kind":"Service","metadata":{"name":"s"},"spec":{}}`)
@@ -236,11 +235,11 @@
 	assert.Equal(t, last, stored.Version)
 }
 
-// Symptom: a watch ends, or goes on without what happened meanwhile. Sequence:
-// no entry VM answers; one object changes, one is deleted, one is new; the
-// platform forgets these changes; the entry VM is back. Cause: taking "too old
-// to continue from" for an error, or listing anew without comparing.
-func TestWatchGoesOnAfterHistoryIsGone(t *testing.T) {
+// Guards against a watch that ends, or misses changes, after an outage during which the
+// platform compacted its history: while no entry VM responds, one object is changed, one
+// deleted and one created. The client must not treat "too old to continue from" as an
+// error, and must compare a new list with the objects that it knows.
+func TestWatchContinuesAfterHistoryIsCompacted(t *testing.T) {
 	store := standin.NewStore(unbounded())
 	vm := startEntryVM(t, store, "a")
 	ctx, cancel := context.WithCancel(context.Background())
@@ -252,9 +251,9 @@
 		_, err := api.Create(ctx, "Service", name, value(name))
 		assert.NilError(t, err)
 	}
-	out, done := &lines{}, make(chan command.Code)
+	out, done := &outputLines{}, make(chan command.Code)
 	go func() {
-		done <- program().Main(ctx, []string{"watch", "Service", "-o", "json", "-e", vm.URL}, command.IO{Out: out, Err: &lines{}})
+		done <- program().Main(ctx, []string{"watch", "Service", "-o", "json", "-e", vm.URL}, command.IO{Out: out, Err: &outputLines{}})
 	}()
 	until := func(n int) {
 		for deadline := time.Now().Add(20 * time.Second); len(out.all()) < n && time.Now().Before(deadline); {
@@ -285,13 +284,13 @@
 	assert.DeepEqual(t, got, map[string]string{"changed": "put", "deleted": "delete", "new": "put"})
 }
 
-// An operator's token lets in from a file or the environment, and shows in no
+// An operator's token is accepted from a file or the environment and never appears in
 // output.
 func TestTokens(t *testing.T) {
 	sum := sha256.Sum256([]byte("secret-token"))
 	store := standin.NewStore(unbounded())
 	s, err := operator.New(operator.Config{
-		Platform: store.As("a", "a"), Runtime: everywhere{store},
+		Platform: store.As("a", "a"), Runtime: allInForce{store},
 		Tokens: []operator.Token{{Name: "ana", SHA256: hex.EncodeToString(sum[:])}},
 	})
 	assert.NilError(t, err)
--- a/cmd/heatherlock/commands.go
+++ b/cmd/heatherlock/commands.go
@@ -22,8 +22,8 @@
 // version is set by the linker: -ldflags "-X main.version=v1.2.3".
 var version = "development"
 
-// program lists every subcommand. To add one, write a package under
-// cmd/internal with a function that returns a command.Command, and name it here.
+// program returns the program with all its subcommands. To add one, write a package
+// under cmd/internal with a function that returns a command.Command, and list it here.
 func program() command.Program {
 	return command.Program{
 		Name:        "heatherlock",
--- a/cmd/heatherlock/docs_test.go
+++ b/cmd/heatherlock/docs_test.go
@@ -30,11 +30,12 @@
 const (
 	root         = "../.."
 	referenceDir = root + "/docs/reference"
-	// generatedBy tells readers of a page how it came about.
+	// generatedBy is printed at the top of each generated page.
 	generatedBy = "This page is written from the code by `go test ./cmd/heatherlock -update` and checked by the same test.\n\n"
 )
 
-// checkPage compares a page with what the code gives.
+// checkPage compares a reference page with the text generated from the code. With
+// -update it writes the page first.
 func checkPage(t *testing.T, name, want string) {
 	t.Helper()
 	file := filepath.Join(referenceDir, name)
@@ -61,7 +62,7 @@
 	checkPage(t, "settings.md", b.String())
 }
 
-// writeSettings writes one line per leaf of the settings.
+// writeSettings writes one table row per setting, recursing into nested structs.
 func writeSettings(t *testing.T, b *strings.Builder, comments map[string]string, path string, v reflect.Value) {
 	for i := range v.NumField() {
 		field := v.Type().Field(i)
@@ -91,7 +92,7 @@
 	}
 }
 
-// meaningOf drops the name that a Go comment starts with.
+// meaningOf returns a field's comment without the name that it starts with.
 func meaningOf(name, comment string) string {
 	comment = strings.TrimSpace(comment)
 	for _, verb := range []string{" is ", " bounds "} {
@@ -112,7 +113,8 @@
 	return t.Kind().String()
 }
 
-// fieldComments returns the comment of each field of each struct of a file.
+// fieldComments returns the comments of the struct fields in a file, by
+// "Type.Field".
 func fieldComments(t *testing.T, file string) map[string]string {
 	t.Helper()
 	parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.ParseComments)
@@ -236,7 +238,7 @@
 	}
 }
 
-// writeFlags writes one line per flag that is not among the shared ones.
+// writeFlags writes one table row per flag, except for the shared flags.
 func writeFlags(b *strings.Builder, flags, shared []*flaggy.Flag) {
 	for _, f := range flags {
 		if slices.ContainsFunc(shared, func(s *flaggy.Flag) bool { return s.LongName == f.LongName }) {
@@ -250,14 +252,15 @@
 	}
 }
 
-// metric is one name that the code counts or measures.
+// metric is a metric that the code records.
 type metric struct {
 	name, kind, part string
 	tags             []string
 }
 
-// TestPageOfMetrics keeps the list of metrics equal to the calls in the code.
-// The meaning of each is written by hand in the page and kept.
+// TestPageOfMetrics checks that the page lists exactly the metrics that the code
+// records. The meaning of each metric is written by hand in the page, and an update
+// of the page keeps it.
 func TestPageOfMetrics(t *testing.T) {
 	file := filepath.Join(referenceDir, "metrics.md")
 	old, err := os.ReadFile(file)
@@ -289,10 +292,10 @@
 	return meanings
 }
 
-// metricKinds maps the methods of a tally scope to the kinds of metric.
+// metricKinds maps the methods of a tally scope to kinds of metrics.
 var metricKinds = map[string]string{"Counter": "counter", "Gauge": "gauge", "Timer": "timer", "Histogram": "histogram"}
 
-// metricsInCode finds every metric that the daemon's modules name.
+// metricsInCode returns all metrics that the daemon's modules record, sorted by name.
 func metricsInCode(t *testing.T) []metric {
 	t.Helper()
 	found := map[string]metric{}
@@ -336,9 +339,9 @@
 		parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, 0)
 		assert.NilError(t, err)
 		one := fileMetrics{}
-		tagged := map[string][]string{} // labels of scopes kept in variables
+		tagged := map[string][]string{} // labels of scopes, by the variable that holds the scope
 		ast.Inspect(parsed, func(n ast.Node) bool {
-			noteTagged(n, tagged)
+			recordTagged(n, tagged)
 			method, name, receiver := literalCall(n)
 			if method == "SubScope" {
 				one.own = name
@@ -364,7 +367,8 @@
 	return metrics
 }
 
-// packagePrefix returns the scope of a package whose file does not make its own.
+// packagePrefix returns the metric prefix for a file that creates no sub-scope: the
+// prefix named like the directory, or else the only prefix of the package.
 func packagePrefix(prefixes map[string]bool, dir string) string {
 	if prefixes[dir] || len(prefixes) != 1 {
 		if prefixes[dir] {
@@ -378,7 +382,8 @@
 	return ""
 }
 
-// literalCall returns the method and argument of a call such as x.Counter("a").
+// literalCall returns the method, argument and receiver of a call such as
+// x.Counter("a"), or empty values for any other node.
 func literalCall(n ast.Node) (method, argument string, receiver ast.Expr) {
 	call, ok := n.(*ast.CallExpr)
 	if !ok || len(call.Args) == 0 {
@@ -399,8 +404,8 @@
 	return selector.Sel.Name, argument, selector.X
 }
 
-// noteTagged remembers the labels of a := x.Tagged(...).
-func noteTagged(n ast.Node, tagged map[string][]string) {
+// recordTagged records the labels of an assignment such as a := x.Tagged(...).
+func recordTagged(n ast.Node, tagged map[string][]string) {
 	assign, ok := n.(*ast.AssignStmt)
 	if !ok || len(assign.Lhs) != 1 || len(assign.Rhs) != 1 {
 		return
@@ -410,8 +415,8 @@
 	}
 }
 
-// tagsOf returns the labels of x.Tagged(map[string]string{"a": ...}), or of a
-// variable that holds such a scope.
+// tagsOf returns the labels of a call such as x.Tagged(map[string]string{"a": ...}),
+// or of a variable that holds such a scope.
 func tagsOf(receiver ast.Expr, tagged map[string][]string) []string {
 	if name, ok := receiver.(*ast.Ident); ok {
 		return tagged[name.Name]
--- a/cmd/heatherlock/examples_test.go
+++ b/cmd/heatherlock/examples_test.go
@@ -20,8 +20,8 @@
 
 const examplesDir = "../../examples"
 
-// exampleObjects returns a deployment's services, places and client blocks with
-// the addresses that its VMs would have.
+// exampleObjects returns the services, places and client blocks of a deployment, with
+// VM addresses as in a real deployment instead of loopback addresses.
 func exampleObjects(t *testing.T, name string) []oas.Object {
 	t.Helper()
 	d, err := deploy.Named(name)
@@ -49,7 +49,7 @@
 	return all
 }
 
-// The deployments' examples say the same as quickstart runs.
+// The example files declare the same deployments as quickstart runs.
 func TestExamplesMatchTheDeployments(t *testing.T) {
 	for _, name := range []string{deploy.ChileName, deploy.PrairiesName} {
 		for _, o := range exampleObjects(t, name) {
@@ -73,7 +73,8 @@
 
 func lower(kind oas.Kind) string { return string(bytes.ToLower([]byte(kind))) }
 
-// Each deployment's folder, as a whole, passes the checks and shows every kind.
+// The example directory of each deployment passes all checks as a whole and contains
+// an object of every kind.
 func TestExamplesPassTheChecks(t *testing.T) {
 	for _, name := range []string{deploy.ChileName, deploy.PrairiesName} {
 		items, err := objects.Read([]string{filepath.Join(examplesDir, name)}, nil)
--- a/cmd/heatherlock/main.go
+++ b/cmd/heatherlock/main.go
@@ -1,4 +1,4 @@
-// Command heatherlock is the operators' client.
+// Command heatherlock is the command-line client for operators.
 package main
 
 import (
--- a/cmd/heatherlock/tutorial_test.go
+++ b/cmd/heatherlock/tutorial_test.go
@@ -15,7 +15,7 @@
 	"heatherlock/cmd/internal/quickstart"
 )
 
-// lesson is one command of the tutorial with what it must print.
+// lesson is one command of the tutorial with its expected exit code and output.
 type lesson struct {
 	line   int
 	args   []string
@@ -25,7 +25,7 @@
 
 var exitCodeComment = regexp.MustCompile(`\s+# exit code (\d)$`)
 
-// lessons reads the commands from the console blocks of a page.
+// lessons parses the commands in the console blocks of a page.
 func lessons(t *testing.T, file string) []lesson {
 	t.Helper()
 	page, err := os.ReadFile(file)
@@ -53,25 +53,26 @@
 	return all
 }
 
-// printed tells whether a line of the output has the parts of a line of the
-// page, in their order.
-func printed(output, want string) bool {
+// outputContains reports whether a line of the output matches a line of the page, in
+// which "..." stands for any text.
+func outputContains(output, want string) bool {
 	var parts []string
 	for part := range strings.SplitSeq(want, "...") {
 		parts = append(parts, regexp.QuoteMeta(strings.TrimSpace(part)))
 	}
-	// Columns of tables are as wide as their contents.
+	// The width of table columns depends on their content.
 	pattern := strings.ReplaceAll(strings.Join(parts, ".*"), " ", " +")
 	return regexp.MustCompile(pattern).MatchString(output)
 }
 
-// startQuickstart runs a deployment as the page says and returns its entry VMs.
+// startQuickstart runs a deployment as the tutorial describes and returns the
+// addresses of its entry VMs. The deployment ends with the test.
 func startQuickstart(t *testing.T) string {
 	t.Helper()
 	options := quickstart.Defaults()
 	options.For, options.Keep = 2*time.Second, true
 	ctx, cancel := context.WithCancel(context.Background())
-	out, done := &lines{}, make(chan error, 1)
+	out, done := &outputLines{}, make(chan error, 1)
 	go func() {
 		_, err := quickstart.Run(ctx, options, quickstart.Screen{Out: out})
 		done <- err
@@ -97,27 +98,29 @@
 	return ""
 }
 
-// settleTime is how long a machine that was too busy for the run may take until the entry VMs
-// hear each other, and have reached their targets, again.
+// settleTime is how long it may take on a machine that was too busy for the run until
+// the entry VMs receive each other's heartbeats and reach their targets again.
 const settleTime = 20 * time.Second
 
-// unsettled are the marks of a status that says of itself that the machine is too busy: an
-// entry VM that is not heard in time, or a zone without the newest configuration.
+// unsettled matches the output of a status command that shows that the machine is too
+// busy: an entry VM whose heartbeats are late, or a zone without the newest
+// configuration.
 var unsettled = regexp.MustCompile(`suspect|taking the newest configuration|cut off since`)
 
-// missing returns the first line of the page that a lesson did not print.
-func (l lesson) missing(printedAll string) (line string, ok bool) {
+// missing returns the first expected line that the output does not contain.
+func (l lesson) missing(printedText string) (line string, ok bool) {
 	for _, want := range l.output {
-		if !printed(printedAll, want) {
+		if !outputContains(printedText, want) {
 			return want, true
 		}
 	}
 	return "", false
 }
 
-// taught runs a lesson, and once more while the status says that the machine is too busy, as
-// the page tells its reader to.
-func (l lesson) taught(t *testing.T) (code command.Code, out string) {
+// runUntilSettled runs a lesson. If a line is missing and the status shows that the
+// machine is too busy, it repeats the command for up to settleTime, as the page
+// advises its readers to do.
+func (l lesson) runUntilSettled(t *testing.T) (code command.Code, out string) {
 	t.Helper()
 	for deadline := time.Now().Add(settleTime); ; time.Sleep(time.Second) {
 		began := time.Now()
@@ -130,19 +133,19 @@
 	}
 }
 
-// The tutorial works as it is written, command by command, on a real system.
+// The tutorial works as written, command by command, on a real system.
 //
-// Symptom: on a machine with eight times as many busy processes as processors `status` counted
-// 4 or 5 slots of 6 right after the run. Sequence: the system is
-// not given processor time for a second; entry VMs do not hear each other and their targets
-// do not answer in time. Cause: none of the system's; the status told what it was. Evidence:
-// the same status named six of twelve entry VMs suspect and three of six zones behind.
+// Commands are repeated until the system has settled: on a machine with eight times as
+// many busy processes as CPUs, `status` reported 4 or 5 slots instead of 6 right after
+// the run. The system gets no CPU time for a second, so that heartbeats and responses
+// of targets are late. That is no fault of the system; the same status lists six of
+// twelve entry VMs as suspect and three of six zones without the newest configuration.
 func TestTutorial(t *testing.T) {
 	page := root + "/docs/tutorial.md"
 	t.Setenv("HEATHERLOCK_ENTRY_VMS", startQuickstart(t))
 	t.Chdir(root)
 	for _, l := range lessons(t, "docs/tutorial.md") {
-		code, out := l.taught(t)
+		code, out := l.runUntilSettled(t)
 		assert.Equal(t, code, l.code, "%s:%d: %v\n%s", page, l.line, l.args, out)
 		want, missing := l.missing(out)
 		assert.Assert(t, !missing, "%s:%d: %v: no line %q in\n%s", page, l.line, l.args, want, out)
