--- a/cmd/internal/caller/errand.go
+++ b/cmd/internal/caller/call.go
@@ -16,72 +16,72 @@
 	"heatherlock/standin/witness"
 )
 
-// tries counts the tries of this process.
+// tries counts the tries of all callers of this process.
 var tries atomic.Int64
 
-// errand is one request with its tries.
-type errand struct {
+// call is one request with its tries.
+type call struct {
 	caller  *Caller
 	request Request
-	// deadline is the end of the time that the caller allows.
+	// deadline is when the timeout of the request ends.
 	deadline time.Time
-	// key stays the same over the tries: it is how the system knows a repeat.
-	key    string
-	sum    string
-	size   int64
-	result Result
-	// skip counts the entry VMs that could not be used.
+	// key is the same for all tries, so that the system recognizes a retry.
+	key      string
+	bodySum  string
+	bodySize int64
+	result   Result
+	// skip is the number of entry VMs that could not be used so far.
 	skip int
-	// mayHaveRun is set once a try was sent and not proved to be not run.
+	// mayHaveRun is true once a try was sent that is not known to have not run.
 	mayHaveRun bool
 }
 
-// try sends the request once. It reports whether to try again and after what
-// wait.
-func (e *errand) try(ctx context.Context) (again bool, wait time.Duration) {
+// try sends the request once. It returns whether to retry and after what delay.
+func (e *call) try(ctx context.Context) (again bool, wait time.Duration) {
 	e.result.Tries++
-	entries, err := e.caller.book.entries(ctx, e.request.Service)
+	entries, err := e.caller.lookupCache.entries(ctx, e.request.Service)
 	if err != nil {
 		e.result.Answer, e.result.Reason = witness.AnswerUnsent, "look_up"
 		return true, 50 * time.Millisecond
 	}
 	vm := entries[e.skip%len(entries)]
 	e.chooseKey(vm)
-	t := e.send(ctx, vm)
+	t := e.sendTry(ctx, vm)
 	e.result.Answer, e.result.Reason, e.result.Ran, e.result.EntryVM = t.Answer, t.Reason, t.Ran, t.EntryVM
 	if e.caller.config.Reporter != nil {
 		e.caller.config.Reporter.Answered(t.Try)
 	}
-	return e.next(t)
+	return e.shouldRetry(t)
 }
 
-// chooseKey takes a key from the first entry VM used: it alone may run the key.
-func (e *errand) chooseKey(vm entryVM) {
+// chooseKey creates the request key with the prefix of the first entry VM used. Only
+// that entry VM may run requests with the key.
+func (e *call) chooseKey(vm entryVM) {
 	if e.key == "" && e.request.Kind != witness.KindRead {
 		e.key = e.caller.nextKey(vm.KeyPrefix)
 	}
 }
 
-// dropUnusedKey lets the next try take a key from the entry VM it goes to. The
-// entry VM that issued the key cannot be reached; while nothing may have run
-// under it, keeping it would only have the others answer that its outcome is
+// dropUnusedKey lets the next try use a key of the entry VM that it is sent to. The
+// entry VM of the current key is unreachable. As long as nothing can have run with
+// that key, keeping it would only make the other entry VMs answer that the outcome is
 // unknown.
-func (e *errand) dropUnusedKey() {
+func (e *call) dropUnusedKey() {
 	if !e.mayHaveRun {
 		e.key = ""
 	}
 }
 
-// tried is one try with what decides on a repeat.
-type tried struct {
+// tryResult is the result of one try with the time to wait before a retry.
+type tryResult struct {
 	witness.Try
 	retryAfter time.Duration
 }
 
-// next decides on a repeat. A request that may have run is repeated only when
-// it is idempotent, or under its key: the key's entry VM then gives the stored
-// outcome and never runs it again.
-func (e *errand) next(t tried) (again bool, wait time.Duration) {
+// shouldRetry decides whether to retry and after what delay. A request that may have
+// run is retried only if it is idempotent or has a key: the entry VM of the key then
+// returns the stored outcome and never runs the request again.
+func (e *call) shouldRetry(t tryResult) (again bool, wait time.Duration) {
 	if t.Answer != witness.AnswerUnsent && (t.Answer != witness.AnswerRefused || t.Ran != witness.RanNo) {
 		e.mayHaveRun = true
 	}
@@ -91,7 +91,7 @@
 		e.dropUnusedKey()
 		return true, 0
 	case witness.AnswerRefused:
-		return e.afterRefusal(t)
+		return e.shouldRetryRefused(t)
 	case witness.AnswerBroken:
 		e.skip++
 		return e.request.Kind == witness.KindRead || e.key != "", 0
@@ -99,22 +99,22 @@
 	return false, 0
 }
 
-func (e *errand) afterRefusal(t tried) (again bool, wait time.Duration) {
+func (e *call) shouldRetryRefused(t tryResult) (again bool, wait time.Duration) {
 	if t.Ran != witness.RanNo {
 		return e.request.Kind == witness.KindRead && t.retryAfter > 0, t.retryAfter
 	}
 	if t.Reason == "leaving" || t.Reason == "peer_unreachable" || t.Reason == "not_ready" {
-		e.caller.book.forget(e.request.Service)
+		e.caller.lookupCache.invalidate(e.request.Service)
 		e.skip++
 		return true, t.retryAfter
 	}
 	return t.retryAfter > 0, t.retryAfter
 }
 
-func (e *errand) send(ctx context.Context, vm entryVM) tried {
-	t := tried{Try: witness.Try{
+func (e *call) sendTry(ctx context.Context, vm entryVM) tryResult {
+	t := tryResult{Try: witness.Try{
 		Request: e.request.ID, Try: e.tryID(),
-		Kind: e.request.Kind, Start: time.Now(), EntryVM: vm.VM, SentBytes: e.size, SentSum: e.sum,
+		Kind: e.request.Kind, Start: time.Now(), EntryVM: vm.VM, SentBytes: e.bodySize, SentSum: e.bodySum,
 	}}
 	via := ""
 	r, err := e.build(ctx, vm, t.Try.Try)
@@ -123,19 +123,19 @@
 	}
 	t.End = time.Now()
 	if err != nil {
-		t.Answer = endOf(err)
+		t.Answer = classifyError(err)
 	}
-	cut := err != nil || t.Answer == witness.AnswerRefused && t.Ran != witness.RanNo
-	if excused := e.caller.config.Excused; excused != nil && cut {
+	interrupted := err != nil || t.Answer == witness.AnswerRefused && t.Ran != witness.RanNo
+	if excused := e.caller.config.Excused; excused != nil && interrupted {
 		t.Excused = excused(vm.VM, via, t.Start, t.End)
 	}
 	return t
 }
 
-// endOf classifies a try without an answer.
-func endOf(err error) witness.Answer {
+// classifyError classifies a try that ended with an error instead of an answer.
+func classifyError(err error) witness.Answer {
 	switch {
-	case unsent(err):
+	case isUnsent(err):
 		return witness.AnswerUnsent
 	case errors.Is(err, context.DeadlineExceeded):
 		return witness.AnswerLate
@@ -143,13 +143,13 @@
 	return witness.AnswerBroken
 }
 
-// unsent reports an error from before the first byte left.
-func unsent(err error) bool {
+// isUnsent reports whether err occurred before the first byte was sent.
+func isUnsent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-func (e *errand) build(ctx context.Context, vm entryVM, try string) (*http.Request, error) {
+func (e *call) build(ctx context.Context, vm entryVM, try string) (*http.Request, error) {
 	method := http.MethodGet
 	var body io.Reader
 	switch e.request.Kind {
@@ -171,15 +171,15 @@
 	return r, nil
 }
 
-// tryID names one try. Several callers may send the same request; were their
-// tries named alike, a refusal to one would be judged by the run of another.
-// One caller may also send it again later, so tries are counted over the
-// process.
-func (e *errand) tryID() string {
+// tryID returns an ID that is unique in this process. Several callers may send the
+// same request: if their tries had the same ID, the refusal of one try would be
+// checked against the run of another. A caller may also send the same request again
+// later, so the ID contains a counter for the whole process.
+func (e *call) tryID() string {
 	return fmt.Sprintf("%s/%s/%d", e.request.ID, e.caller.config.Source, tries.Add(1))
 }
 
-func (e *errand) setHeaders(r *http.Request, try string) {
+func (e *call) setHeaders(r *http.Request, try string) {
 	h := r.Header
 	h.Set(headerService, e.request.Service)
 	h.Set(headerTimeoutMs, strconv.FormatInt(e.remaining().Milliseconds(), 10))
@@ -195,12 +195,13 @@
 	}
 }
 
-func (e *errand) remaining() time.Duration {
+func (e *call) remaining() time.Duration {
 	return max(time.Until(e.deadline), time.Millisecond)
 }
 
-// exchange sends the request, reads the answer and classifies it.
-func (e *errand) exchange(r *http.Request, t *tried) (via string, err error) {
+// exchange sends the request, reads the answer and classifies it. It returns the value
+// of the Via header.
+func (e *call) exchange(r *http.Request, t *tryResult) (via string, err error) {
 	reply, err := e.caller.client.Do(r)
 	if err != nil {
 		return "", err
@@ -213,16 +214,16 @@
 		drain(reply.Body)
 		return via, nil
 	}
-	// One byte more than asked for shows an answer that is too long.
+	// The extra byte reveals an answer longer than the maximum.
 	body, err := io.ReadAll(io.LimitReader(reply.Body, int64(witness.MaxAnswerBytes)+1))
 	if err != nil {
 		return via, err
 	}
-	t.Answer = e.judge(reply.StatusCode, body)
+	t.Answer = e.classifyResponse(reply.StatusCode, body)
 	return via, nil
 }
 
-func (e *errand) judge(status int, body []byte) witness.Answer {
+func (e *call) classifyResponse(status int, body []byte) witness.Answer {
 	if status != http.StatusOK {
 		return witness.AnswerFailed
 	}
--- a/cmd/internal/caller/caller.go
+++ b/cmd/internal/caller/caller.go
@@ -14,7 +14,7 @@
 	"heatherlock/standin/witness"
 )
 
-// Headers of the data path.
+// Names of request and response headers.
 const (
 	headerService    = "Heatherlock-Service"
 	headerKey        = "Heatherlock-Key"
@@ -26,66 +26,71 @@
 	headerCrash      = "Standin-Crash"
 )
 
-// Bounds on what a caller does by itself.
+// Limits of the retries and connections of a caller.
 const (
-	// maxTries bounds the tries of one request.
+	// maxTries is the maximum number of tries of one request.
 	maxTries = 3
-	// maxIdle is the number of idle connections kept to one entry VM.
+	// maxIdle is the maximum number of idle connections to one entry VM.
 	maxIdle = 32
-	// minWait is the shortest pause before a repeat.
+	// minWait is the minimum delay before a retry.
 	minWait = 5 * time.Millisecond
-	// answerGrace is how long after its deadline a caller still waits for the
-	// system to say what became of the request.
+	// answerGrace is how long after the deadline a caller still waits for the system
+	// to report the outcome of the request.
 	answerGrace = 500 * time.Millisecond
 )
 
-// Reporter takes the caller's word on each try.
+// Reporter receives the result of each try as the caller saw it.
 type Reporter interface {
 	Answered(witness.Try)
 }
 
-// Config describes a caller.
+// Config is the configuration of a caller.
 type Config struct {
-	// Home is the place whose client block holds Source.
-	Home   string
+	// Home is the place whose client block contains Source.
+	Home string
+	// Source is the local address of the caller's connections. If it is not valid,
+	// the operating system chooses one.
 	Source netip.Addr
-	// Bootstrap holds the callers' addresses of some entry VMs.
+	// Bootstrap holds the caller addresses of the entry VMs to send look-ups to.
 	Bootstrap []string
-	Reporter  Reporter
-	// Phase is the share of the time to live that has passed when the caller
-	// first uses a look-up answer, 0 up to 1: callers that have used the system
-	// for a while do not look up all at once.
+	// Reporter may be nil.
+	Reporter Reporter
+	// Phase is the share of the time to live, from 0 to 1, by which the caching of
+	// the first look-up answer is shortened. It spreads the look-ups of callers, as
+	// those of callers that have used the system for a while are spread.
 	Phase float64
-	// Excused says whether a planted fault killed one of the entry VMs named
-	// (the first, and those of the Via header) between two times. May be nil.
+	// Excused reports whether an injected fault between two times may have interrupted
+	// a try on a path through entryVM and the entry VMs in via, the value of the Via
+	// header. It may be nil.
 	Excused func(entryVM, via string, from, to time.Time) bool
-	// Link puts the caller's connections behind a link. May be nil.
-	Link func(Dial) Dial
+	// WrapDial wraps the function that opens the caller's connections, for example to
+	// add a delay. It may be nil.
+	WrapDial func(Dial) Dial
 }
 
-// Dial opens a connection.
+// Dial is a function that opens a connection.
 type Dial = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Caller is one client address.
+// Caller emulates the client at one address.
 type Caller struct {
-	config Config
-	client *http.Client
-	book   *book
-	keys   atomic.Int64
-	// life makes keys unique: another process may send from the same address,
-	// and a key that was used for another request is refused.
-	life string
+	config      Config
+	client      *http.Client
+	lookupCache *lookupCache
+	keys        atomic.Int64
+	// instanceID makes request keys unique: another process may send from the same
+	// address, and a key that was already used for a different request is refused.
+	instanceID string
 }
 
-// New returns a caller. Close it when done.
+// New returns a caller. It must be closed after use.
 func New(config Config) *Caller {
 	dialer := &net.Dialer{Timeout: 2 * time.Second}
 	if config.Source.IsValid() {
 		dialer.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(config.Source, 0))
 	}
 	dial := dialer.DialContext
-	if config.Link != nil {
-		dial = config.Link(dial)
+	if config.WrapDial != nil {
+		dial = config.WrapDial(dial)
 	}
 	client := &http.Client{Transport: &http.Transport{
 		DialContext:         dial,
@@ -93,32 +98,33 @@
 		IdleConnTimeout:     30 * time.Second,
 		DisableCompression:  true,
 	}}
-	return &Caller{config: config, client: client, life: rand.Text(), book: newBook(client, config.Bootstrap, config.Phase)}
+	return &Caller{config: config, client: client, instanceID: rand.Text(), lookupCache: newLookupCache(client, config.Bootstrap, config.Phase)}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Caller) Close() { c.client.CloseIdleConnections() }
 
-// Home returns the caller's place.
+// Home returns Config.Home.
 func (c *Caller) Home() string { return c.config.Home }
 
-// Request is what a caller wants.
+// Request is a request of a caller.
 type Request struct {
-	ID      string // unique
+	ID      string // unique per request
 	Service string
 	Kind    witness.Kind
 	Timeout time.Duration
-	// AnswerBytes is the size of the answer asked for.
+	// AnswerBytes is the size of the requested answer.
 	AnswerBytes int
-	// UploadBytes and UploadTime describe an upload; its body is sent evenly
-	// over UploadTime.
+	// UploadBytes and UploadTime describe an upload. Its body is sent at a constant
+	// rate over UploadTime.
 	UploadBytes int
 	UploadTime  time.Duration
-	// CrashMarker marks a request that crashes targets.
+	// CrashMarker, if not empty, makes the request crash the targets that run it.
 	CrashMarker string
 }
 
-// Result is how a request ended after all its tries.
+// Result is the result of a request after all its tries. Answer, Reason, Ran and
+// EntryVM are those of the last try.
 type Result struct {
 	Answer  witness.Answer
 	Reason  string
@@ -127,22 +133,22 @@
 	EntryVM string
 }
 
-// Do carries a request to its end: one try, and repeats by the rules.
+// Do sends a request, retries it as far as that is safe, and returns the result.
 func (c *Caller) Do(ctx context.Context, r Request) Result {
 	ctx, cancel := context.WithTimeout(ctx, r.Timeout+answerGrace)
 	defer cancel()
-	e := &errand{caller: c, request: r, deadline: time.Now().Add(r.Timeout)}
-	e.sum, e.size = r.uploadSum()
+	e := &call{caller: c, request: r, deadline: time.Now().Add(r.Timeout)}
+	e.bodySum, e.bodySize = r.uploadSum()
 	for e.result.Tries < maxTries {
 		again, wait := e.try(ctx)
-		if !again || !e.pause(ctx, wait) {
+		if !again || !e.waitForRetry(ctx, wait) {
 			break
 		}
 	}
 	return e.result
 }
 
-func (e *errand) pause(ctx context.Context, d time.Duration) bool {
+func (e *call) waitForRetry(ctx context.Context, d time.Duration) bool {
 	if time.Until(e.deadline) <= d {
 		return false
 	}
@@ -165,11 +171,11 @@
 	if prefix == "" {
 		return ""
 	}
-	return fmt.Sprintf("%s.%s-%08d", prefix, c.life, c.keys.Add(1))
+	return fmt.Sprintf("%s.%s-%08d", prefix, c.instanceID, c.keys.Add(1))
 }
 
-// Reach looks a service up, to see that an entry VM answers.
+// Reach looks up a service and returns an error if no entry VM answers.
 func (c *Caller) Reach(ctx context.Context, service string) error {
-	_, err := c.book.entries(ctx, service)
+	_, err := c.lookupCache.entries(ctx, service)
 	return err
 }
--- a/cmd/internal/caller/caller_test.go
+++ b/cmd/internal/caller/caller_test.go
@@ -15,8 +15,9 @@
 	"heatherlock/standin/witness"
 )
 
-// entry is a fake entry VM whose answer to each try is scripted.
-type entry struct {
+// fakeEntryVM answers look-ups with itself and each try with the next handler of its
+// script. The last handler answers all further tries.
+type fakeEntryVM struct {
 	mu      sync.Mutex
 	address string
 	prefix  string
@@ -25,16 +26,16 @@
 	lookups int
 }
 
-func startEntry(t *testing.T, prefix string, script ...http.HandlerFunc) *entry {
+func startFakeEntryVM(t *testing.T, prefix string, script ...http.HandlerFunc) *fakeEntryVM {
 	t.Helper()
-	e := &entry{prefix: prefix, script: script}
+	e := &fakeEntryVM{prefix: prefix, script: script}
 	server := httptest.NewServer(e)
 	t.Cleanup(server.Close)
 	e.address = strings.TrimPrefix(server.URL, "http://")
 	return e
 }
 
-func (e *entry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *fakeEntryVM) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	if r.URL.Path == "/v1/lookup" {
 		e.lookups++
@@ -48,8 +49,8 @@
 	step(w, r)
 }
 
-// seen returns the tries so far.
-func (e *entry) seen() []*http.Request {
+// received returns the tries received so far.
+func (e *fakeEntryVM) received() []*http.Request {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.tries)
@@ -59,14 +60,14 @@
 	_, _ = w.Write(witness.Body(r.Header.Get(witness.HeaderRequest), 64))
 }
 
-func crossed(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(witness.Body("other", 64)) }
+func misrouted(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(witness.Body("other", 64)) }
 
-func short(w http.ResponseWriter, _ *http.Request) {
+func truncated(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Length", "64")
 	_, _ = w.Write([]byte("half"))
 }
 
-func broken(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+func aborted(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
 func refused(ran, retryAfter string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
@@ -77,10 +78,10 @@
 	}
 }
 
-// Symptom: a purchase is charged twice, or given up although it could be
-// repeated. Cause: a caller that repeats what may have run without its key, or
-// under another key.
-func TestRepeatsOnlyByTheRules(t *testing.T) {
+// Guards against a purchase that is charged twice because the caller retries a request
+// that may have run without its key or with another key, and against a purchase that
+// is abandoned although a retry is safe.
+func TestRetriesOnlyWhereSafe(t *testing.T) {
 	cases := []struct {
 		name   string
 		kind   witness.Kind
@@ -94,21 +95,21 @@
 		{"not run, no time to come back", witness.KindPurchase, "inc", []http.HandlerFunc{refused("no", "")}, 1, witness.AnswerRefused},
 		{"may have run", witness.KindPurchase, "inc", []http.HandlerFunc{refused("unknown", "1")}, 1, witness.AnswerRefused},
 		{"read may have run", witness.KindRead, "inc", []http.HandlerFunc{refused("unknown", "1"), whole}, 2, witness.AnswerWhole},
-		{"broken off with a key", witness.KindPurchase, "inc", []http.HandlerFunc{broken, whole}, 2, witness.AnswerWhole},
-		{"broken off without a key", witness.KindPurchase, "", []http.HandlerFunc{broken}, 1, witness.AnswerBroken},
-		{"short is broken off", witness.KindUpload, "", []http.HandlerFunc{short}, 1, witness.AnswerBroken},
-		{"crossed is wrong", witness.KindRead, "inc", []http.HandlerFunc{crossed}, 1, witness.AnswerWrong},
+		{"broken off with a key", witness.KindPurchase, "inc", []http.HandlerFunc{aborted, whole}, 2, witness.AnswerWhole},
+		{"broken off without a key", witness.KindPurchase, "", []http.HandlerFunc{aborted}, 1, witness.AnswerBroken},
+		{"short is broken off", witness.KindUpload, "", []http.HandlerFunc{truncated}, 1, witness.AnswerBroken},
+		{"crossed is wrong", witness.KindRead, "inc", []http.HandlerFunc{misrouted}, 1, witness.AnswerWrong},
 		{"no end of refusals", witness.KindRead, "inc", []http.HandlerFunc{refused("no", "1")}, maxTries, witness.AnswerRefused},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			e := startEntry(t, c.prefix, c.script...)
+			e := startFakeEntryVM(t, c.prefix, c.script...)
 			from := New(Config{Bootstrap: []string{e.address}})
 			defer from.Close()
 			result := from.Do(t.Context(), Request{ID: "r", Service: "s", Kind: c.kind, Timeout: 10 * time.Second, AnswerBytes: 64, UploadBytes: 100})
 			assert.Equal(t, result.Tries, c.tries)
 			assert.Equal(t, result.Answer, c.end)
-			tries := e.seen()
+			tries := e.received()
 			assert.Equal(t, len(tries), c.tries)
 			for _, r := range tries {
 				assert.Equal(t, r.Header.Get(headerKey), tries[0].Header.Get(headerKey))
@@ -118,21 +119,21 @@
 	}
 }
 
-func TestLookupIsKeptForItsTimeToLive(t *testing.T) {
-	e := startEntry(t, "inc", whole)
+func TestLookupIsCachedForItsTimeToLive(t *testing.T) {
+	e := startFakeEntryVM(t, "inc", whole)
 	from := New(Config{Bootstrap: []string{e.address}})
 	defer from.Close()
 	for i := range 3 {
 		from.Do(t.Context(), Request{ID: fmt.Sprint(i), Service: "s", Timeout: time.Second, AnswerBytes: 64})
 	}
 	assert.Equal(t, e.lookups, 1)
-	from.book.forget("s")
+	from.lookupCache.invalidate("s")
 	assert.NilError(t, from.Reach(t.Context(), "s"))
 	assert.Equal(t, e.lookups, 2)
 }
 
-func TestFirstAnswerMayBePartlyUsedUp(t *testing.T) {
-	e := startEntry(t, "inc", whole)
+func TestPhaseShortensTheFirstCaching(t *testing.T) {
+	e := startFakeEntryVM(t, "inc", whole)
 	from := New(Config{Bootstrap: []string{e.address}, Phase: 1})
 	defer from.Close()
 	assert.NilError(t, from.Reach(t.Context(), "s"))
@@ -141,23 +142,23 @@
 	assert.Equal(t, e.lookups, 2)
 }
 
-// Symptom: a load test's purchases are refused with key_mismatch. Sequence: it
-// sends from the addresses of callers that used the system before. Cause: keys
-// made of the address and a count.
+// Guards against purchases of a load test that are refused with key_mismatch: it sends
+// from addresses that other callers used before, so a key made only of address and
+// counter would repeat an earlier one.
 func TestKeysOfTwoCallersAtOneAddressDiffer(t *testing.T) {
-	e := startEntry(t, "inc", whole)
+	e := startFakeEntryVM(t, "inc", whole)
 	for range 2 {
 		from := New(Config{Bootstrap: []string{e.address}})
 		from.Do(t.Context(), Request{ID: "r", Service: "s", Kind: witness.KindPurchase, Timeout: time.Second, AnswerBytes: 64})
 		from.Close()
 	}
-	tries := e.seen()
+	tries := e.received()
 	assert.Check(t, tries[0].Header.Get(headerKey) != tries[1].Header.Get(headerKey))
 }
 
 func TestTriesAreReported(t *testing.T) {
 	w := witness.New()
-	e := startEntry(t, "inc", refused("no", "1"), whole)
+	e := startFakeEntryVM(t, "inc", refused("no", "1"), whole)
 	from := New(Config{Bootstrap: []string{e.address}, Reporter: w})
 	defer from.Close()
 	from.Do(t.Context(), Request{ID: "r", Service: "s", Kind: witness.KindUpload, Timeout: time.Second, AnswerBytes: 64, UploadBytes: 1000})
@@ -168,11 +169,10 @@
 	assert.Equal(t, v.UploadsCut, 1, "no target received the acknowledged upload")
 }
 
-// Symptom: a purchase that nobody ran ends as "outcome unknown". Sequence: the
-// entry VM that issued the key is gone before anything is sent to it; the
-// caller goes to the next one with the same key. Cause: a key that is kept
-// although nothing may have run under it.
-func TestKeyOfAnEntryVMThatCannotBeReachedIsDropped(t *testing.T) {
+// Guards against a purchase that never ran but ends as "outcome unknown": the entry VM
+// of the key is unreachable before anything is sent to it, and the caller sends the
+// same key to the next one although nothing can have run with it.
+func TestKeyOfUnreachableEntryVMIsDropped(t *testing.T) {
 	dead := httptest.NewServer(nil)
 	deadAddress := strings.TrimPrefix(dead.URL, "http://")
 	dead.Close()
--- a/cmd/internal/caller/doc.go
+++ b/cmd/internal/caller/doc.go
@@ -1,8 +1,8 @@
-// Package caller emulates the callers of a deployment: it looks entry VMs up,
-// keeps the answer for its time to live, sends requests of every kind under
-// request keys, checks that the whole answer to its own request came back, and
-// repeats only what the rules allow. quickstart and the load tool use it.
+// Package caller emulates the callers of a deployment. A caller looks up entry VMs,
+// caches the answer for its time to live, sends requests of every kind with request
+// keys, checks that it received the complete answer to its own request, and retries
+// only where that is safe. The quickstart and load commands use it.
 //
-// Limits: one Caller stands for one client address; its delays are those of
+// Limitations: a Caller represents one client address, and its delays are those of
 // loopback.
 package caller
--- a/cmd/internal/caller/lookup.go
+++ b/cmd/internal/caller/lookup.go
@@ -12,7 +12,7 @@
 	"github.com/go-faster/errors"
 )
 
-// lookupTimeout bounds one look-up.
+// lookupTimeout limits one look-up.
 const lookupTimeout = 2 * time.Second
 
 // entryVM is one entry VM of a look-up answer.
@@ -22,73 +22,75 @@
 	KeyPrefix string `json:"keyPrefix"`
 }
 
-// lookupAnswer is the answer of GET /v1/lookup.
+// lookupAnswer is the response body of GET /v1/lookup.
 type lookupAnswer struct {
 	Place    string    `json:"place"`
 	EntryVMs []entryVM `json:"entryVMs"`
 	TTLMs    int64     `json:"ttlMs"`
 }
 
-// book keeps look-up answers for their time to live.
-type book struct {
+// lookupCache caches look-up answers for their time to live.
+type lookupCache struct {
 	client    *http.Client
 	bootstrap []string
 	phase     float64
 
 	mu      sync.Mutex
-	pages   map[string]page
+	cached  map[string]cachedAnswer
 	next    int
 	lookups int
 }
 
-type page struct {
-	answer lookupAnswer
-	until  time.Time
+type cachedAnswer struct {
+	answer  lookupAnswer
+	expires time.Time
 }
 
-func newBook(client *http.Client, bootstrap []string, phase float64) *book {
-	return &book{client: client, bootstrap: bootstrap, phase: phase, pages: map[string]page{}}
+func newLookupCache(client *http.Client, bootstrap []string, phase float64) *lookupCache {
+	return &lookupCache{client: client, bootstrap: bootstrap, phase: phase, cached: map[string]cachedAnswer{}}
 }
 
-// entries returns the entry VMs to use for a service, best first.
-func (b *book) entries(ctx context.Context, service string) ([]entryVM, error) {
+// entries returns the entry VMs to use for a service, best first, from the cache or
+// by a look-up.
+func (b *lookupCache) entries(ctx context.Context, service string) ([]entryVM, error) {
 	b.mu.Lock()
-	p, ok := b.pages[service]
+	p, ok := b.cached[service]
 	b.mu.Unlock()
 	now := time.Now()
-	if ok && now.Before(p.until) {
+	if ok && now.Before(p.expires) {
 		return p.answer.EntryVMs, nil
 	}
-	answer, err := b.ask(ctx, service)
+	answer, err := b.lookUp(ctx, service)
 	if err != nil && ok {
-		// No entry VM answers a look-up: the old answer is better than none.
+		// An expired answer is better than none if no entry VM answers the look-up.
 		return p.answer.EntryVMs, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	keep := time.Duration(answer.TTLMs) * time.Millisecond
+	ttl := time.Duration(answer.TTLMs) * time.Millisecond
 	if !ok {
-		keep = time.Duration(float64(keep) * (1 - b.phase))
+		ttl = time.Duration(float64(ttl) * (1 - b.phase))
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.pages[service] = page{answer: answer, until: now.Add(keep)}
+	b.cached[service] = cachedAnswer{answer: answer, expires: now.Add(ttl)}
 	return answer.EntryVMs, nil
 }
 
-// forget drops a service's answer, so that the next request looks up again.
-func (b *book) forget(service string) {
+// invalidate removes the answer for a service, so that the next request looks it up
+// again.
+func (b *lookupCache) invalidate(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	delete(b.pages, service)
+	delete(b.cached, service)
 }
 
-// ask tries the known entry VMs in turn.
-func (b *book) ask(ctx context.Context, service string) (lookupAnswer, error) {
+// lookUp sends a look-up to the bootstrap entry VMs in turn until one answers.
+func (b *lookupCache) lookUp(ctx context.Context, service string) (lookupAnswer, error) {
 	var last error
 	for range b.bootstrap {
-		answer, err := b.askOne(ctx, b.turn(), service)
+		answer, err := b.lookUpAt(ctx, b.nextBootstrap(), service)
 		if err == nil {
 			return answer, nil
 		}
@@ -100,7 +102,7 @@
 	return lookupAnswer{}, errors.Wrap(last, "caller: no entry VM answered the look-up; check the addresses given")
 }
 
-func (b *book) turn() string {
+func (b *lookupCache) nextBootstrap() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	address := b.bootstrap[b.next%len(b.bootstrap)]
@@ -109,7 +111,7 @@
 	return address
 }
 
-func (b *book) askOne(ctx context.Context, address, service string) (lookupAnswer, error) {
+func (b *lookupCache) lookUpAt(ctx context.Context, address, service string) (lookupAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
 	target := "http://" + address + "/v1/lookup?service=" + url.QueryEscape(service)
--- a/cmd/internal/quickstart/callers.go
+++ b/cmd/internal/quickstart/callers.go
@@ -40,7 +40,7 @@
 			r.callers[z.Name] = append(r.callers[z.Name], caller.New(caller.Config{
 				Home: z.Name, Source: traffic.SourceIn(z.Block, i), Bootstrap: bootstrap,
 				Reporter: r.system.witness, Excused: r.system.excused, Phase: phases.Float64(),
-				Link: func(dial caller.Dial) caller.Dial {
+				WrapDial: func(dial caller.Dial) caller.Dial {
 					return r.system.network.withZoneDelay(dial, z.Name, d.Delays.Clients)
 				},
 			}))
@@ -75,7 +75,7 @@
 		for i := range burstRequests {
 			request := traffic.RequestFor(s, fmt.Sprintf("rush-%s-%d", s.Name, i))
 			request.Timeout = burstTimeout
-			r.traffic.Send(traffic.Errand{From: r.callers[zone][i%callersPerZone], Request: request})
+			r.traffic.SendDirect(traffic.DirectRequest{From: r.callers[zone][i%callersPerZone], Request: request})
 		}
 	}
 }
@@ -91,7 +91,7 @@
 		for _, place := range d.PlacesOf(d.ShiftFrom) {
 			for i := range uploadsPerZone {
 				request := traffic.RequestFor(s, fmt.Sprintf("%s-%s-%s-%d", name, s.Name, place, i))
-				r.traffic.Send(traffic.Errand{From: r.callers[place][i], Request: request})
+				r.traffic.SendDirect(traffic.DirectRequest{From: r.callers[place][i], Request: request})
 			}
 		}
 	}
@@ -117,10 +117,10 @@
 	request.CrashMarker = crashMarker
 	callers := r.callers[r.system.faultZone()]
 	for i := range crashSenders {
-		var errands []traffic.Errand
+		var errands []traffic.DirectRequest
 		for j := range 1 + crashRepeats {
-			errands = append(errands, traffic.Errand{From: callers[(i+j)%len(callers)], Request: request})
+			errands = append(errands, traffic.DirectRequest{From: callers[(i+j)%len(callers)], Request: request})
 		}
-		r.traffic.Send(errands...)
+		r.traffic.SendDirect(errands...)
 	}
 }
--- a/cmd/internal/quickstart/progress.go
+++ b/cmd/internal/quickstart/progress.go
@@ -20,7 +20,7 @@
 	for ctx.Err() == nil {
 		c := r.traffic.Counts()
 		fmt.Fprintf(r.screen.Out, "\r\x1b[K%5.1fs  %d requests  %d answered  %d refused  %d under way  shift %d%% moved",
-			time.Since(started).Seconds(), c.Requests, c.Answered, c.Refused, r.traffic.Carried(), r.operator.shiftProgress(ctx))
+			time.Since(started).Seconds(), c.Requests, c.Answered, c.Refused, r.traffic.InFlight(), r.operator.shiftProgress(ctx))
 		select {
 		case <-ctx.Done():
 		case <-time.After(progressInterval):
--- a/cmd/internal/traffic/traffic.go
+++ b/cmd/internal/traffic/traffic.go
@@ -88,8 +88,8 @@
 // Wait waits for the requests under way.
 func (t *Traffic) Wait() { t.running.Wait() }
 
-// Carried returns the requests under way.
-func (t *Traffic) Carried() int { return int(t.carried.Load()) }
+// InFlight returns the requests under way.
+func (t *Traffic) InFlight() int { return int(t.carried.Load()) }
 
 // flow makes an open loop of arrivals: a slow answer holds back no later
 // request.
@@ -137,14 +137,14 @@
 	})
 }
 
-// Errand is a request that one caller sends beside the streams.
-type Errand struct {
+// DirectRequest is a request that one caller sends beside the streams.
+type DirectRequest struct {
 	From    *caller.Caller
 	Request caller.Request
 }
 
-// Send sends errands one after another, beside the streams.
-func (t *Traffic) Send(errands ...Errand) {
+// SendDirect sends errands one after another, beside the streams.
+func (t *Traffic) SendDirect(errands ...DirectRequest) {
 	t.running.Go(func() {
 		for _, e := range errands {
 			due := time.Now()
