--- a/cmd/internal/load/doc.go
+++ b/cmd/internal/load/doc.go
@@ -1,7 +1,8 @@
-// Package load drives a running system with callers' work at open-loop arrival
-// rates and reports what came back.
+// Package load sends the requests of callers to a running system at open-loop
+// arrival rates and reports the results.
 //
-// Limits: rate, time and requests are bounded, and it refuses entry VMs that
-// are not on loopback unless told explicitly. Whole answers are checked byte by
-// byte, which only the target stand-ins satisfy.
+// Limitations: rate, duration and number of requests are limited, and entry VMs that
+// are not on loopback are refused unless explicitly allowed. Answers are compared byte
+// by byte with those of the target stand-ins, so the load tool works with no other
+// targets.
 package load
--- a/cmd/internal/load/load_test.go
+++ b/cmd/internal/load/load_test.go
@@ -22,9 +22,10 @@
 	return Options{Entries: []string{"127.0.0.1:1"}, Deployment: deploy.ChileName, Rate: 100, For: time.Second, Seed: 1}
 }
 
-// Symptom: a load test hits a live system. Cause: an address that is not
-// loopback, or a host name that may resolve to one that is not, was let through.
-func TestRefusesWhatItMustNotLoad(t *testing.T) {
+// Guards against a load test of a production system by mistake: an address that is not
+// on loopback, or a host name that may resolve to such an address, must be refused. It
+// also checks the other limits.
+func TestOptionsOutsideTheLimitsAreRefused(t *testing.T) {
 	cases := map[string]func(*Options){
 		"no entry VM":            func(o *Options) { o.Entries = nil },
 		"not on loopback":        func(o *Options) { o.Entries = []string{"192.0.2.1:80"} },
@@ -40,9 +41,9 @@
 		"no service \"x\"":       func(o *Options) { o.Mix = "x=1" },
 		"gives no service":       func(o *Options) { o.Mix = "schedule=0" },
 	}
-	for want, spoil := range cases {
+	for want, modify := range cases {
 		o := options()
-		spoil(&o)
+		modify(&o)
 		assert.ErrorContains(t, o.Check(), want)
 	}
 	remote := options()
@@ -50,8 +51,8 @@
 	assert.NilError(t, remote.Check())
 }
 
-// fakeEntryVM answers look-ups with itself and every request with its whole
-// answer.
+// fakeEntryVM starts an entry VM that answers look-ups with itself, refuses requests
+// for the service "passes" and answers all others completely. It returns its address.
 func fakeEntryVM(t *testing.T) string {
 	t.Helper()
 	var self string
--- a/cmd/internal/load/options.go
+++ b/cmd/internal/load/options.go
@@ -14,31 +14,32 @@
 	"heatherlock/standin/deploy"
 )
 
-// Bounds of a run.
+// Limits of a run.
 const (
 	maxRate     = 50_000
 	maxFor      = 10 * time.Minute
 	maxRequests = 5_000_000
 )
 
-// Options are the choices of a run.
+// Options are the options of a run.
 type Options struct {
-	// Entries are callers' addresses of entry VMs, to look others up.
+	// Entries are the caller addresses of the entry VMs to send look-ups to.
 	Entries    []string
 	Deployment string
-	// Mix gives each service's share of the rate; empty takes the shares that
-	// load all targets alike.
+	// Mix is the share of each service in the rate, as SERVICE=SHARE separated by
+	// commas. If it is empty, the shares are such that all targets have the same
+	// utilization.
 	Mix  string
 	Rate float64 // requests a second over all services
 	For  time.Duration
 	Seed uint64
-	// AllowRemote lets work go to entry VMs that are not on loopback.
+	// AllowRemote allows entry VMs that are not on loopback.
 	AllowRemote bool
 	JSONFile    string
 	PlotFile    string // .svg or .png
 }
 
-// Check reports the first option out of bounds, with the remedy.
+// Check returns an error with a remedy for the first invalid option.
 func (o Options) Check() error {
 	if len(o.Entries) == 0 {
 		return fmt.Errorf("load: no entry VM; give --entry HOST:PORT of a callers' listener")
@@ -68,8 +69,9 @@
 	return err
 }
 
-// checkEntry refuses what is not plainly on loopback: a host name may resolve
-// to anything by the time it is used, so only IP addresses count.
+// checkEntry returns an error for an address that is not on loopback, unless remote
+// entry VMs are allowed. A host name is never accepted as loopback, because it may
+// resolve to a different address by the time it is used.
 func (o Options) checkEntry(entry string) error {
 	host, port, err := net.SplitHostPort(entry)
 	if err != nil || port == "" {
@@ -86,13 +88,13 @@
 	return err == nil && address.IsLoopback()
 }
 
-// share is one service's part of the rate.
+// share is the part of the rate that one service gets.
 type share struct {
 	service deploy.Service
 	part    float64
 }
 
-// shares returns the parts of the services, which add up to one.
+// shares returns the shares of the services. Their parts add up to 1.
 func (o Options) shares(d deploy.Deployment) ([]share, error) {
 	if o.Mix == "" {
 		return evenShares(d), nil
--- a/cmd/internal/load/plot.go
+++ b/cmd/internal/load/plot.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// plotFormats are the file endings a plot can be written as.
+// plotFormats are the file name extensions of the supported plot formats.
 var plotFormats = []string{".svg", ".png"}
 
 const (
@@ -20,10 +20,11 @@
 	plotHeight = 12 * vg.Centimeter
 )
 
-// quantiles are the points of the plot, in percent.
+// quantiles are the quantiles that the plot shows, in percent.
 var quantiles = []float64{0, 10, 25, 50, 75, 90, 95, 97.5, 99, 99.5, 99.9, 99.99}
 
-// WritePlot draws latency against the share of answers at least as slow.
+// WritePlot plots the latency of each service by quantile. The extension of path
+// selects the format.
 func (r *Report) WritePlot(path string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s: latency at %.0f requests a second, seed %d", r.Deployment, r.RateAsked, r.Seed)
@@ -36,7 +37,7 @@
 	p.Add(plotter.NewGrid())
 	var lines []any
 	for _, service := range slices.Sorted(maps.Keys(r.histograms)) {
-		lines = append(lines, service, curve(r.histograms[service]))
+		lines = append(lines, service, quantileCurve(r.histograms[service]))
 	}
 	if err := plotutil.AddLinePoints(p, lines...); err != nil {
 		return fmt.Errorf("load: plot: %w", err)
@@ -47,9 +48,9 @@
 	return nil
 }
 
-// curve gives one point for each quantile, evenly spaced, so that the tail is
-// as wide as the middle.
-func curve(h *hdrhistogram.Histogram) plotter.XYs {
+// quantileCurve returns one point for each quantile. The points are evenly spaced, so
+// that the tail of the distribution is as wide as its middle.
+func quantileCurve(h *hdrhistogram.Histogram) plotter.XYs {
 	points := make(plotter.XYs, len(quantiles))
 	for i, q := range quantiles {
 		points[i].X = float64(i)
--- a/cmd/internal/load/report.go
+++ b/cmd/internal/load/report.go
@@ -13,13 +13,13 @@
 	"heatherlock/cmd/internal/traffic"
 )
 
-// Report is the outcome of a run.
+// Report is the result of a run.
 type Report struct {
 	Deployment string  `json:"deployment"`
 	Seed       uint64  `json:"seed"`
 	RateAsked  float64 `json:"rate_asked"`
-	// RateSent is requests sent a second; lower than asked when the emulator
-	// could not keep up.
+	// RateSent is the number of requests sent per second. It is lower than RateAsked
+	// if the emulator could not keep up.
 	RateSent  float64                    `json:"rate_sent"`
 	Seconds   float64                    `json:"seconds"`
 	Requests  int                        `json:"requests"`
@@ -37,11 +37,11 @@
 	histograms map[string]*hdrhistogram.Histogram
 }
 
-func newReport(o Options, t *traffic.Traffic, sent, whole time.Duration) *Report {
+func newReport(o Options, t *traffic.Traffic, sent, total time.Duration) *Report {
 	c := t.Counts()
 	r := &Report{
 		Deployment: o.Deployment, Seed: o.Seed, RateAsked: o.Rate, RateSent: float64(c.Requests) / sent.Seconds(),
-		Seconds: whole.Seconds(), Requests: c.Requests, Answered: c.Answered, Refused: c.Refused, Wrong: c.Wrong,
+		Seconds: total.Seconds(), Requests: c.Requests, Answered: c.Answered, Refused: c.Refused, Wrong: c.Wrong,
 		Broken: c.Broken, Failed: c.Failed, Unsent: c.Unsent, Late: c.Late, Dropped: c.Dropped,
 		Refusals: t.Refusals(), LatencyMs: t.Latencies(), histograms: map[string]*hdrhistogram.Histogram{},
 	}
@@ -51,7 +51,7 @@
 	return r
 }
 
-// WriteJSON writes the report as one object.
+// WriteJSON writes the report to a file as one JSON object.
 func (r *Report) WriteJSON(path string) error {
 	return command.WriteReport(path, r)
 }
--- a/cmd/internal/load/run.go
+++ b/cmd/internal/load/run.go
@@ -10,10 +10,11 @@
 	"heatherlock/standin/deploy"
 )
 
-// callersPerZone is the number of client addresses in each zone's block.
+// callersPerZone is the number of callers in each zone.
 const callersPerZone = 24
 
-// Run sends the work and returns the report.
+// Run sends requests for o.For, waits for those in flight and returns the report. It
+// returns an error if no entry VM answers a look-up.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -33,16 +34,17 @@
 	}
 	run := fmt.Sprintf("load%x-", time.Now().UnixNano())
 	t := traffic.New(streams, o.Seed, run)
-	begun := time.Now()
+	started := time.Now()
 	limited, end := context.WithTimeout(ctx, o.For)
 	defer end()
 	t.Run(limited)
-	sent := time.Since(begun)
+	sent := time.Since(started)
 	t.Wait()
-	return newReport(o, t, sent, time.Since(begun)), nil
+	return newReport(o, t, sent, time.Since(started)), nil
 }
 
-// streams divides the rate over zones and services.
+// streams divides the rate among zones and services. It returns the streams and all
+// their callers.
 func (o Options) streams(d deploy.Deployment, shares []share) ([]traffic.Stream, []*caller.Caller) {
 	var streams []traffic.Stream
 	var all []*caller.Caller
@@ -59,8 +61,9 @@
 	return streams, all
 }
 
-// callers returns a zone's callers. On loopback each has an address of the
-// zone's client block; elsewhere the machine's own address is all there is.
+// callers returns the callers of a zone. On loopback, each caller sends from its own
+// address in the zone's client block. With remote entry VMs, only the address of this
+// machine is available.
 func (o Options) callers(z deploy.Zone) []*caller.Caller {
 	var all []*caller.Caller
 	for i := range callersPerZone {
