--- a/cmd/internal/traffic/doc.go
+++ b/cmd/internal/traffic/doc.go
@@ -1,7 +1,7 @@
-// Package traffic sends callers' work at seeded, open-loop arrival rates and
-// counts how it ended. Latency counts from the moment a request was due, so a
-// stall is seen by every request that it delays.
+// Package traffic sends the requests of callers with seeded, open-loop arrivals and
+// counts the results. Latency is measured from the time at which a request was due,
+// so a stall counts for every request that it delays.
 //
-// Limits: it carries a bounded number of requests at once; what is due beyond
-// that is counted as dropped, never sent late in silence.
+// Limitations: the number of requests in flight is limited. Requests that are due
+// above the limit are counted as dropped instead of being sent late.
 package traffic
--- a/cmd/internal/traffic/results.go
+++ b/cmd/internal/traffic/results.go
@@ -18,7 +18,7 @@
 	latencyDigits = 3
 )
 
-// results counts how requests ended after all their tries.
+// results counts requests by their result after all tries.
 type results struct {
 	mu       sync.Mutex
 	counts   Counts
@@ -26,7 +26,7 @@
 	latency  map[string]*hdrhistogram.Histogram
 }
 
-// Counts are requests by their end; Requests is the sum of the others but
+// Counts are numbers of requests by result. Requests is the sum of all others except
 // Dropped.
 type Counts struct {
 	Requests int
@@ -37,7 +37,7 @@
 	Failed   int
 	Unsent   int
 	Late     int
-	// Dropped requests were never sent: the emulator carried too many.
+	// Dropped requests were never sent because too many were in flight.
 	Dropped int
 }
 
@@ -45,13 +45,13 @@
 	return &results{refusals: map[string]int{}, latency: map[string]*hdrhistogram.Histogram{}}
 }
 
-func (r *results) drop() {
+func (r *results) recordDropped() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.counts.Dropped++
 }
 
-func (r *results) add(service string, result caller.Result, took time.Duration) {
+func (r *results) record(service string, result caller.Result, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.counts.Requests++
@@ -84,7 +84,7 @@
 	return h
 }
 
-// Counts returns the counts so far.
+// Counts returns the current counts.
 func (t *Traffic) Counts() Counts {
 	r := t.results
 	r.mu.Lock()
@@ -92,7 +92,8 @@
 	return r.counts
 }
 
-// Latency of the whole answers of one service, in milliseconds.
+// Latency summarizes the latencies of the complete answers of one service, in
+// milliseconds.
 type Latency struct {
 	P50   float64 `json:"p50"`
 	P99   float64 `json:"p99"`
@@ -100,7 +101,7 @@
 	Count int64   `json:"count"`
 }
 
-// Latencies returns the latency of each service so far.
+// Latencies returns the current latencies by service.
 func (t *Traffic) Latencies() map[string]Latency {
 	r := t.results
 	r.mu.Lock()
@@ -117,7 +118,7 @@
 	return all
 }
 
-// Refusals returns the final refusals by reason so far.
+// Refusals returns the number of requests whose last try was refused, by reason.
 func (t *Traffic) Refusals() map[string]int {
 	r := t.results
 	r.mu.Lock()
@@ -125,8 +126,8 @@
 	return maps.Clone(r.refusals)
 }
 
-// Histogram returns a copy of a service's latencies in microseconds, or nil
-// when it had no whole answer.
+// Histogram returns a copy of the latency histogram of a service in microseconds, or
+// nil if the service has had no complete answer.
 func (t *Traffic) Histogram(service string) *hdrhistogram.Histogram {
 	r := t.results
 	r.mu.Lock()
--- a/cmd/internal/traffic/traffic.go
+++ b/cmd/internal/traffic/traffic.go
@@ -15,48 +15,49 @@
 	"heatherlock/standin/witness"
 )
 
-// Sizes of the callers' work.
+// Parameters of the callers' requests.
 const (
-	// AnswerBytes is the size of the answer that callers ask for.
+	// AnswerBytes is the size of the answer that callers request.
 	AnswerBytes = 1024
 	// UploadTime is how long a caller takes to send an upload.
 	UploadTime = 400 * time.Millisecond
-	// maxCarried bounds the requests carried at once. Each takes up to eight open
-	// files when the whole system runs in one process, and a process that has no
-	// file left shows the faults of the machine, not those of the system.
-	maxCarried = 1500
-	// meanOverMedian of the stand-ins' service times.
+	// maxInFlight is the maximum number of requests in flight. Each needs up to eight
+	// open files if the whole system runs in one process. A process that runs out of
+	// file descriptors shows faults of the machine instead of those of the system.
+	maxInFlight = 1500
+	// meanOverMedian is the ratio of mean and median of the stand-ins' service times.
 	meanOverMedian = 1.083
 )
 
 // Stream is a flow of requests for one service.
 type Stream struct {
 	Service deploy.Service
-	// Name is unique among the streams; it begins each request's identity.
+	// Name is unique among the streams. It is part of the request IDs.
 	Name string
-	// Rate is in requests a second.
-	Rate    float64
+	Rate float64 // requests per second
+	// Callers are chosen at random for each request.
 	Callers []*caller.Caller
 }
 
-// Traffic is a set of streams.
+// Traffic sends the requests of a set of streams.
 type Traffic struct {
 	streams []Stream
 	seed    uint64
-	// run tells the identities of one run from those of another against the
-	// same system.
-	run     string
-	results *results
-	carried atomic.Int64
-	running sync.WaitGroup
+	// run is the prefix of the request IDs. It distinguishes the requests of several
+	// runs against the same system.
+	run      string
+	results  *results
+	inFlight atomic.Int64
+	pending  sync.WaitGroup
 }
 
-// New returns traffic that is not yet flowing.
+// New returns a Traffic that sends nothing until Run is called. The prefix run starts
+// all request IDs.
 func New(streams []Stream, seed uint64, run string) *Traffic {
 	return &Traffic{streams: streams, seed: seed, run: run, results: newResults()}
 }
 
-// SourceIn returns the i-th client address of a block.
+// SourceIn returns the i-th client address of an IPv4 block.
 func SourceIn(block netip.Prefix, i int) netip.Addr {
 	const perByte = 250
 	raw := block.Addr().As4()
@@ -64,36 +65,36 @@
 	return netip.AddrFrom4(raw)
 }
 
-// ZoneRate returns the requests a second that one zone's callers make of a
-// service when all callers together need the share load of its slots.
+// ZoneRate returns the requests per second that the callers of one zone send to a
+// service when the callers of all zones together occupy the share load of its slots.
 func ZoneRate(d deploy.Deployment, s deploy.Service, load float64) float64 {
-	held := time.Duration(float64(s.ServiceTime) * meanOverMedian)
+	slotTime := time.Duration(float64(s.ServiceTime) * meanOverMedian)
 	if s.Work == deploy.WorkUpload {
-		held += UploadTime
+		slotTime += UploadTime
 	}
-	all := float64(s.Endpoints*s.Slots) / held.Seconds()
+	all := float64(s.Endpoints*s.Slots) / slotTime.Seconds()
 	return load * all / float64(len(d.Zones))
 }
 
-// Run sends work until ctx ends. The requests under way go on: see Wait.
+// Run sends requests until ctx ends. Requests in flight continue; see Wait.
 func (t *Traffic) Run(ctx context.Context) {
 	var streams sync.WaitGroup
 	for i, s := range t.streams {
 		random := rand.New(rand.NewPCG(t.seed, uint64(i)))
-		streams.Go(func() { t.flow(ctx, s, random) })
+		streams.Go(func() { t.sendStream(ctx, s, random) })
 	}
 	streams.Wait()
 }
 
-// Wait waits for the requests under way.
-func (t *Traffic) Wait() { t.running.Wait() }
+// Wait waits for the requests in flight.
+func (t *Traffic) Wait() { t.pending.Wait() }
 
-// InFlight returns the requests under way.
-func (t *Traffic) InFlight() int { return int(t.carried.Load()) }
+// InFlight returns the number of requests of the streams in flight.
+func (t *Traffic) InFlight() int { return int(t.inFlight.Load()) }
 
-// flow makes an open loop of arrivals: a slow answer holds back no later
-// request.
-func (t *Traffic) flow(ctx context.Context, s Stream, random *rand.Rand) {
+// sendStream sends the requests of a stream as an open loop: a slow answer does not
+// delay later requests.
+func (t *Traffic) sendStream(ctx context.Context, s Stream, random *rand.Rand) {
 	if s.Rate <= 0 {
 		return
 	}
@@ -108,7 +109,7 @@
 	}
 }
 
-// SleepUntil waits for a moment and reports whether ctx outlived it.
+// SleepUntil waits until due or the end of ctx, and reports whether due came first.
 func SleepUntil(ctx context.Context, due time.Time) bool {
 	wait := time.Until(due)
 	if wait <= 0 {
@@ -125,36 +126,38 @@
 }
 
 func (t *Traffic) send(from *caller.Caller, s deploy.Service, id string, due time.Time) {
-	if t.carried.Add(1) > maxCarried {
-		t.carried.Add(-1)
-		t.results.drop()
+	if t.inFlight.Add(1) > maxInFlight {
+		t.inFlight.Add(-1)
+		t.results.recordDropped()
 		return
 	}
-	t.running.Go(func() {
-		defer t.carried.Add(-1)
+	t.pending.Go(func() {
+		defer t.inFlight.Add(-1)
 		result := from.Do(context.Background(), RequestFor(s, id))
-		t.results.add(s.Name, result, time.Since(due))
+		t.results.record(s.Name, result, time.Since(due))
 	})
 }
 
-// DirectRequest is a request that one caller sends beside the streams.
+// DirectRequest is a request that a given caller sends in addition to the streams.
 type DirectRequest struct {
 	From    *caller.Caller
 	Request caller.Request
 }
 
-// SendDirect sends errands one after another, beside the streams.
-func (t *Traffic) SendDirect(errands ...DirectRequest) {
-	t.running.Go(func() {
-		for _, e := range errands {
+// SendDirect sends requests one after another, concurrently with the streams. It does
+// not wait for them, and the limit on requests in flight does not apply to them.
+func (t *Traffic) SendDirect(requests ...DirectRequest) {
+	t.pending.Go(func() {
+		for _, e := range requests {
 			due := time.Now()
 			result := e.From.Do(context.Background(), e.Request)
-			t.results.add(e.Request.Service, result, time.Since(due))
+			t.results.record(e.Request.Service, result, time.Since(due))
 		}
 	})
 }
 
-// RequestFor returns a request of the kind that callers make of a service.
+// RequestFor returns a request with the given ID, of the kind that callers send to the
+// service.
 func RequestFor(s deploy.Service, id string) caller.Request {
 	r := caller.Request{ID: id, Service: s.Name, Timeout: s.Timeout, AnswerBytes: AnswerBytes}
 	switch s.Work {
