--- a/cmd/internal/objects/objects.go
+++ b/cmd/internal/objects/objects.go
@@ -1,4 +1,4 @@
-// Package objects reads the files that the client's commands are given.
+// Package objects reads the object files that the client's commands get as arguments.
 package objects
 
 import (
@@ -14,19 +14,20 @@
 	"heatherlock/cmd/internal/command"
 )
 
-// Stdin is the file name that stands for standard input.
+// Stdin is the file name for standard input.
 const Stdin = "-"
 
-// Item is one object as read, with what is wrong with it by itself.
+// Item is an object as read from a file, with the problems that can be found in it
+// without other objects.
 type Item struct {
 	Source   string // file and position in it, for messages
 	Raw      json.RawMessage
-	Object   oas.Object // usable only if Problems is empty
+	Object   oas.Object // valid only if Problems is empty
 	Problems check.Problems
 }
 
-// Read reads every object of the files. A directory stands for the .json files
-// in it. The error is a *command.Error with code Usage.
+// Read reads all objects of the files. For a directory it reads the .json files in it,
+// and for Stdin it reads from in. The error is a *command.Error with code Usage.
 func Read(files []string, in io.Reader) ([]Item, error) {
 	if len(files) == 0 {
 		return nil, command.Failf(command.Usage, "name a file, a directory or - for standard input with -f", "no file given")
@@ -98,8 +99,8 @@
 	return items, nil
 }
 
-// Duplicates returns a message for each name that two items share; which of the
-// two is meant cannot be known.
+// Duplicates returns a message for each object that occurs more than once among the
+// items, because it is unknown which occurrence is intended.
 func Duplicates(items []Item) []string {
 	first := map[check.Ref]string{}
 	var messages []string
@@ -108,7 +109,7 @@
 			continue
 		}
 		ref := check.RefOf(item.Object)
-		if other, taken := first[ref]; taken {
+		if other, exists := first[ref]; exists {
 			messages = append(messages, fmt.Sprintf("%s: %s is also in %s", item.Source, ref, other))
 			continue
 		}
