--- a/cmd/heatherlock/tutorial_test.go
+++ b/cmd/heatherlock/tutorial_test.go
@@ -15,8 +15,8 @@
 	"heatherlock/cmd/internal/quickstart"
 )
 
-// lesson is one command of the tutorial with its expected exit code and output.
-type lesson struct {
+// tutorialCommand is one command of the tutorial with its expected exit code and output.
+type tutorialCommand struct {
 	line   int
 	args   []string
 	code   command.Code
@@ -25,19 +25,19 @@
 
 var exitCodeComment = regexp.MustCompile(`\s+# exit code (\d)$`)
 
-// lessons parses the commands in the console blocks of a page.
-func lessons(t *testing.T, file string) []lesson {
+// tutorialCommands parses the commands in the console blocks of a page.
+func tutorialCommands(t *testing.T, file string) []tutorialCommand {
 	t.Helper()
 	page, err := os.ReadFile(file)
 	assert.NilError(t, err)
-	var all []lesson
+	var all []tutorialCommand
 	inside := false
 	for i, line := range strings.Split(string(page), "\n") {
 		switch {
 		case strings.HasPrefix(line, "```"):
 			inside = line == "```console"
 		case inside && strings.HasPrefix(line, "$ heatherlock "):
-			l := lesson{line: i + 1}
+			l := tutorialCommand{line: i + 1}
 			if m := exitCodeComment.FindStringSubmatch(line); m != nil {
 				code, _ := strconv.Atoi(m[1])
 				l.code = command.Code(code)
@@ -108,7 +108,7 @@
 var unsettled = regexp.MustCompile(`suspect|taking the newest configuration|cut off since`)
 
 // missing returns the first expected line that the output does not contain.
-func (l lesson) missing(printedText string) (line string, ok bool) {
+func (l tutorialCommand) missing(printedText string) (line string, ok bool) {
 	for _, want := range l.output {
 		if !outputContains(printedText, want) {
 			return want, true
@@ -117,10 +117,10 @@
 	return "", false
 }
 
-// runUntilSettled runs a lesson. If a line is missing and the status shows that the
+// runUntilSettled runs the command. If a line is missing and the status shows that the
 // machine is too busy, it repeats the command for up to settleTime, as the page
 // advises its readers to do.
-func (l lesson) runUntilSettled(t *testing.T) (code command.Code, out string) {
+func (l tutorialCommand) runUntilSettled(t *testing.T) (code command.Code, out string) {
 	t.Helper()
 	for deadline := time.Now().Add(settleTime); ; time.Sleep(time.Second) {
 		began := time.Now()
@@ -144,7 +144,7 @@
 	page := root + "/docs/tutorial.md"
 	t.Setenv("HEATHERLOCK_ENTRY_VMS", startQuickstart(t))
 	t.Chdir(root)
-	for _, l := range lessons(t, "docs/tutorial.md") {
+	for _, l := range tutorialCommands(t, "docs/tutorial.md") {
 		code, out := l.runUntilSettled(t)
 		assert.Equal(t, code, l.code, "%s:%d: %v\n%s", page, l.line, l.args, out)
 		want, missing := l.missing(out)
--- a/cmd/heatherlockd/platform.go
+++ b/cmd/heatherlockd/platform.go
@@ -44,14 +44,14 @@
 	logger := telemetry.NewLogger(boundedOut, "info")
 	g, err := gateway.New(settings, logger)
 	if err != nil {
-		_ = level.Error(logger).Log("msg", "did not start", "err", err) // the writer counts the lines that it drops
+		_ = level.Error(logger).Log("msg", "did not start", "err", err) // the writer counts dropped lines
 		return exitFailed
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	go watchSettings(ctx, path, g)
 	if err := g.Run(ctx); err != nil {
-		_ = level.Error(logger).Log("msg", "failed", "err", err) // the writer counts the lines that it drops
+		_ = level.Error(logger).Log("msg", "failed", "err", err) // as above
 		return exitFailed
 	}
 	return exitOK
--- a/cmd/internal/caller/call.go
+++ b/cmd/internal/caller/call.go
@@ -37,28 +37,28 @@
 }
 
 // try sends the request once. It returns whether to retry and after what delay.
-func (e *call) try(ctx context.Context) (again bool, wait time.Duration) {
-	e.result.Tries++
-	entries, err := e.caller.lookupCache.entries(ctx, e.request.Service)
+func (c *call) try(ctx context.Context) (again bool, wait time.Duration) {
+	c.result.Tries++
+	entries, err := c.caller.lookupCache.entries(ctx, c.request.Service)
 	if err != nil {
-		e.result.Answer, e.result.Reason = witness.AnswerUnsent, "look_up"
+		c.result.Answer, c.result.Reason = witness.AnswerUnsent, "look_up"
 		return true, 50 * time.Millisecond
 	}
-	vm := entries[e.skip%len(entries)]
-	e.chooseKey(vm)
-	t := e.sendTry(ctx, vm)
-	e.result.Answer, e.result.Reason, e.result.Ran, e.result.EntryVM = t.Answer, t.Reason, t.Ran, t.EntryVM
-	if e.caller.config.Reporter != nil {
-		e.caller.config.Reporter.Answered(t.Try)
+	vm := entries[c.skip%len(entries)]
+	c.chooseKey(vm)
+	t := c.sendTry(ctx, vm)
+	c.result.Answer, c.result.Reason, c.result.Ran, c.result.EntryVM = t.Answer, t.Reason, t.Ran, t.EntryVM
+	if c.caller.config.Reporter != nil {
+		c.caller.config.Reporter.Answered(t.Try)
 	}
-	return e.shouldRetry(t)
+	return c.shouldRetry(t)
 }
 
 // chooseKey creates the request key with the prefix of the first entry VM used. Only
 // that entry VM may run requests with the key.
-func (e *call) chooseKey(vm entryVM) {
-	if e.key == "" && e.request.Kind != witness.KindRead {
-		e.key = e.caller.nextKey(vm.KeyPrefix)
+func (c *call) chooseKey(vm entryVM) {
+	if c.key == "" && c.request.Kind != witness.KindRead {
+		c.key = c.caller.nextKey(vm.KeyPrefix)
 	}
 }
 
@@ -66,9 +66,9 @@
 // entry VM of the current key is unreachable. As long as nothing can have run with
 // that key, keeping it would only make the other entry VMs answer that the outcome is
 // unknown.
-func (e *call) dropUnusedKey() {
-	if !e.mayHaveRun {
-		e.key = ""
+func (c *call) dropUnusedKey() {
+	if !c.mayHaveRun {
+		c.key = ""
 	}
 }
 
@@ -81,52 +81,52 @@
 // shouldRetry decides whether to retry and after what delay. A request that may have
 // run is retried only if it is idempotent or has a key: the entry VM of the key then
 // returns the stored outcome and never runs the request again.
-func (e *call) shouldRetry(t tryResult) (again bool, wait time.Duration) {
+func (c *call) shouldRetry(t tryResult) (again bool, wait time.Duration) {
 	if t.Answer != witness.AnswerUnsent && (t.Answer != witness.AnswerRefused || t.Ran != witness.RanNo) {
-		e.mayHaveRun = true
+		c.mayHaveRun = true
 	}
 	switch t.Answer {
 	case witness.AnswerUnsent:
-		e.skip++
-		e.dropUnusedKey()
+		c.skip++
+		c.dropUnusedKey()
 		return true, 0
 	case witness.AnswerRefused:
-		return e.shouldRetryRefused(t)
+		return c.shouldRetryRefused(t)
 	case witness.AnswerBroken:
-		e.skip++
-		return e.request.Kind == witness.KindRead || e.key != "", 0
+		c.skip++
+		return c.request.Kind == witness.KindRead || c.key != "", 0
 	}
 	return false, 0
 }
 
-func (e *call) shouldRetryRefused(t tryResult) (again bool, wait time.Duration) {
+func (c *call) shouldRetryRefused(t tryResult) (again bool, wait time.Duration) {
 	if t.Ran != witness.RanNo {
-		return e.request.Kind == witness.KindRead && t.retryAfter > 0, t.retryAfter
+		return c.request.Kind == witness.KindRead && t.retryAfter > 0, t.retryAfter
 	}
 	if t.Reason == "leaving" || t.Reason == "peer_unreachable" || t.Reason == "not_ready" {
-		e.caller.lookupCache.invalidate(e.request.Service)
-		e.skip++
+		c.caller.lookupCache.invalidate(c.request.Service)
+		c.skip++
 		return true, t.retryAfter
 	}
 	return t.retryAfter > 0, t.retryAfter
 }
 
-func (e *call) sendTry(ctx context.Context, vm entryVM) tryResult {
+func (c *call) sendTry(ctx context.Context, vm entryVM) tryResult {
 	t := tryResult{Try: witness.Try{
-		Request: e.request.ID, Try: e.tryID(),
-		Kind: e.request.Kind, Start: time.Now(), EntryVM: vm.VM, SentBytes: e.bodySize, SentSum: e.bodySum,
+		Request: c.request.ID, Try: c.tryID(),
+		Kind: c.request.Kind, Start: time.Now(), EntryVM: vm.VM, SentBytes: c.bodySize, SentSum: c.bodySum,
 	}}
 	via := ""
-	r, err := e.build(ctx, vm, t.Try.Try)
+	r, err := c.build(ctx, vm, t.Try.Try)
 	if err == nil {
-		via, err = e.exchange(r, &t)
+		via, err = c.exchange(r, &t)
 	}
 	t.End = time.Now()
 	if err != nil {
 		t.Answer = classifyError(err)
 	}
 	interrupted := err != nil || t.Answer == witness.AnswerRefused && t.Ran != witness.RanNo
-	if excused := e.caller.config.Excused; excused != nil && interrupted {
+	if excused := c.caller.config.Excused; excused != nil && interrupted {
 		t.Excused = excused(vm.VM, via, t.Start, t.End)
 	}
 	return t
@@ -149,25 +149,25 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-func (e *call) build(ctx context.Context, vm entryVM, try string) (*http.Request, error) {
+func (c *call) build(ctx context.Context, vm entryVM, try string) (*http.Request, error) {
 	method := http.MethodGet
 	var body io.Reader
-	switch e.request.Kind {
+	switch c.request.Kind {
 	case witness.KindPurchase:
 		method = http.MethodPost
-		body = bytes.NewReader([]byte(e.request.ID))
+		body = bytes.NewReader([]byte(c.request.ID))
 	case witness.KindUpload:
 		method = http.MethodPost
-		body = newUpload(e.request)
+		body = newUpload(c.request)
 	}
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+vm.Address+"/"+e.request.Service, body)
+	r, err := http.NewRequestWithContext(ctx, method, "http://"+vm.Address+"/"+c.request.Service, body)
 	if err != nil {
 		return nil, err
 	}
-	if e.request.Kind == witness.KindUpload {
-		r.ContentLength = int64(e.request.UploadBytes)
+	if c.request.Kind == witness.KindUpload {
+		r.ContentLength = int64(c.request.UploadBytes)
 	}
-	e.setHeaders(r, try)
+	c.setHeaders(r, try)
 	return r, nil
 }
 
@@ -175,34 +175,34 @@
 // same request: if their tries had the same ID, the refusal of one try would be
 // checked against the run of another. A caller may also send the same request again
 // later, so the ID contains a counter for the whole process.
-func (e *call) tryID() string {
-	return fmt.Sprintf("%s/%s/%d", e.request.ID, e.caller.config.Source, tries.Add(1))
+func (c *call) tryID() string {
+	return fmt.Sprintf("%s/%s/%d", c.request.ID, c.caller.config.Source, tries.Add(1))
 }
 
-func (e *call) setHeaders(r *http.Request, try string) {
+func (c *call) setHeaders(r *http.Request, try string) {
 	h := r.Header
-	h.Set(headerService, e.request.Service)
-	h.Set(headerTimeoutMs, strconv.FormatInt(e.remaining().Milliseconds(), 10))
-	h.Set(witness.HeaderRequest, e.request.ID)
+	h.Set(headerService, c.request.Service)
+	h.Set(headerTimeoutMs, strconv.FormatInt(c.remaining().Milliseconds(), 10))
+	h.Set(witness.HeaderRequest, c.request.ID)
 	h.Set(witness.HeaderTry, try)
-	h.Set(witness.HeaderHome, e.caller.config.Home)
-	h.Set(witness.HeaderAnswerBytes, strconv.Itoa(e.request.AnswerBytes))
-	if e.key != "" {
-		h.Set(headerKey, e.key)
+	h.Set(witness.HeaderHome, c.caller.config.Home)
+	h.Set(witness.HeaderAnswerBytes, strconv.Itoa(c.request.AnswerBytes))
+	if c.key != "" {
+		h.Set(headerKey, c.key)
 	}
-	if e.request.CrashMarker != "" {
-		h.Set(headerCrash, e.request.CrashMarker)
+	if c.request.CrashMarker != "" {
+		h.Set(headerCrash, c.request.CrashMarker)
 	}
 }
 
-func (e *call) remaining() time.Duration {
-	return max(time.Until(e.deadline), time.Millisecond)
+func (c *call) remaining() time.Duration {
+	return max(time.Until(c.deadline), time.Millisecond)
 }
 
 // exchange sends the request, reads the answer and classifies it. It returns the value
 // of the Via header.
-func (e *call) exchange(r *http.Request, t *tryResult) (via string, err error) {
-	reply, err := e.caller.client.Do(r)
+func (c *call) exchange(r *http.Request, t *tryResult) (via string, err error) {
+	reply, err := c.caller.client.Do(r)
 	if err != nil {
 		return "", err
 	}
@@ -219,15 +219,15 @@
 	if err != nil {
 		return via, err
 	}
-	t.Answer = e.classifyResponse(reply.StatusCode, body)
+	t.Answer = c.classifyResponse(reply.StatusCode, body)
 	return via, nil
 }
 
-func (e *call) classifyResponse(status int, body []byte) witness.Answer {
+func (c *call) classifyResponse(status int, body []byte) witness.Answer {
 	if status != http.StatusOK {
 		return witness.AnswerFailed
 	}
-	if !bytes.Equal(body, witness.Body(e.request.ID, e.request.AnswerBytes)) {
+	if !bytes.Equal(body, witness.Body(c.request.ID, c.request.AnswerBytes)) {
 		return witness.AnswerWrong
 	}
 	return witness.AnswerWhole
--- a/cmd/internal/caller/caller.go
+++ b/cmd/internal/caller/caller.go
@@ -56,8 +56,9 @@
 	// Reporter may be nil.
 	Reporter Reporter
 	// Phase is the share of the time to live, from 0 to 1, by which the caching of
-	// the first look-up answer is shortened. It spreads the look-ups of callers, as
-	// those of callers that have used the system for a while are spread.
+	// the first look-up answer is shortened. With different phases, callers do not
+	// all look up at the same time, like callers that have used the system for a
+	// while.
 	Phase float64
 	// Excused reports whether an injected fault between two times may have interrupted
 	// a try on a path through entryVM and the entry VMs in via, the value of the Via
@@ -137,19 +138,19 @@
 func (c *Caller) Do(ctx context.Context, r Request) Result {
 	ctx, cancel := context.WithTimeout(ctx, r.Timeout+answerGrace)
 	defer cancel()
-	e := &call{caller: c, request: r, deadline: time.Now().Add(r.Timeout)}
-	e.bodySum, e.bodySize = r.uploadSum()
-	for e.result.Tries < maxTries {
-		again, wait := e.try(ctx)
-		if !again || !e.waitForRetry(ctx, wait) {
+	current := &call{caller: c, request: r, deadline: time.Now().Add(r.Timeout)}
+	current.bodySum, current.bodySize = r.uploadSum()
+	for current.result.Tries < maxTries {
+		again, wait := current.try(ctx)
+		if !again || !current.waitForRetry(ctx, wait) {
 			break
 		}
 	}
-	return e.result
+	return current.result
 }
 
-func (e *call) waitForRetry(ctx context.Context, d time.Duration) bool {
-	if time.Until(e.deadline) <= d {
+func (c *call) waitForRetry(ctx context.Context, d time.Duration) bool {
+	if time.Until(c.deadline) <= d {
 		return false
 	}
 	timer := time.NewTimer(max(d, minWait))
--- a/cmd/internal/caller/caller_test.go
+++ b/cmd/internal/caller/caller_test.go
@@ -56,7 +56,7 @@
 	return slices.Clone(e.tries)
 }
 
-func whole(w http.ResponseWriter, r *http.Request) {
+func complete(w http.ResponseWriter, r *http.Request) {
 	_, _ = w.Write(witness.Body(r.Header.Get(witness.HeaderRequest), 64))
 }
 
@@ -90,12 +90,12 @@
 		tries  int
 		end    witness.Answer
 	}{
-		{"whole at once", witness.KindPurchase, "inc", []http.HandlerFunc{whole}, 1, witness.AnswerWhole},
-		{"not run, come back", witness.KindPurchase, "inc", []http.HandlerFunc{refused("no", "1"), whole}, 2, witness.AnswerWhole},
+		{"whole at once", witness.KindPurchase, "inc", []http.HandlerFunc{complete}, 1, witness.AnswerWhole},
+		{"not run, come back", witness.KindPurchase, "inc", []http.HandlerFunc{refused("no", "1"), complete}, 2, witness.AnswerWhole},
 		{"not run, no time to come back", witness.KindPurchase, "inc", []http.HandlerFunc{refused("no", "")}, 1, witness.AnswerRefused},
 		{"may have run", witness.KindPurchase, "inc", []http.HandlerFunc{refused("unknown", "1")}, 1, witness.AnswerRefused},
-		{"read may have run", witness.KindRead, "inc", []http.HandlerFunc{refused("unknown", "1"), whole}, 2, witness.AnswerWhole},
-		{"broken off with a key", witness.KindPurchase, "inc", []http.HandlerFunc{aborted, whole}, 2, witness.AnswerWhole},
+		{"read may have run", witness.KindRead, "inc", []http.HandlerFunc{refused("unknown", "1"), complete}, 2, witness.AnswerWhole},
+		{"broken off with a key", witness.KindPurchase, "inc", []http.HandlerFunc{aborted, complete}, 2, witness.AnswerWhole},
 		{"broken off without a key", witness.KindPurchase, "", []http.HandlerFunc{aborted}, 1, witness.AnswerBroken},
 		{"short is broken off", witness.KindUpload, "", []http.HandlerFunc{truncated}, 1, witness.AnswerBroken},
 		{"crossed is wrong", witness.KindRead, "inc", []http.HandlerFunc{misrouted}, 1, witness.AnswerWrong},
@@ -120,7 +120,7 @@
 }
 
 func TestLookupIsCachedForItsTimeToLive(t *testing.T) {
-	e := startFakeEntryVM(t, "inc", whole)
+	e := startFakeEntryVM(t, "inc", complete)
 	from := New(Config{Bootstrap: []string{e.address}})
 	defer from.Close()
 	for i := range 3 {
@@ -133,7 +133,7 @@
 }
 
 func TestPhaseShortensTheFirstCaching(t *testing.T) {
-	e := startFakeEntryVM(t, "inc", whole)
+	e := startFakeEntryVM(t, "inc", complete)
 	from := New(Config{Bootstrap: []string{e.address}, Phase: 1})
 	defer from.Close()
 	assert.NilError(t, from.Reach(t.Context(), "s"))
@@ -146,7 +146,7 @@
 // from addresses that other callers used before, so a key made only of address and
 // counter would repeat an earlier one.
 func TestKeysOfTwoCallersAtOneAddressDiffer(t *testing.T) {
-	e := startFakeEntryVM(t, "inc", whole)
+	e := startFakeEntryVM(t, "inc", complete)
 	for range 2 {
 		from := New(Config{Bootstrap: []string{e.address}})
 		from.Do(t.Context(), Request{ID: "r", Service: "s", Kind: witness.KindPurchase, Timeout: time.Second, AnswerBytes: 64})
@@ -158,7 +158,7 @@
 
 func TestTriesAreReported(t *testing.T) {
 	w := witness.New()
-	e := startFakeEntryVM(t, "inc", refused("no", "1"), whole)
+	e := startFakeEntryVM(t, "inc", refused("no", "1"), complete)
 	from := New(Config{Bootstrap: []string{e.address}, Reporter: w})
 	defer from.Close()
 	from.Do(t.Context(), Request{ID: "r", Service: "s", Kind: witness.KindUpload, Timeout: time.Second, AnswerBytes: 64, UploadBytes: 1000})
@@ -173,20 +173,20 @@
 // of the key is unreachable before anything is sent to it, and the caller sends the
 // same key to the next one although nothing can have run with it.
 func TestKeyOfUnreachableEntryVMIsDropped(t *testing.T) {
-	dead := httptest.NewServer(nil)
-	deadAddress := strings.TrimPrefix(dead.URL, "http://")
-	dead.Close()
+	unreachable := httptest.NewServer(nil)
+	unreachableAddress := strings.TrimPrefix(unreachable.URL, "http://")
+	unreachable.Close()
 	var keys []string
-	live := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	reachable := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/v1/lookup" {
-			fmt.Fprintf(w, `{"place":"p","entryVMs":[{"vm":"a","address":%q,"keyPrefix":"gone"},{"vm":"b","address":%q,"keyPrefix":"here"}],"ttlMs":60000}`, deadAddress, r.Host)
+			fmt.Fprintf(w, `{"place":"p","entryVMs":[{"vm":"a","address":%q,"keyPrefix":"gone"},{"vm":"b","address":%q,"keyPrefix":"here"}],"ttlMs":60000}`, unreachableAddress, r.Host)
 			return
 		}
 		keys = append(keys, r.Header.Get(headerKey))
-		whole(w, r)
+		complete(w, r)
 	}))
-	defer live.Close()
-	from := New(Config{Bootstrap: []string{strings.TrimPrefix(live.URL, "http://")}})
+	defer reachable.Close()
+	from := New(Config{Bootstrap: []string{strings.TrimPrefix(reachable.URL, "http://")}})
 	defer from.Close()
 	result := from.Do(t.Context(), Request{ID: "r", Service: "s", Kind: witness.KindPurchase, Timeout: 10 * time.Second, AnswerBytes: 64})
 	assert.Equal(t, result.Answer, witness.AnswerWhole)
--- a/cmd/internal/quickstart/callers.go
+++ b/cmd/internal/quickstart/callers.go
@@ -117,10 +117,10 @@
 	request.CrashMarker = crashMarker
 	callers := r.callers[r.system.faultZone()]
 	for i := range crashSenders {
-		var errands []traffic.DirectRequest
+		var requests []traffic.DirectRequest
 		for j := range 1 + crashRepeats {
-			errands = append(errands, traffic.DirectRequest{From: callers[(i+j)%len(callers)], Request: request})
+			requests = append(requests, traffic.DirectRequest{From: callers[(i+j)%len(callers)], Request: request})
 		}
-		r.traffic.SendDirect(errands...)
+		r.traffic.SendDirect(requests...)
 	}
 }
--- a/cmd/internal/quickstart/link.go
+++ b/cmd/internal/quickstart/link.go
@@ -9,8 +9,8 @@
 const (
 	// maxChunkBytes is the maximum size of a chunk in bytes.
 	maxChunkBytes = 16 << 10
-	// maxChunksInFlight limits the chunks in flight in one direction. A link with a delay
-	// of 20 ms can still carry 200 MB/s with it.
+	// maxChunksInFlight limits the chunks in flight in one direction. It still allows
+	// 200 MB/s on a link with a delay of 20 ms.
 	maxChunksInFlight = 256
 )
 
--- a/cmd/internal/quickstart/network_test.go
+++ b/cmd/internal/quickstart/network_test.go
@@ -31,16 +31,16 @@
 	assert.ErrorIs(t, err, net.ErrClosed)
 	_, err = inside.Write([]byte("x"))
 	assert.NilError(t, err)
-	gone, cancel := context.WithCancel(t.Context())
+	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err = n.dialFrom("b")(gone, "tcp", address)
+	_, err = n.dialFrom("b")(canceled, "tcp", address)
 	var op *net.OpError
 	assert.Assert(t, err != nil)
 	assert.ErrorType(t, err, op)
 	n.isolate("")
-	healed, err := n.dialFrom("b")(t.Context(), "tcp", address)
+	reconnected, err := n.dialFrom("b")(t.Context(), "tcp", address)
 	assert.NilError(t, err)
-	_ = healed.Close()
+	_ = reconnected.Close()
 }
 
 // A delayed connection keeps the order of the data and delivers everything that
--- a/cmd/internal/quickstart/report_test.go
+++ b/cmd/internal/quickstart/report_test.go
@@ -73,8 +73,8 @@
 	assert.Check(t, !s.excused("a-1", "", after(1), after(2)))
 	s.recordIsolation(after(10))
 	assert.Check(t, s.excused("b-1", "", after(9), after(10.5)))
-	assert.Check(t, !s.excused("b-1", "", after(10.1), after(10.5)), "began after the cut")
-	assert.Check(t, !s.excused("b-1", "", after(9), after(12)), "ended long after the cut")
+	assert.Check(t, !s.excused("b-1", "", after(10.1), after(10.5)), "began after the isolation")
+	assert.Check(t, !s.excused("b-1", "", after(9), after(12)), "ended long after the isolation")
 }
 
 func TestOptionsOutOfBounds(t *testing.T) {
--- a/cmd/internal/quickstart/system.go
+++ b/cmd/internal/quickstart/system.go
@@ -303,16 +303,16 @@
 	return s.interruptedByIsolation(from, to)
 }
 
-// isolationEffectTime is the maximum time from the isolation of a zone until the end
+// interruptionWindow is the maximum time from the isolation of a zone until the end
 // of a try that it interrupts by closing a connection.
-const isolationEffectTime = time.Second
+const interruptionWindow = time.Second
 
 // interruptedByIsolation reports whether a try may have used a connection that was
 // closed when a zone was isolated. A refusal does not name the zone that was
 // unreachable, so every try counts that began before the isolation and ended within
-// isolationEffectTime after it. The caller holds s.mu.
+// interruptionWindow after it. The caller holds s.mu.
 func (s *system) interruptedByIsolation(from, to time.Time) bool {
-	return !s.isolatedAt.IsZero() && from.Before(s.isolatedAt) && to.After(s.isolatedAt) && to.Before(s.isolatedAt.Add(isolationEffectTime))
+	return !s.isolatedAt.IsZero() && from.Before(s.isolatedAt) && to.After(s.isolatedAt) && to.Before(s.isolatedAt.Add(interruptionWindow))
 }
 
 // recordIsolation records the time at which a zone was isolated.
