--- a/standin/target/config.go
+++ b/standin/target/config.go
@@ -10,48 +10,49 @@
 	"heatherlock/standin/witness"
 )
 
-// Defaults.
+// Default values of Config fields and of the answer size.
 const (
-	// DefaultMaxConnections is the number of connections an endpoint holds.
+	// DefaultMaxConnections is the largest number of open connections.
 	DefaultMaxConnections = 400
-	// DefaultAnswerBytes is the size of an answer when the caller names none.
+	// DefaultAnswerBytes is the size of a response body if the caller requests no size.
 	DefaultAnswerBytes = 1024
-	// DefaultRestart is how long a crashed target stays away.
+	// DefaultRestart is the time between a crash and the restart of the target.
 	DefaultRestart = 500 * time.Millisecond
 )
 
-// Config describes a target.
+// Config configures a target.
 type Config struct {
 	Name    string
 	Service string
 	Place   string
-	// Listen is the address to listen on; "127.0.0.1:0" takes a free port.
+	// Listen is the address to listen on. Empty means "127.0.0.1:0", a free port.
 	Listen string
-	// Listener opens the address; nil means net.Listen.
+	// Listener opens the listening socket; nil means net.Listen.
 	Listener func(network, address string) (net.Listener, error)
-	// Slots is the number of requests the target says it runs at once.
+	// Slots is the number of concurrent requests that the target reports as its capacity.
 	Slots int
-	// MaxConnections is the number of connections held; more are closed at
-	// once. Zero means DefaultMaxConnections.
+	// MaxConnections is the largest number of open connections; further ones are
+	// closed immediately. Zero means DefaultMaxConnections.
 	MaxConnections int
-	// ServiceTime is the median time a request takes when warm; zero answers
-	// at once. Sigma is the spread of its log-normal distribution.
+	// ServiceTime is the median service time of a request on a warm target; zero
+	// means no delay. Sigma is the standard deviation of the logarithm of the
+	// service time, which has a log-normal distribution.
 	ServiceTime time.Duration
 	Sigma       float64
 	Cold        Cold
-	// Restart is how long a crashed target stays away; zero means
+	// Restart is the time between a crash and the restart; zero means
 	// DefaultRestart.
 	Restart time.Duration
-	// CrashMarker crashes the target when a request's HeaderCrash header or
-	// its body holds it. Empty turns it off.
+	// CrashMarker is the text that crashes the target if a request's HeaderCrash
+	// header equals it or the request's body contains it. Empty disables it.
 	CrashMarker string
 	Seed        uint64
 	Witness     *witness.Witness
 }
 
-// Cold describes a cold start: requests take Factor times as long at first and
-// the factor falls to one over the first Warm requests. After Idle without a
-// request the target is cold again.
+// Cold configures the cold start. The first request takes Factor times as long
+// as on a warm target, and the factor falls linearly to one over Warm requests. After
+// Idle without a request the target is cold again; zero Idle means never.
 type Cold struct {
 	Factor float64
 	Warm   int
@@ -79,45 +80,48 @@
 
 func (c Config) check() error {
 	if c.Name == "" {
-		return errors.New("target: Config.Name is empty; give each target a name")
+		return errors.New("target: Config.Name is empty; set a name for each target")
 	}
 	if c.Slots < 1 {
-		return fmt.Errorf("target: %s: Config.Slots is %d; give at least 1", c.Name, c.Slots)
+		return fmt.Errorf("target: %s: Config.Slots is %d; must be at least 1", c.Name, c.Slots)
 	}
 	return nil
 }
 
-// Faults are the switches that make a target fail or lie.
+// Faults selects how a target fails or reports false health and load. The zero
+// value means no faults.
 type Faults struct {
-	// WorkingSlots, when above zero, is the number of slots that really work.
+	// WorkingSlots, if above zero, is the number of slots that accept requests,
+	// whatever number the target reports.
 	WorkingSlots int
-	// Health, when not HealthTrue, is what /healthz says whatever is the case.
-	Health HealthLie
-	// Load, when set, is what /load and the reply headers say.
+	// Health, if not HealthTrue, fixes the response of /healthz.
+	Health HealthMode
+	// Load, if not nil, replaces the load in /load and in response headers.
 	Load *Load
-	// Late delays each answer after its run by this much.
+	// Late delays each response after the execution has ended.
 	Late time.Duration
-	// ShortEvery cuts the body of every n-th answer under its declared
-	// length; zero turns it off.
+	// ShortEvery truncates every n-th response body below its Content-Length;
+	// zero disables it.
 	ShortEvery int
-	// CrossedEvery answers every n-th request with the identity and body of
-	// the request answered before it; zero turns it off.
+	// CrossedEvery answers every n-th request with the request id and body of
+	// the previous response; zero disables it.
 	CrossedEvery int
-	// FailEvery answers every n-th request with 500 after running it.
+	// FailEvery answers every n-th request with status 500 after its execution;
+	// zero disables it.
 	FailEvery int
 }
 
-// HealthLie says what /healthz answers.
-type HealthLie uint8
+// HealthMode selects the response of /healthz.
+type HealthMode uint8
 
-// Answers of /healthz.
+// Health modes.
 const (
-	HealthTrue HealthLie = iota // the truth
-	HealthGood                  // 200 always
-	HealthBad                   // 503 always
+	HealthTrue HealthMode = iota // 503 while draining, 200 otherwise
+	HealthGood                   // always 200
+	HealthBad                    // always 503
 )
 
-// Load is what a target says about itself.
+// Load is the load that a target reports.
 type Load struct {
 	InFlight int  `json:"inFlight"`
 	Slots    int  `json:"slots"`
--- a/standin/target/serve.go
+++ b/standin/target/serve.go
@@ -16,29 +16,31 @@
 	"heatherlock/standin/witness"
 )
 
-// Headers between entry VMs and targets.
+// Headers of requests from entry VMs and of responses to them.
 const (
 	HeaderRequestID  = "X-Request-Id"
 	HeaderDeadlineMs = "X-Deadline-Ms"
 	HeaderNotRun     = "Target-Not-Run"
 	HeaderInFlight   = "Target-In-Flight"
 	HeaderSlots      = "Target-Slots"
-	// HeaderCrash crashes the target when it equals Config.CrashMarker.
+	// HeaderCrash is the request header that crashes the target if its value
+	// equals Config.CrashMarker.
 	HeaderCrash = "Standin-Crash"
 )
 
-// maxSpread bounds a service time to this many medians.
+// maxSpread is the largest ratio of a service time, before the cold start factor,
+// to the median.
 const maxSpread = 10
 
-// deadlineSlack is the most that a sender's deadline comes before the
-// target's.
+// deadlineSlack is the largest time by which the sender's deadline expires
+// before the target's.
 const deadlineSlack = 50 * time.Millisecond
 
-func (t *Target) handler(l *life) http.Handler {
+func (t *Target) handler(l *incarnation) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", t.health)
 	mux.HandleFunc("GET /load", t.load)
-	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) { t.work(l, w, r) })
+	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) { t.serveRequest(l, w, r) })
 	return mux
 }
 
@@ -57,75 +59,75 @@
 
 func (t *Target) load(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(t.says())
+	_ = json.NewEncoder(w).Encode(t.reportedLoad())
 }
 
-// says returns the load that the target reports.
-func (t *Target) says() Load {
-	if lie := t.faults.Load().Load; lie != nil {
-		return *lie
+// reportedLoad returns the load that the target reports, which a fault may replace.
+func (t *Target) reportedLoad() Load {
+	if override := t.faults.Load().Load; override != nil {
+		return *override
 	}
 	return Load{InFlight: t.slots.inFlight(), Slots: t.config.Slots, Draining: t.slots.isDraining()}
 }
 
-func (t *Target) sayLoad(h http.Header) {
-	load := t.says()
+func (t *Target) setLoadHeaders(h http.Header) {
+	load := t.reportedLoad()
 	h.Set(HeaderInFlight, strconv.Itoa(load.InFlight))
 	h.Set(HeaderSlots, strconv.Itoa(load.Slots))
 }
 
-// run is one request in a slot.
+// run is one request that occupies a slot.
 type run struct {
 	*witness.Execution
 	id      string
 	request string
-	// ctx ends when the sender goes away, the deadline passes or the target
-	// crashes.
-	ctx    context.Context
-	cancel context.CancelFunc
-	life   *life
+	// ctx is done when the sender disconnects, the deadline passes or the
+	// server closes the connection in a crash.
+	ctx         context.Context
+	cancel      context.CancelFunc
+	incarnation *incarnation
 }
 
-func (t *Target) work(l *life, w http.ResponseWriter, r *http.Request) {
+func (t *Target) serveRequest(l *incarnation, w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(HeaderRequestID)
 	w.Header().Set(HeaderRequestID, id)
 	t.config.Witness.Offered(t.config.Name)
-	if !t.slots.take() {
+	if !t.slots.tryAcquire() {
 		t.shed(w)
 		return
 	}
-	x := t.begin(l, r, id)
-	how := t.execute(x, r)
+	x := t.startRun(l, r, id)
+	end := t.execute(x, r)
 	x.cancel()
-	// The slot is free before the answer leaves: a sender that reads the whole
-	// answer may send the next request at once and must find the slot.
-	t.config.Witness.Finished(x.Execution, time.Now(), how)
-	t.slots.give()
-	if how == witness.EndAnswered {
+	// The slot is released before the response is sent: a sender that has read the
+	// whole response may send its next request immediately and must get the slot.
+	t.config.Witness.Finished(x.Execution, time.Now(), end)
+	t.slots.release()
+	if end == witness.EndAnswered {
 		t.reply(w, r, x)
 		return
 	}
-	if how == witness.EndDeadline {
+	if end == witness.EndDeadline {
 		w.WriteHeader(http.StatusGatewayTimeout)
 		return
 	}
-	panic(http.ErrAbortHandler) // break the connection
+	panic(http.ErrAbortHandler) // closes the connection without a response
 }
 
 func (t *Target) shed(w http.ResponseWriter) {
 	t.config.Witness.Refused(t.config.Name)
-	t.sayLoad(w.Header())
+	t.setLoadHeaders(w.Header())
 	w.Header().Set(HeaderNotRun, "true")
 	w.Header().Set("Connection", "keep-alive")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func (t *Target) begin(l *life, r *http.Request, id string) *run {
+func (t *Target) startRun(l *incarnation, r *http.Request, id string) *run {
 	request := r.Header.Get(witness.HeaderRequest)
 	if request == "" {
 		request = id
 	}
-	x := &run{id: id, request: request, life: l}
+	x := &run{id: id, request: request, incarnation: l}
 	x.ctx, x.cancel = withDeadline(r)
 	x.Execution = t.config.Witness.Started(witness.Start{
 		At: time.Now(), Target: t.config.Name, Request: request,
@@ -142,10 +144,11 @@
 	return context.WithTimeout(r.Context(), time.Duration(ms)*time.Millisecond)
 }
 
-// execute reads the body, spends the service time and says how it ended.
+// execute reads the body, waits for the service time and returns how the
+// execution ended.
 func (t *Target) execute(x *run, r *http.Request) witness.End {
 	if marker := t.config.CrashMarker; marker != "" && r.Header.Get(HeaderCrash) == marker {
-		t.crash(x.life)
+		t.crash(x.incarnation)
 		return witness.EndCulprit
 	}
 	if r.Body == http.NoBody {
@@ -154,27 +157,27 @@
 	scan := &markerReader{Reader: r.Body, marker: []byte(t.config.CrashMarker)}
 	sum, size, err := witness.Sum(scan)
 	if scan.found {
-		t.crash(x.life)
+		t.crash(x.incarnation)
 		return witness.EndCulprit
 	}
 	if err != nil {
-		return x.ended()
+		return x.stopReason()
 	}
 	t.config.Witness.Received(x.Execution, size, sum)
 	return t.serveInSlot(x)
 }
 
-// serveInSlot spends the service time.
+// serveInSlot waits for the service time and returns how the execution ended.
 func (t *Target) serveInSlot(x *run) witness.End {
 	if !x.sleep(t.serviceTime(x)) {
-		return x.ended()
+		return x.stopReason()
 	}
 	return witness.EndAnswered
 }
 
-// ended tells why a run stopped early.
-func (x *run) ended() witness.End {
-	if x.life.over.Err() != nil {
+// stopReason returns why a run ended before its service time.
+func (x *run) stopReason() witness.End {
+	if x.incarnation.stopped.Err() != nil {
 		return witness.EndCrashed
 	}
 	if x.ctx.Err() == context.DeadlineExceeded || x.nearDeadline() {
@@ -183,17 +186,19 @@
 	return witness.EndCancelled
 }
 
-// nearDeadline reports that the sender stopped because of the deadline it
-// gave: its own clock started earlier than the target's.
+// nearDeadline reports whether the deadline is so close that the sender has
+// probably cancelled because of it: the sender's timer started before the target's
+// and so expires first.
 func (x *run) nearDeadline() bool {
 	deadline, ok := x.ctx.Deadline()
 	return ok && time.Until(deadline) < deadlineSlack
 }
 
-// sleep waits and reports whether the whole time passed.
+// sleep waits for d and reports whether it did so without an interruption by a
+// cancellation, the deadline or a crash.
 func (x *run) sleep(d time.Duration) bool {
 	if d <= 0 {
-		return x.ctx.Err() == nil && x.life.over.Err() == nil
+		return x.ctx.Err() == nil && x.incarnation.stopped.Err() == nil
 	}
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -201,15 +206,15 @@
 	case <-timer.C:
 		return true
 	case <-x.ctx.Done():
-	case <-x.life.over.Done():
+	case <-x.incarnation.stopped.Done():
 	}
 	return false
 }
 
-// serviceTime draws the request's service time from its identity, so that a
-// seed gives the same times whatever the order of arrival.
+// serviceTime returns the request's service time. Its random part depends only on
+// the seed and the request's identity, so that the order of arrival does not change it.
 func (t *Target) serviceTime(x *run) time.Duration {
-	factor := t.warmth.factor(x.At)
+	factor := t.warmup.factor(x.At)
 	if t.config.ServiceTime <= 0 {
 		return 0
 	}
@@ -230,7 +235,7 @@
 		given = before
 	}
 	w.Header().Set(HeaderRequestID, given.id)
-	t.sayLoad(w.Header())
+	t.setLoadHeaders(w.Header())
 	if every(faults.FailEvery, n) {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
@@ -256,8 +261,8 @@
 	return min(n, witness.MaxAnswerBytes)
 }
 
-// markerReader looks for the crash marker in a body as it is read. Marked
-// bodies are read to their marker only: the target dies in the middle.
+// markerReader searches a body for the crash marker as it is read. A body is read
+// no further than its marker, so that the target crashes in the middle of it.
 type markerReader struct {
 	io.Reader
 	marker []byte
@@ -265,7 +270,7 @@
 	found  bool
 }
 
-// Read reads the next bytes; it fails at the marker.
+// Read returns io.ErrUnexpectedEOF once it has read the crash marker.
 func (m *markerReader) Read(p []byte) (int, error) {
 	n, err := m.Reader.Read(p)
 	if len(m.marker) == 0 {
--- a/standin/target/slots.go
+++ b/standin/target/slots.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// slots counts the requests that run.
+// slots limits the number of concurrent requests.
 type slots struct {
 	mu       sync.Mutex
 	limit    int
@@ -15,7 +15,7 @@
 	draining bool
 }
 
-func (s *slots) take() bool {
+func (s *slots) tryAcquire() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.draining || s.used >= s.limit {
@@ -25,7 +25,7 @@
 	return true
 }
 
-func (s *slots) give() {
+func (s *slots) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.used--
@@ -55,25 +55,25 @@
 	return s.draining
 }
 
-// warmth follows how warm the target's caches are.
-type warmth struct {
+// warmup simulates caches that fill with the requests since a cold start.
+type warmup struct {
 	cold Cold
 	mu   sync.Mutex
 	done int
 	last time.Time
 }
 
-func newWarmth(cold Cold) *warmth { return &warmth{cold: cold} }
+func newWarmup(cold Cold) *warmup { return &warmup{cold: cold} }
 
-func (w *warmth) reset() {
+func (w *warmup) reset() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.done = 0
 }
 
-// factor counts a request in at now and returns how many times longer than
-// warm it takes.
-func (w *warmth) factor(now time.Time) float64 {
+// factor counts a request that starts at now and returns the ratio of its service
+// time to that on a warm target.
+func (w *warmup) factor(now time.Time) float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.cold.Factor <= 1 || w.cold.Warm <= 0 {
@@ -88,15 +88,15 @@
 	return 1 + (w.cold.Factor-1)*missing
 }
 
-// limitListener closes connections over its limit at once, as an endpoint out
-// of descriptors does.
+// limitListener closes connections above its limit immediately, as an endpoint
+// without free file descriptors does.
 type limitListener struct {
 	net.Listener
 	max  int64
 	open atomic.Int64
 }
 
-// Accept returns the next connection within the limit.
+// Accept returns the next connection within the limit and closes those above it.
 func (l *limitListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -117,7 +117,7 @@
 	once sync.Once
 }
 
-// Close closes the connection and takes it off the count.
+// Close closes the connection and subtracts it from the count once.
 func (c *countedConn) Close() error {
 	c.once.Do(func() { c.open.Add(-1) })
 	return c.Conn.Close()
--- a/standin/target/target_test.go
+++ b/standin/target/target_test.go
@@ -58,7 +58,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatalf("not reached: %s", what)
+	t.Fatalf("condition not met in time: %s", what)
 }
 
 func TestAnswerIsWholeAndReportsLoad(t *testing.T) {
@@ -77,9 +77,8 @@
 	assert.Equal(t, said, Load{Slots: 3})
 }
 
-// Symptom: a caller that is refused pays twice. Sequence: every slot is taken,
-// a further request comes. Cause: a refusal that has run the request or is not
-// typed.
+// Guards against a refusal by a full target that has run the request or lacks the
+// header Target-Not-Run: the caller would repeat the request and pay twice.
 func TestFullTargetShedsWithoutRunning(t *testing.T) {
 	target, w := start(t, Config{ServiceTime: time.Hour})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -91,7 +90,7 @@
 	assert.Equal(t, reply.Header.Get(HeaderNotRun), "true")
 	assert.Equal(t, w.Executions(), 1)
 	cancel()
-	eventually(t, "cancelled work stops", func() bool { return target.InFlight() == 0 })
+	eventually(t, "cancelled request stops", func() bool { return target.InFlight() == 0 })
 }
 
 func TestDeadlineStopsWork(t *testing.T) {
@@ -122,10 +121,9 @@
 	assert.Equal(t, w.Executions(), 1)
 }
 
-// Symptom: one request takes targets down one after another. Sequence: a
-// marked header, or a marker inside a body that spans reads, reaches the
-// target. Cause: the fault switch must close the listener and every
-// connection, and come back later on the same address.
+// Checks the fault that tests need for requests that crash one target after another.
+// A marker in a header, or in a body where it spans two reads, must close the listener
+// and every connection, and the target must restart later on the same address.
 func TestMarkedRequestCrashes(t *testing.T) {
 	crashes := map[string]call{
 		"header": {id: "a", crash: "boom"},
@@ -138,7 +136,7 @@
 			assert.Check(t, err != nil)
 			assert.Equal(t, target.Crashes(), 1)
 			assert.Equal(t, w.Executions(), 1)
-			eventually(t, "back", func() bool {
+			eventually(t, "target restarted", func() bool {
 				reply, err := call{id: "c"}.send(target)
 				return err == nil && reply.StatusCode == http.StatusOK
 			})
@@ -146,7 +144,7 @@
 	}
 }
 
-func TestLies(t *testing.T) {
+func TestFalseHealthAndLoad(t *testing.T) {
 	target, _ := start(t, Config{Slots: 4, ServiceTime: time.Hour})
 	target.SetFaults(Faults{Health: HealthBad, Load: &Load{InFlight: 9, Slots: 40}, WorkingSlots: 1})
 	health, err := http.Get("http://" + target.Address() + "/healthz")
@@ -160,8 +158,8 @@
 	assert.Equal(t, reply.Header.Get(HeaderSlots), "40")
 }
 
-// Symptom: a caller gets another caller's ticket, or half of its own. Cause:
-// targets that answer short or crossed; the stand-in must do both.
+// Checks the faults that tests need for targets with truncated or crossed responses,
+// with which a caller would get half of its own ticket or another caller's ticket.
 func TestShortAndCrossedAnswers(t *testing.T) {
 	target, _ := start(t, Config{})
 	target.SetFaults(Faults{ShortEvery: 1})
@@ -178,8 +176,8 @@
 	assert.Check(t, bytes.HasPrefix(body, []byte("a\n")))
 }
 
-func TestColdStartWarmsWithWork(t *testing.T) {
-	w := newWarmth(Cold{Factor: 3, Warm: 2, Idle: time.Minute})
+func TestColdStartWarmsWithRequests(t *testing.T) {
+	w := newWarmup(Cold{Factor: 3, Warm: 2, Idle: time.Minute})
 	now := time.Unix(0, 0)
 	assert.Equal(t, w.factor(now), 3.0)
 	assert.Equal(t, w.factor(now), 2.0)
@@ -192,9 +190,9 @@
 	held, err := net.Dial("tcp", target.Address())
 	assert.NilError(t, err)
 	defer held.Close()
-	over, err := net.Dial("tcp", target.Address())
+	excess, err := net.Dial("tcp", target.Address())
 	assert.NilError(t, err)
-	_, err = over.Read(make([]byte, 1))
+	_, err = excess.Read(make([]byte, 1))
 	assert.Check(t, err != nil)
 }
 
