--- a/standin/witness/callers.go
+++ b/standin/witness/callers.go
@@ -6,31 +6,31 @@
 	"heatherlock/steering"
 )
 
-// Kind says what a caller's request is, as far as the promises differ.
+// Kind is the kind of a caller's request. Different promises apply to each kind.
 type Kind uint8
 
-// Kinds of request.
+// Request kinds.
 const (
 	KindRead     Kind = iota // idempotent
-	KindPurchase             // non-idempotent, runs at most once
-	KindUpload               // non-idempotent, with a long body
+	KindPurchase             // non-idempotent, must run at most once
+	KindUpload               // non-idempotent, with a large body
 )
 
-// Answer says how a caller's try ended.
+// Answer is the outcome of a try as its caller saw it.
 type Answer uint8
 
-// Ends of a try as its caller saw them.
+// Outcomes of a try.
 const (
-	AnswerWhole   Answer = iota // the whole answer to its own request
-	AnswerWrong                 // bytes of another answer, or fewer than declared, passed off as whole
-	AnswerRefused               // the system's own typed refusal
-	AnswerBroken                // the connection broke, which the caller could tell
-	AnswerFailed                // the target's own error answer
-	AnswerUnsent                // nothing was sent: no connection
-	AnswerLate                  // none by the caller's own deadline: it went away
+	AnswerWhole   Answer = iota // the complete response to its own request
+	AnswerWrong                 // bytes of another response, or a truncated body, without a detectable error
+	AnswerRefused               // a refusal by an entry VM, with a reason
+	AnswerBroken                // a broken connection, which the caller could detect
+	AnswerFailed                // an error response of the target
+	AnswerUnsent                // no connection, so nothing was sent
+	AnswerLate                  // no response by the caller's own deadline, after which it gave up
 )
 
-// Try is one try of a caller.
+// Try is one attempt of a caller to get a response to a request.
 type Try struct {
 	Request string
 	Try     string
@@ -38,47 +38,49 @@
 	Start   time.Time
 	End     time.Time
 	Answer  Answer
-	// Reason and Ran are those of a refusal.
+	// Reason and Ran are the reason of a refusal and whether the request ran.
 	Reason string
 	Ran    string
-	// EntryVM is the one the caller sent to.
+	// EntryVM is the entry VM that the caller sent the request to.
 	EntryVM string
-	// Excused marks a try that a planted fault cut, not the system: its entry
-	// VM was killed while it held the try.
+	// Excused is set if an injected fault broke the try: its entry VM was killed
+	// while the try was in flight. Such a try does not count as broken.
 	Excused bool
-	// SentBytes and SentSum describe the body sent.
+	// SentBytes and SentSum are the size and digest (see Sum) of the sent body.
 	SentBytes int64
 	SentSum   string
 }
 
-// RanNo is the wire form of "not run" in a refusal.
+// RanNo is the value on the wire by which a refusal states that the request did
+// not run.
 const RanNo = "no"
 
 type callerRecord struct {
 	tries     int
 	answers   map[Answer]int
 	refusals  map[string]int
-	notRun    map[string]string // try -> reason of the claim
+	notRun    map[string]string // refusal reason by try that was refused as not run
 	purchases map[string]bool
 	uploads   map[string]*uploadRecord
-	broken    int // broken tries that no planted fault excuses
+	broken    int // broken tries that no injected fault explains
 	excused   int
 }
 
-// uploadRecord is what a caller knows of one upload over all its tries.
+// uploadRecord is the state of one upload over all its tries, as its caller knows it.
 type uploadRecord struct {
 	bytes int64
 	sum   string
 	acked bool
-	cut   int
-	// why says how the newest try that was cut ended.
-	why string
-	// answerLost is set when the target's own answer ended early or was
-	// another request's: the bytes must have arrived all the same.
+	cuts  int
+	// cutReason is the reason of the newest cut.
+	cutReason string
+	// answerLost is set if the target's response was truncated or belonged to
+	// another request. The upload must have reached the target nevertheless.
 	answerLost bool
-	// killed is set when a planted fault ended the entry VM that held a try.
-	// What the others say of the same key later is a consequence, not a cut.
-	killed bool
+	// entryVMKilled is set if an injected fault killed the entry VM that handled a try.
+	// Refusals of later tries because of the lost home of the key are a
+	// consequence of that and do not count as cuts.
+	entryVMKilled bool
 }
 
 func newCallerRecord() callerRecord {
@@ -91,7 +93,7 @@
 	}
 }
 
-// Answered records the end of a caller's try.
+// Answered records the outcome of a caller's try.
 func (w *Witness) Answered(t Try) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -129,35 +131,35 @@
 	case AnswerWhole:
 		u.acked = true
 	case AnswerWrong:
-		u.cutBy("another's answer")
+		u.recordCut("another's answer")
 	case AnswerBroken:
-		u.killed = u.killed || t.Excused
+		u.entryVMKilled = u.entryVMKilled || t.Excused
 		if !t.Excused {
-			u.cutBy("connection broken")
+			u.recordCut("connection broken")
 		}
 	case AnswerRefused:
 		u.refused(t)
 	}
 }
 
-func (u *uploadRecord) cutBy(why string) {
-	u.cut++
-	u.why = why
+func (u *uploadRecord) recordCut(cutReason string) {
+	u.cuts++
+	u.cutReason = cutReason
 }
 
-// saysHomeGone reports the reasons that a repeat gets when the entry VM that
-// keeps its key died or restarted.
-func saysHomeGone(reason string) bool {
+// isHomeGone reports whether reason is one that a repeated request gets if the entry
+// VM that stores the state of its key has crashed or restarted.
+func isHomeGone(reason string) bool {
 	return reason == string(steering.ReasonHomeGone) || reason == string(steering.ReasonPeerDown)
 }
 
 func (u *uploadRecord) refused(t Try) {
 	switch {
 	case t.Ran == RanNo || t.Excused:
-	case u.killed && saysHomeGone(t.Reason):
+	case u.entryVMKilled && isHomeGone(t.Reason):
 	case t.Reason == string(steering.ReasonAnswerCut) || t.Reason == string(steering.ReasonAnswerCrossed):
 		u.answerLost = true
 	default:
-		u.cutBy(t.Reason + " by " + t.EntryVM)
+		u.recordCut(t.Reason + " by " + t.EntryVM)
 	}
 }
--- a/standin/witness/doc.go
+++ b/standin/witness/doc.go
@@ -1,13 +1,13 @@
-// Package witness records from outside the system what targets and callers
-// saw, and judges heatherlock's promises by it.
+// Package witness records what the targets and callers of a test run observed, and
+// checks heatherlock's promises against these records.
 //
-// Nothing in it is told by an entry VM: targets report what reached them and
-// what they ran, callers report what they were answered, and both identify a
-// request by headers of this package, which entry VMs forward like any other
-// header. A defect in the system's own book-keeping can therefore not hide
-// itself. A promise that no traffic touched is judged "not exercised", never
-// held.
+// Targets report the requests that reached them and the executions, and callers
+// report the responses they got. Both identify a request by headers of this
+// package, which entry VMs forward like any other header. As request records do not
+// come from entry VMs, a defect in the system's own accounting cannot hide itself.
+// The operator's side of the run reports planned stops and configuration versions.
+// A promise that no traffic exercised is reported as not exercised, never as held.
 //
-// Limits: the witness keeps a record per request until it is dropped, so it
-// serves bounded runs; it sees only the targets and callers that report to it.
+// A Witness keeps a record of every request as long as it exists, so it is suited to
+// bounded runs. It covers only the targets and callers that report to it.
 package witness
--- a/standin/witness/exchange.go
+++ b/standin/witness/exchange.go
@@ -9,25 +9,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Headers by which callers identify their work to the witness.
+// Request headers by which callers identify their requests to the witness and set the
+// size of the response.
 const (
-	// HeaderRequest identifies what the caller wants. It stays the same when
-	// the caller repeats the request; the answer's body is made from it.
+	// HeaderRequest identifies the request. It stays the same when the caller
+	// repeats the request, and the response body is derived from it.
 	HeaderRequest = "Standin-Request"
-	// HeaderTry is unique for each try of a caller.
+	// HeaderTry is unique to each try.
 	HeaderTry = "Standin-Try"
-	// HeaderHome is the place the caller belongs to.
+	// HeaderHome is the caller's home place.
 	HeaderHome = "Standin-Home"
-	// HeaderAnswerBytes is the size of the answer's body.
+	// HeaderAnswerBytes is the requested size of the response body in bytes.
 	HeaderAnswerBytes = "Standin-Answer-Bytes"
 )
 
-// MaxAnswerBytes bounds the answer that a caller can ask a target for.
+// MaxAnswerBytes is the largest response body that a caller can request.
 const MaxAnswerBytes = 64 << 20
 
-// Body returns the answer to a request: its identity, a line feed and bytes
-// that only this identity gives, size bytes in all (never fewer than the
-// identity needs). An answer that was cut, mixed or crossed differs from it.
+// Body returns the expected response body of a request: its identity, a line feed and
+// pseudo-random bytes derived from the identity. It has size bytes, or more if the
+// identity and the line feed need more. A truncated, mixed or crossed response differs
+// from it.
 func Body(request string, size int) []byte {
 	body := make([]byte, 0, max(size, len(request)+1))
 	body = append(body, request...)
@@ -45,7 +47,7 @@
 	return body
 }
 
-// Noise returns an endless stream of bytes that depends on seed alone.
+// Noise returns an endless stream of pseudo-random bytes that depends only on seed.
 func Noise(seed string) io.Reader {
 	var key [32]byte
 	for i := range 4 {
@@ -57,7 +59,8 @@
 	return rand.NewChaCha8(key)
 }
 
-// Sum returns the digest by which an upload's bytes are compared at both ends.
+// Sum reads r to its end and returns the digest and the number of its bytes. Caller
+// and target compare an upload by them.
 func Sum(r io.Reader) (sum string, bytes int64, err error) {
 	h := sha256.New()
 	bytes, err = io.Copy(h, r)
--- a/standin/witness/judge.go
+++ b/standin/witness/judge.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Limits by which a run is judged.
+// Limits of the promises.
 const (
-	// StopGrace is the time within which a leaving target gets its last new
-	// work.
+	// StopGrace is the time after the acceptance of a planned stop during which
+	// the target may still get new requests.
 	StopGrace = 3 * time.Second
-	// ConfigGrace is the time within which an accepted configuration is in
-	// force everywhere.
+	// ConfigGrace is the time within which an accepted configuration must be in
+	// force on every entry VM.
 	ConfigGrace = 4 * time.Second
-	// MaxLost is how many targets of a region one request may take down.
+	// MaxLost is the largest number of targets per region that one request may crash.
 	MaxLost = 2
 )
 
 // Promise names a promise of the system.
 type Promise string
 
-// The promises.
+// Promises that Judge checks.
 const (
 	PromiseCap        Promise = "a shift stays within its cap"
 	PromiseOverload   Promise = "no place gets more than its slots"
@@ -36,8 +36,9 @@
 	PromiseFewLost    Promise = "one request takes down two targets at most"
 )
 
-// CapLimit is a cap as its operator declared it. Work of Service from a home
-// in From that starts in a place of To counts; an empty Service is every one.
+// CapLimit is a cap as the operator declared it: at most Requests executions within
+// Window. It counts executions of Service that start in a place of To and whose home is
+// in From. An empty Service means every service.
 type CapLimit struct {
 	Service  string
 	From     []string
@@ -46,30 +47,30 @@
 	Window   time.Duration
 }
 
-// binds reports whether the cap counts an execution.
-func (c CapLimit) binds(e *Execution) bool {
+// counts reports whether the cap counts an execution.
+func (c CapLimit) counts(e *Execution) bool {
 	if c.Service != "" && c.Service != e.Service {
 		return false
 	}
 	return slices.Contains(c.From, e.Home) && slices.Contains(c.To, e.Place)
 }
 
-// Finding is the judgement of one promise.
+// Finding is the result of the check of one promise.
 type Finding struct {
 	Promise Promise `json:"promise"`
-	// Exercised is false when nothing in the run could have broken it.
+	// Exercised is false if nothing in the run could have broken the promise.
 	Exercised bool `json:"exercised"`
-	// Broken counts the breaches.
+	// Broken is the number of violations.
 	Broken int `json:"broken"`
-	// Observed counts what was looked at.
+	// Observed is the number of records that were checked.
 	Observed int    `json:"observed"`
 	Detail   string `json:"detail,omitempty"`
 }
 
-// Held reports whether the promise was seen to hold.
+// Held reports whether the promise was exercised without a violation.
 func (f Finding) Held() bool { return f.Exercised && f.Broken == 0 }
 
-// Verdict is the witness's judgement of a run.
+// Verdict is the result of a run: the finding for each promise and figures for reports.
 type Verdict struct {
 	Findings          []Finding
 	Tries             int
@@ -90,14 +91,16 @@
 	TargetRefusals    int
 	Uploads           int
 	UploadsCut        int
-	// TargetsLost counts targets that died of a request.
+	// TargetsLost is the number of target crashes caused by a request.
 	TargetsLost int
-	// NewWorkAfterStop is how long after its acceptance a planned stop's
-	// target was last given new work.
+	// NewWorkAfterStop is the longest time between the acceptance of a planned
+	// stop and the start of an execution on its target.
 	NewWorkAfterStop time.Duration
-	// DrainTime is how long after its acceptance the last request ended there.
+	// DrainTime is the longest time between the acceptance of a planned stop and
+	// the end of an execution on its target.
 	DrainTime time.Duration
-	// ConfigSlowest is the longest time a change took to be seen everywhere.
+	// ConfigSlowest is the longest time between the acceptance of a change and
+	// its coming into force on an entry VM.
 	ConfigSlowest time.Duration
 }
 
@@ -106,19 +109,20 @@
 	return !slices.ContainsFunc(v.Findings, func(f Finding) bool { return !f.Held() })
 }
 
-// Broken reports whether a promise was broken.
+// AnyBroken reports whether any promise was broken.
 func (v Verdict) AnyBroken() bool {
 	return slices.ContainsFunc(v.Findings, func(f Finding) bool { return f.Broken > 0 })
 }
 
-// Planned says what a run had planned that the promises depend on.
+// Planned describes the parts of a run's plan that its promises depend on.
 type Planned struct {
 	Caps []CapLimit
-	// Crashes is set when requests that crash targets were to be sent.
+	// Crashes is set if the run sends requests that crash targets.
 	Crashes bool
 }
 
-// Judge weighs everything reported against the promises.
+// Judge checks the promises against all reports so far. A configuration change that is
+// not yet in force counts as taking until now.
 func (w *Witness) Judge(now time.Time, planned Planned) Verdict {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -126,17 +130,17 @@
 	findings := []func(*Verdict) Finding{
 		func(v *Verdict) Finding { return w.judgeCaps(v, planned.Caps) },
 		w.judgeOverload,
-		w.judgeWhole,
-		w.judgeNotRun,
-		w.judgeOnce,
+		w.judgeWholeAnswers,
+		w.judgeNotRunClaims,
+		w.judgeRunOnce,
 		w.judgeNewWork,
-		w.judgeCut,
+		w.judgeCutRequests,
 		w.judgeUploads,
 		func(v *Verdict) Finding { return w.judgeConfig(v, now) },
 		w.judgeReverts,
 	}
 	if planned.Crashes {
-		findings = append(findings, w.judgeLost)
+		findings = append(findings, w.judgeCrashes)
 	}
 	for _, judge := range findings {
 		v.Findings = append(v.Findings, judge(&v))
@@ -169,7 +173,7 @@
 func (w *Witness) judgeCaps(v *Verdict, caps []CapLimit) Finding {
 	f := Finding{Promise: PromiseCap}
 	for _, c := range caps {
-		starts := w.boundStarts(c)
+		starts := w.countedStarts(c)
 		peak := peakInWindow(starts, c.Window)
 		f.Observed += len(starts)
 		if peak > c.Requests {
@@ -188,17 +192,17 @@
 	return f
 }
 
-// Bound returns how many executions a cap has counted so far.
+// Bound returns the number of executions that count against a cap so far.
 func (w *Witness) Bound(c CapLimit) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return len(w.boundStarts(c))
+	return len(w.countedStarts(c))
 }
 
-func (w *Witness) boundStarts(c CapLimit) []time.Time {
+func (w *Witness) countedStarts(c CapLimit) []time.Time {
 	var starts []time.Time
 	for _, e := range w.executions {
-		if c.binds(e) {
+		if c.counts(e) {
 			starts = append(starts, e.At)
 		}
 	}
@@ -206,7 +210,7 @@
 	return starts
 }
 
-// peakInWindow returns the most times that lie in one half-open window.
+// peakInWindow returns the largest number of times within one half-open window.
 func peakInWindow(sorted []time.Time, window time.Duration) int {
 	peak, first := 0, 0
 	for last, at := range sorted {
@@ -233,11 +237,11 @@
 	return f
 }
 
-func (w *Witness) judgeWhole(v *Verdict) Finding {
+func (w *Witness) judgeWholeAnswers(v *Verdict) Finding {
 	return Finding{Promise: PromiseWhole, Observed: v.Answered + v.Wrong, Broken: v.Wrong, Exercised: v.Answered+v.Wrong > 0}
 }
 
-func (w *Witness) judgeNotRun(v *Verdict) Finding {
+func (w *Witness) judgeNotRunClaims(v *Verdict) Finding {
 	f := Finding{Promise: PromiseNotRun, Observed: len(w.callers.notRun)}
 	f.Exercised = f.Observed > 0
 	ran := map[string]bool{}
@@ -254,7 +258,7 @@
 	return f
 }
 
-func (w *Witness) judgeOnce(v *Verdict) Finding {
+func (w *Witness) judgeRunOnce(v *Verdict) Finding {
 	f := Finding{Promise: PromiseOnce, Observed: len(w.callers.purchases)}
 	runs := map[string]int{}
 	for _, e := range w.executions {
@@ -278,7 +282,7 @@
 		before, others := false, false
 		late := 0
 		for _, e := range w.executions {
-			others = others || w.mightHaveGone(e, s)
+			others = others || w.eligibleAfterStop(e, s)
 			if e.Target != s.Target {
 				continue
 			}
@@ -297,24 +301,25 @@
 			f.Detail = fmt.Sprintf("%s got %d requests more than %s after its stop", s.Target, late, StopGrace)
 		}
 	}
-	// A target that had no work before its stop, or whose place had none after
-	// it, proves nothing by having none either.
+	// A stop is evidence only if the target had requests before the stop and its
+	// place had requests of the service after the grace. Otherwise the target would
+	// have got none anyway.
 	f.Exercised = f.Observed > 0 || f.Broken > 0
 	return f
 }
 
-// mightHaveGone reports whether an execution began after the grace of a stop
-// and could have gone to the stopping target: same place, same service.
-func (w *Witness) mightHaveGone(e *Execution, s Stop) bool {
+// eligibleAfterStop reports whether an execution started after the grace of a stop and
+// could have run on the stopped target, which has the same place and service.
+func (w *Witness) eligibleAfterStop(e *Execution, s Stop) bool {
 	t, ok := w.targets[s.Target]
 	return ok && e.Place == t.place && e.Service == t.service && e.At.Sub(s.Accepted) > StopGrace
 }
 
-func (w *Witness) judgeCut(v *Verdict) Finding {
+func (w *Witness) judgeCutRequests(v *Verdict) Finding {
 	f := Finding{Promise: PromiseNoCut}
 	for _, s := range w.stops {
 		for _, e := range w.executions {
-			if e.Target != s.Target || !e.runsAt(s.Accepted) {
+			if e.Target != s.Target || !e.runsAtOrAfter(s.Accepted) {
 				continue
 			}
 			f.Observed++
@@ -329,8 +334,8 @@
 	return f
 }
 
-// runsAt reports whether an execution was in flight at a moment or began
-// after it.
-func (e *Execution) runsAt(at time.Time) bool {
+// runsAtOrAfter reports whether an execution was in flight at a time or started after
+// it, that is, had not ended by then.
+func (e *Execution) runsAtOrAfter(at time.Time) bool {
 	return e.How == EndRunning || e.Ended.After(at)
 }
--- a/standin/witness/judge_test.go
+++ b/standin/witness/judge_test.go
@@ -14,8 +14,9 @@
 
 var testCap = CapLimit{From: []string{"centro-a"}, To: []string{"sur-a"}, Requests: 2, Window: time.Second}
 
-// scene is a run in which every promise was exercised and held.
-func scene() *Witness {
+// newHealthyRun returns the records of a run in which every promise was exercised and
+// held.
+func newHealthyRun() *Witness {
 	w := New()
 	w.Declare("tickets-1", "sur-a", "tickets", 2)
 	w.Declare("tickets-2", "sur-a", "tickets", 0)
@@ -53,7 +54,7 @@
 func judge(w *Witness) Verdict { return w.Judge(at(9000), testPlan) }
 
 func TestEveryPromiseHolds(t *testing.T) {
-	v := judge(scene())
+	v := judge(newHealthyRun())
 	for _, f := range v.Findings {
 		assert.Check(t, f.Held(), "%+v", f)
 	}
@@ -69,26 +70,25 @@
 	assert.Check(t, !v.Held())
 }
 
-// Each row plants one breach into a run that otherwise holds. The symptom
-// would be a run that exits 0 while the promise is broken; the cause, a
-// judgement that cannot fail.
+// Each row adds one violation to a run in which every promise holds. Guards against a
+// check that cannot fail, so that a run exits 0 although a promise is broken.
 func TestPlantedBreaches(t *testing.T) {
 	breaches := []struct {
 		name    string
 		promise Promise
-		plant   func(*Witness)
+		inject  func(*Witness)
 	}{
 		{"third start in a window", PromiseCap, func(w *Witness) {
 			w.run("x1", "centro-a", 1500, 10, EndAnswered)
 			w.run("x2", "centro-a", 1999, 10, EndAnswered)
 		}},
-		{"more offered than the place has slots", PromiseOverload, func(w *Witness) {
+		{"more requests than the place has slots", PromiseOverload, func(w *Witness) {
 			for i := range 2 {
 				w.Started(Start{At: at(100), Target: "tickets-1", Request: fmt.Sprint("o", i)})
 			}
 			w.Offered("tickets-1")
 		}},
-		{"answer of somebody else", PromiseWhole, func(w *Witness) {
+		{"response to another request", PromiseWhole, func(w *Witness) {
 			w.Answered(Try{Request: "r1", Try: "r1/1", Answer: AnswerWrong})
 		}},
 		{"refused as not run, then ran", PromiseNotRun, func(w *Witness) {
@@ -103,7 +103,7 @@
 		{"request cut on a stopping target", PromiseNoCut, func(w *Witness) {
 			w.run("cut", "sur-a", 3400, 200, EndCancelled)
 		}},
-		{"upload broken off", PromiseUploads, func(w *Witness) {
+		{"upload with a broken connection", PromiseUploads, func(w *Witness) {
 			w.Answered(Try{Request: "u2", Try: "u2/1", Kind: KindUpload, Answer: AnswerBroken, SentBytes: 5})
 		}},
 		{"upload acknowledged with other bytes", PromiseUploads, func(w *Witness) {
@@ -111,7 +111,7 @@
 			w.Received(e, 4, "other")
 			w.Answered(Try{Request: "u3", Try: "u3/1", Kind: KindUpload, SentBytes: 5, SentSum: "mine"})
 		}},
-		{"upload told cut in its answer, with other bytes", PromiseUploads, func(w *Witness) {
+		{"upload with other bytes, refused as answer cut", PromiseUploads, func(w *Witness) {
 			e := w.run("u4", "sur-a", 10, 10, EndAnswered)
 			w.Received(e, 4, "other")
 			w.Answered(Try{Request: "u4", Try: "u4/1", Kind: KindUpload, Answer: AnswerRefused, Reason: "answer_cut", Ran: "unknown", SentBytes: 5, SentSum: "mine"})
@@ -133,8 +133,8 @@
 	}
 	for _, b := range breaches {
 		t.Run(b.name, func(t *testing.T) {
-			w := scene()
-			b.plant(w)
+			w := newHealthyRun()
+			b.inject(w)
 			v := judge(w)
 			assert.Check(t, !v.Held())
 			for _, f := range v.Findings {
@@ -145,38 +145,36 @@
 }
 
 func TestExcusedBreakIsNoCut(t *testing.T) {
-	w := scene()
+	w := newHealthyRun()
 	w.Answered(Try{Request: "u2", Try: "u2/1", Kind: KindUpload, Answer: AnswerBroken, Excused: true})
 	v := judge(w)
 	assert.Check(t, v.Held())
 	assert.Equal(t, v.Excused, 1)
 }
 
-// Symptom: a run with targets that cut their answers is judged to cut uploads.
-// Sequence: an upload arrives whole and runs; the target ends its answer
-// early; the caller is told that the outcome is unknown. Cause: the judgement
-// took any unknown outcome of an upload for one whose bytes were lost.
-func TestUploadWithItsAnswerCutByTheTargetArrivedWhole(t *testing.T) {
-	w := scene()
+// Guards against counting an upload as cut only because its outcome is unknown to the
+// caller. Here the upload arrives complete and runs, and the target then truncates its
+// response.
+func TestUploadWithTruncatedResponseIsNoCut(t *testing.T) {
+	w := newHealthyRun()
 	e := w.run("u5", "sur-a", 10, 10, EndAnswered)
 	w.Received(e, 5, "mine")
 	w.Answered(Try{Request: "u5", Try: "u5/1", Kind: KindUpload, Answer: AnswerRefused, Reason: "answer_cut", Ran: "unknown", SentBytes: 5, SentSum: "mine"})
 	assert.Check(t, judge(w).Held())
 }
 
-// Symptom: a run with a killed entry VM is judged to cut uploads. Sequence: the
-// kill ends an upload's first try, which is excused; the caller repeats it
-// through another entry VM and is told that the key's home is gone. Cause: the
-// judgement took the repeat's refusal for a second cut.
-func TestRepeatAfterAKillIsNoSecondCut(t *testing.T) {
-	w := scene()
+// Guards against counting an upload as cut after the run itself killed an entry VM. The
+// kill breaks the first try, which is excused; the caller repeats the upload through
+// another entry VM, which refuses it because the home of the key is gone.
+func TestRefusedRepeatAfterKillIsNoCut(t *testing.T) {
+	w := newHealthyRun()
 	first := Try{Request: "u7", Try: "u7/1", Kind: KindUpload, Answer: AnswerBroken, Excused: true, SentBytes: 5}
 	w.Answered(first)
 	w.Answered(Try{Request: "u7", Try: "u7/2", Kind: KindUpload, Answer: AnswerRefused, Reason: "home_gone", Ran: "unknown", SentBytes: 5})
 	assert.Check(t, judge(w).Held())
 }
 
-func TestBodyIsItsOwn(t *testing.T) {
+func TestBodyDependsOnRequest(t *testing.T) {
 	a, b := Body("r1", 2000), Body("r2", 2000)
 	assert.Equal(t, len(a), 2000)
 	assert.Check(t, string(a[10:]) != string(b[10:]))
--- a/standin/witness/judge_more.go
+++ b/standin/witness/judge_uploads_config.go
@@ -16,9 +16,9 @@
 		}
 	}
 	for request, u := range w.callers.uploads {
-		if u.cut > 0 || (u.acked || u.answerLost) && !whole[request] {
+		if u.cuts > 0 || (u.acked || u.answerLost) && !whole[request] {
 			f.Broken++
-			f.Detail = fmt.Sprintf("upload %s was cut: %s", request, cmp.Or(u.why, "other bytes arrived than were sent"))
+			f.Detail = fmt.Sprintf("upload %s was cut: %s", request, cmp.Or(u.cutReason, "other bytes arrived than were sent"))
 		}
 	}
 	f.Exercised = len(whole) > 0
@@ -29,7 +29,7 @@
 func (w *Witness) judgeConfig(v *Verdict, now time.Time) Finding {
 	f := Finding{Promise: PromiseConfigFast, Observed: len(w.configs.accepted)}
 	for _, a := range w.configs.accepted {
-		for _, vm := range a.expect {
+		for _, vm := range a.expected {
 			at, seen := a.inForce[vm]
 			if !seen {
 				at = now
@@ -51,20 +51,20 @@
 	return f
 }
 
-func (w *Witness) judgeLost(v *Verdict) Finding {
-	type loss struct{ request, region string }
+func (w *Witness) judgeCrashes(v *Verdict) Finding {
+	type crashKey struct{ request, region string }
 	f := Finding{Promise: PromiseFewLost}
-	lost := map[loss]int{}
+	crashes := map[crashKey]int{}
 	for _, e := range w.executions {
 		if e.How != EndCulprit {
 			continue
 		}
 		f.Observed++
-		l := loss{e.Request, w.regions[e.Place]}
-		lost[l]++
-		if lost[l] > MaxLost {
+		l := crashKey{e.Request, w.regions[e.Place]}
+		crashes[l]++
+		if crashes[l] > MaxLost {
 			f.Broken++
-			f.Detail = fmt.Sprintf("request %s took down %d targets of %s", l.request, lost[l], l.region)
+			f.Detail = fmt.Sprintf("request %s took down %d targets of %s", l.request, crashes[l], l.region)
 		}
 	}
 	f.Exercised = f.Observed > 0
--- a/standin/witness/record.go
+++ b/standin/witness/record.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// End says how an execution ended at its target.
+// End is how an execution ended at its target.
 type End uint8
 
-// Ends of an execution.
+// End values.
 const (
-	EndRunning   End = iota // not ended yet
-	EndAnswered             // the target ran it to its end
-	EndCancelled            // the sender went away or stopped sending
-	EndDeadline             // the deadline passed at the target
-	EndCrashed              // the target died with it
-	EndCulprit              // the target died of it
+	EndRunning   End = iota // still running
+	EndAnswered             // completed; the target responds
+	EndCancelled            // the sender disconnected or stopped sending the body
+	EndDeadline             // the deadline passed
+	EndCrashed              // the target stopped or crashed while it ran, not because of it
+	EndCulprit              // this request crashed the target
 )
 
-// Start describes an execution that begins.
+// Start describes the start of an execution.
 type Start struct {
 	At      time.Time
 	Target  string
@@ -29,20 +29,21 @@
 	Home    string // HeaderHome
 }
 
-// Execution is one run of a request at a target.
+// Execution is one run of a request on a target.
 type Execution struct {
 	Start
 	Place   string
 	Service string
-	// Ended is when the run stopped; zero while it runs.
+	// Ended is the end time; zero while the execution runs.
 	Ended time.Time
 	How   End
-	// Bytes and Sum describe the body that the target received.
+	// Bytes and Sum are the size and digest of the body that the target received.
 	Bytes int64
 	Sum   string
 }
 
-// Foreign reports whether the work came from another place than its home.
+// Foreign reports whether the execution runs in another place than its home. It is
+// false if the home is unknown.
 func (e *Execution) Foreign() bool { return e.Home != "" && e.Home != e.Place }
 
 type pool struct{ place, service string }
@@ -51,29 +52,30 @@
 	pool
 	slots   int
 	running int
-	over    int // most requests over slots at once
+	over    int // largest number of requests above slots
 }
 
-// poolRecord counts what a place's targets of one service hold together.
+// poolRecord is the common state of the targets of one place and service.
 type poolRecord struct {
 	slots   int
 	running int
-	peak    int // most running at once
-	over    int // most requests over slots at once
-	overAt  time.Time
+	peak    int // largest number of concurrent executions
+	over    int // largest number of requests above slots
+	// overAt is the time at which over was reached.
+	overAt time.Time
 }
 
-// Witness collects reports. Its methods may be called from any goroutine.
+// Witness collects reports of a run. It is safe for concurrent use.
 type Witness struct {
 	mu         sync.Mutex
 	targets    map[string]*targetRecord
 	pools      map[pool]*poolRecord
 	executions []*Execution
-	refusedBy  map[string]int // requests refused without running, per target
+	refusedBy  map[string]int // requests refused without running, by target
 	callers    callerRecord
 	stops      []Stop
 	configs    configRecord
-	regions    map[string]string // by place
+	regions    map[string]string // region by place
 }
 
 // New returns an empty witness.
@@ -87,7 +89,7 @@
 	}
 }
 
-// Declare tells the witness a target and the requests it can run at once.
+// Declare registers a target and the number of requests that it can run concurrently.
 func (w *Witness) Declare(target, place, service string, slots int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -101,7 +103,7 @@
 	r.slots += slots
 }
 
-// Regions tells the witness which region each place is in.
+// Regions sets the region of each place.
 func (w *Witness) Regions(byPlace map[string]string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -109,8 +111,8 @@
 }
 
 // Offered records that a request reached a target, whether or not the target
-// then refuses it. Counting offers, not runs, shows overload that a target's
-// own shedding would hide.
+// refuses it. Counting arrivals and not executions reveals overload that the
+// target's load shedding would hide.
 func (w *Witness) Offered(target string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -132,7 +134,8 @@
 	w.refusedBy[target]++
 }
 
-// Started records the start of an execution.
+// Started records the start of an execution and returns the execution, which later
+// reports refer to.
 func (w *Witness) Started(s Start) *Execution {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -163,14 +166,14 @@
 	}
 }
 
-// Received records the body that an execution's target got.
+// Received records the size and digest of the body that the target received.
 func (w *Witness) Received(e *Execution, bytes int64, sum string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	e.Bytes, e.Sum = bytes, sum
 }
 
-// Running returns the executions that have not ended, per target.
+// Running returns the number of running executions by target, without idle targets.
 func (w *Witness) Running() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -183,15 +186,15 @@
 	return running
 }
 
-// PoolUse says how much of a place's slots for a service was used.
+// PoolUse is the use of a place's slots for a service.
 type PoolUse struct {
 	Place   string `json:"place"`
 	Service string `json:"service"`
 	Slots   int    `json:"slots"`
-	Peak    int    `json:"peak"` // most running at once
+	Peak    int    `json:"peak"` // largest number of concurrent executions
 }
 
-// Use returns the use of every place and service, ordered by their names.
+// Use returns the use of every place and service, ordered by service and place.
 func (w *Witness) Use() []PoolUse {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -205,7 +208,7 @@
 	return all
 }
 
-// Executions returns how many executions have started.
+// Executions returns the number of executions started so far.
 func (w *Witness) Executions() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
