--- a/standin/platform/budget_test.go
+++ b/standin/platform/budget_test.go
@@ -12,10 +12,10 @@
 	"heatherlock/objects"
 )
 
-// Symptom: the platform comes back and is at once driven over its rates again.
-// Sequence: it is down for ten minutes while a fleet's loops keep calling,
-// then it recovers. Cause: loops that repeat without pause, or all pause alike.
-func TestOutageAndItsEndCauseNoStampede(t *testing.T) {
+// Guards against a retry storm that exceeds the platform's rate limits as soon as it
+// recovers from an outage of ten minutes, during which the loops of all VMs keep calling.
+// It would come from loops that retry without a backoff, or all with the same backoff.
+func TestNoRetryStormInAndAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const callers = 60
 		store := NewStore(Options{})
@@ -59,24 +59,24 @@
 	return most
 }
 
-func TestBudgetRefusesLocallyWithTimeToComeBack(t *testing.T) {
+func TestBudgetRefusesLocallyWithRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := NewStore(Options{})
 		api := objects.NewBudget(store.As("vm", "zone"), objects.BudgetConfig{ReadsPerSecond: 1, Burst: 2})
 		_, _ = api.Get(t.Context(), "Cap", "sur")
 		_, _ = api.Get(t.Context(), "Cap", "sur")
-		_, err := api.Get(t.Context(), "Cap", "sur") // waits a second for its turn
+		_, err := api.Get(t.Context(), "Cap", "sur") // waits up to a second for a token
 		assert.Equal(t, objects.KindOf(err), objects.NotFound)
 		store.Down(true)
 		time.Sleep(2 * time.Second)
 		_, err = api.Get(t.Context(), "Cap", "sur")
 		assert.Equal(t, objects.KindOf(err), objects.Unavailable)
-		arrived := store.Counts().Total
+		received := store.Counts().Total
 		_, err = api.Get(t.Context(), "Cap", "sur")
 		var e *objects.Error
 		assert.Assert(t, asError(err, &e))
 		assert.Assert(t, e.RetryAfter > 0)
-		assert.Equal(t, store.Counts().Total, arrived)
+		assert.Equal(t, store.Counts().Total, received)
 	})
 }
 
--- a/standin/platform/counters.go
+++ b/standin/platform/counters.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Counts holds how many calls arrived, refused ones included. A watch counts
-// once, when it starts to wait.
+// Counts holds the numbers of received calls, including refused ones. A watch
+// counts once, when it starts to wait.
 type Counts struct {
 	Total    int64
 	ByOp     map[string]int64
 	ByClient map[string]int64
-	// Throttled counts calls over the rates.
+	// Throttled is the number of calls refused by the rate limits.
 	Throttled int64
 }
 
-// Second holds the calls that arrived in one second.
+// Second holds the numbers of calls received in one second.
 type Second struct {
 	At    time.Time
 	Total int64
 	ByOp  map[string]int64
 }
 
-// counters counts calls; Store.mu guards it.
+// counters counts calls. Store.mu guards it.
 type counters struct {
 	counts  Counts
 	seconds []Second
@@ -32,7 +32,7 @@
 	return counters{counts: Counts{ByOp: map[string]int64{}, ByClient: map[string]int64{}}}
 }
 
-func (c *counters) arrived(op, client string, now time.Time) {
+func (c *counters) countCall(op, client string, now time.Time) {
 	c.counts.Total++
 	c.counts.ByOp[op]++
 	c.counts.ByClient[client]++
@@ -55,7 +55,7 @@
 	return c
 }
 
-// Seconds returns the calls of each second in which any arrived, oldest first.
+// Seconds returns the counts of each second with at least one call, oldest first.
 func (s *Store) Seconds() []Second {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/platform/doc.go
+++ b/standin/platform/doc.go
@@ -1,9 +1,9 @@
-// Package platform is a small in-memory stand-in for the platform's object
-// API, for tests and quickstart. It keeps objects under one monotone revision,
-// answers conditional writes, lists and long-poll watches, keeps a list of VMs
-// that lags, counts each call by kind and caller, and has fault switches.
+// Package platform implements a small in-memory fake of the platform's object
+// API for tests and quickstart. It stores objects under one monotonic revision,
+// serves conditional writes, lists and long-poll watches, keeps a list of VMs
+// that can lag, counts calls by operation and client, and can inject faults.
 //
-// Store is used in process through Store.As, and over HTTP through
-// Store.Handler; both go through the same faults, rates and counters. It keeps
-// nothing on disk and offers no authentication.
+// A Store is used in process through Store.As, and over HTTP through
+// Store.Handler; both apply the same faults, rate limits and counters. It stores
+// nothing on disk and has no authentication.
 package platform
--- a/standin/platform/faults.go
+++ b/standin/platform/faults.go
@@ -2,56 +2,59 @@
 
 import "time"
 
-// AllReplies makes LoseReplies lose the reply to every write.
+// AllReplies, passed to LoseReplies, drops the reply to every write.
 const AllReplies = -1
 
-// faults holds the switches; Store.mu guards it.
+// faults holds the injected faults. Store.mu guards it.
 type faults struct {
-	down  bool
-	slow  time.Duration
-	lose  int
-	stale int64
-	cut   map[string]bool
+	down           bool
+	delay          time.Duration
+	loseReplies    int
+	staleRevisions int64
+	cutOffZones    map[string]bool
 }
 
-func newFaults() faults { return faults{cut: map[string]bool{}} }
+func newFaults() faults { return faults{cutOffZones: map[string]bool{}} }
 
-// set changes the switches and wakes waiting watches, which then notice.
-func (s *Store) set(f func(*faults)) {
+// setFaults changes the faults and wakes waiting watches, so that the faults apply
+// to them immediately.
+func (s *Store) setFaults(f func(*faults)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(&s.faults)
-	s.wake()
+	s.wakeWatches()
 }
 
-// Down makes every call fail as Unavailable, before any effect.
-func (s *Store) Down(on bool) { s.set(func(f *faults) { f.down = on }) }
+// Down turns an outage on or off: every call fails as Unavailable and takes no effect.
+func (s *Store) Down(on bool) { s.setFaults(func(f *faults) { f.down = on }) }
 
-// Slow holds every call back for d before it takes effect.
-func (s *Store) Slow(d time.Duration) { s.set(func(f *faults) { f.slow = d }) }
+// Slow delays every call by d before it takes effect; zero turns the delay off.
+func (s *Store) Slow(d time.Duration) { s.setFaults(func(f *faults) { f.delay = d }) }
 
-// LoseReplies drops the replies to the next n writes after they took effect;
-// AllReplies drops every one and 0 drops no more.
-func (s *Store) LoseReplies(n int) { s.set(func(f *faults) { f.lose = n }) }
+// LoseReplies drops the replies to the next n writes, which take effect
+// nevertheless. AllReplies drops every reply, 0 none.
+func (s *Store) LoseReplies(n int) { s.setFaults(func(f *faults) { f.loseReplies = n }) }
 
-// CutOff breaks or heals the connection between a zone and the platform.
-func (s *Store) CutOff(zone string, on bool) { s.set(func(f *faults) { f.cut[zone] = on }) }
+// CutOff turns a network partition between a zone and the platform on or off.
+func (s *Store) CutOff(zone string, on bool) {
+	s.setFaults(func(f *faults) { f.cutOffZones[zone] = on })
+}
 
-// StaleReads makes Get and List answer as of n revisions ago.
-func (s *Store) StaleReads(n int64) { s.set(func(f *faults) { f.stale = n }) }
+// StaleReads makes Get and List return the state of n revisions ago.
+func (s *Store) StaleReads(n int64) { s.setFaults(func(f *faults) { f.staleRevisions = n }) }
 
-// readRevision is the revision that a read sees.
+// readRevision returns the revision that Get and List read.
 func (s *Store) readRevision() int64 {
-	return max(s.compacted, s.revision-s.faults.stale)
+	return max(s.compacted, s.revision-s.faults.staleRevisions)
 }
 
-// loseReply tells whether the reply to the write just made is lost.
+// loseReply reports whether to drop the reply to the write just made, and counts it.
 func (s *Store) loseReply() bool {
-	if s.faults.lose == 0 {
+	if s.faults.loseReplies == 0 {
 		return false
 	}
-	if s.faults.lose > 0 {
-		s.faults.lose--
+	if s.faults.loseReplies > 0 {
+		s.faults.loseReplies--
 	}
 	return true
 }
--- a/standin/platform/handler.go
+++ b/standin/platform/handler.go
@@ -12,10 +12,10 @@
 	"heatherlock/objects"
 )
 
-// maxWatchWait bounds how long a watch over HTTP may wait.
+// maxWatchWait is the longest wait of a watch over HTTP.
 const maxWatchWait = time.Minute
 
-// statuses maps error kinds to HTTP statuses.
+// statuses maps error kinds to HTTP status codes.
 var statuses = map[objects.ErrorKind]int{
 	objects.Invalid:     http.StatusBadRequest,
 	objects.NotFound:    http.StatusNotFound,
@@ -26,7 +26,7 @@
 	objects.Unavailable: http.StatusServiceUnavailable,
 }
 
-// Handler serves the store over HTTP.
+// Handler returns a handler that serves the store over HTTP.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /objects", s.serve(list))
@@ -39,7 +39,8 @@
 	return mux
 }
 
-// operation answers one request with a body to encode, or an error.
+// operation performs the call of an HTTP request and returns the body to encode as
+// JSON, or an error.
 type operation func(api objects.API, r *http.Request) (any, error)
 
 func (s *Store) serve(f operation) http.HandlerFunc {
@@ -47,7 +48,7 @@
 		api := s.As(r.Header.Get(objects.HeaderClient), r.Header.Get(objects.HeaderZone))
 		body, err := f(api, r)
 		if errors.Is(err, errReplyLost) || errors.Is(err, errCutOff) {
-			panic(http.ErrAbortHandler) // breaks the connection without a reply
+			panic(http.ErrAbortHandler) // closes the connection without a reply
 		}
 		if err != nil {
 			writeError(w, err)
@@ -68,7 +69,7 @@
 	http.Error(w, err.Error(), status)
 }
 
-func invalid(err error) error { return failure(objects.Invalid, err) }
+func invalid(err error) error { return newError(objects.Invalid, err) }
 
 func list(api objects.API, r *http.Request) (any, error) {
 	found, revision, err := api.List(r.Context(), r.URL.Query()["kind"]...)
@@ -79,7 +80,8 @@
 	return api.Get(r.Context(), r.PathValue("kind"), r.PathValue("name"))
 }
 
-// readValue reads one byte more than allowed, so that the store refuses it.
+// readValue reads the request body. Of a body above the size limit it reads one byte
+// more than allowed, so that the store refuses the value.
 func readValue(r *http.Request) (json.RawMessage, error) {
 	value, err := io.ReadAll(io.LimitReader(r.Body, objects.MaxValueBytes+1))
 	if err != nil {
--- a/standin/platform/http_test.go
+++ b/standin/platform/http_test.go
@@ -13,7 +13,7 @@
 	"heatherlock/objects"
 )
 
-// start serves a store on loopback and returns a client of zone norte-a.
+// start serves a store on loopback and returns it with a client in zone norte-a.
 func start(t *testing.T, scope tally.Scope) (*Store, *objects.Client) {
 	store := NewStore(Options{})
 	server := httptest.NewServer(store.Handler())
@@ -53,10 +53,10 @@
 	assert.Equal(t, scope.Snapshot().Counters()["platform_errors+kind=conflict,op=update"].Value(), int64(1))
 }
 
-// Symptom: a purchase cap is applied twice, or an accepted write is reported
-// as failed. Sequence: the platform stores the write, then its reply is lost.
-// Cause: a client that takes every broken exchange for "not stored". The
-// client must say unknown, so that the writer reads back.
+// Guards against a client that treats every broken connection as a write that was not
+// stored: a purchase cap would be applied twice, or an accepted write reported as failed.
+// The platform stores the write and its reply is lost, so the client must return Unknown
+// and the writer must read the object back.
 func TestLostReplyIsUnknown(t *testing.T) {
 	store, client := start(t, nil)
 	store.LoseReplies(1)
@@ -67,9 +67,9 @@
 	assert.Equal(t, stored.Version, int64(1))
 }
 
-// Symptom: operators are told "unknown" for writes that cannot have happened,
-// and go looking for them. Sequence: nothing listens at the platform's
-// address. Cause: a failed dial and a broken exchange treated alike.
+// Guards against treating a failed dial like a connection that broke after the request.
+// If nothing listens on the platform's address, a write cannot have happened; with the
+// error Unknown, operators would search for it.
 func TestFailedDialIsUnavailable(t *testing.T) {
 	server := httptest.NewServer(nil)
 	url := server.URL
--- a/standin/platform/session.go
+++ b/standin/platform/session.go
@@ -10,7 +10,7 @@
 	"heatherlock/objects"
 )
 
-// session is the store as one caller sees it.
+// session implements objects.API on a store for one client in one zone.
 type session struct {
 	store  *Store
 	client string
@@ -19,31 +19,32 @@
 
 var _ objects.API = session{}
 
-// As returns the store as one caller in one zone sees it.
+// As returns the API of the store for a client in a zone.
 func (s *Store) As(client, zone string) objects.API {
 	return session{store: s, client: client, zone: zone}
 }
 
-// errReplyLost marks a write that took effect and whose reply is dropped.
+// errReplyLost is the cause of the error of a write that took effect and whose reply
+// is dropped.
 var errReplyLost = errors.New("the reply was lost")
 
-// errCutOff marks a call from a zone that is cut off.
+// errCutOff is the cause of the error of a call from a zone that is cut off.
 var errCutOff = errors.New("the zone is cut off from the platform")
 
-// enter counts a call, holds it back while the store is slow and refuses it
-// when a fault or a rate says so.
-func (c session) enter(ctx context.Context, op string) error {
+// admit counts a call, delays it by the time set with Slow, and returns an error if a
+// fault or a rate limit refuses it.
+func (c session) admit(ctx context.Context, op string) error {
 	c.store.mu.Lock()
 	now := time.Now()
-	c.store.counters.arrived(op, c.client, now)
-	slow := c.store.faults.slow
+	c.store.counters.countCall(op, c.client, now)
+	delay := c.store.faults.delay
 	c.store.mu.Unlock()
-	if err := sleep(ctx, slow); err != nil {
-		return failure(objects.Unavailable, err)
+	if err := sleep(ctx, delay); err != nil {
+		return newError(objects.Unavailable, err)
 	}
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
-	if err := c.blocked(); err != nil {
+	if err := c.outage(); err != nil {
 		return err
 	}
 	if !c.allow(op, now) {
@@ -67,13 +68,14 @@
 	}
 }
 
-// blocked returns why no call of this caller gets through; Store.mu is held.
-func (c session) blocked() error {
-	if c.store.faults.cut[c.zone] {
-		return failure(objects.Unavailable, errCutOff)
+// outage returns an error if a fault makes the store unreachable for the client.
+// Store.mu must be held.
+func (c session) outage() error {
+	if c.store.faults.cutOffZones[c.zone] {
+		return newError(objects.Unavailable, errCutOff)
 	}
 	if c.store.faults.down {
-		return failure(objects.Unavailable, errors.New("the platform is down"))
+		return newError(objects.Unavailable, errors.New("the platform is down"))
 	}
 	return nil
 }
@@ -85,31 +87,31 @@
 	return c.store.reads.AllowN(now, 1)
 }
 
-// read runs f under the lock once the call may enter.
+// read runs f with Store.mu held if the call is admitted.
 func (c session) read(ctx context.Context, op, object string, f func() error) error {
-	if err := c.enter(ctx, op); err != nil {
-		return named(err, op, object)
+	if err := c.admit(ctx, op); err != nil {
+		return withCall(err, op, object)
 	}
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
-	return named(f(), op, object)
+	return withCall(f(), op, object)
 }
 
-// write runs f like read does and then loses the reply if the switch says so.
+// write runs f as read does, and then drops the reply if LoseReplies applies.
 func (c session) write(ctx context.Context, op, object string, f func() error) error {
 	return c.read(ctx, op, object, func() error {
 		if err := f(); err != nil {
 			return err
 		}
 		if c.store.loseReply() {
-			return failure(objects.Unknown, errReplyLost)
+			return newError(objects.Unknown, errReplyLost)
 		}
 		return nil
 	})
 }
 
-// named fills in the call that an error belongs to.
-func named(err error, op, object string) error {
+// withCall sets the operation and object of an objects.Error.
+func withCall(err error, op, object string) error {
 	var e *objects.Error
 	if !errors.As(err, &e) {
 		return err
@@ -126,7 +128,7 @@
 		object, found = c.store.at(objectKey{kind, name}, c.store.readRevision())
 		if !found {
 			object = objects.Object{}
-			return failure(objects.NotFound, nil)
+			return newError(objects.NotFound, nil)
 		}
 		return nil
 	})
@@ -176,7 +178,8 @@
 	return onSuccess(revision, err), err
 }
 
-// onSuccess hides a result whose reply was lost.
+// onSuccess returns result, or the zero value if err is not nil, as a caller gets no
+// result when the reply is lost.
 func onSuccess[T any](result T, err error) T {
 	if err != nil {
 		var none T
@@ -187,15 +190,15 @@
 
 // Watch implements objects.API.
 func (c session) Watch(ctx context.Context, since int64, wait time.Duration, kinds ...string) ([]objects.Event, int64, error) {
-	if err := c.enter(ctx, objects.OpWatch); err != nil {
-		return nil, 0, named(err, objects.OpWatch, "")
+	if err := c.admit(ctx, objects.OpWatch); err != nil {
+		return nil, 0, withCall(err, objects.OpWatch, "")
 	}
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
 		events, revision, changed, err := c.poll(since, kinds)
 		if err != nil {
-			return nil, 0, named(err, objects.OpWatch, "")
+			return nil, 0, withCall(err, objects.OpWatch, "")
 		}
 		if len(events) > 0 {
 			return events, revision, nil
@@ -205,16 +208,17 @@
 		case <-timeout.C:
 			return events, revision, nil
 		case <-ctx.Done():
-			return nil, 0, named(failure(objects.Unavailable, ctx.Err()), objects.OpWatch, "")
+			return nil, 0, withCall(newError(objects.Unavailable, ctx.Err()), objects.OpWatch, "")
 		}
 	}
 }
 
-// poll looks once for events and returns the channel that the next change closes.
+// poll returns the events after a revision without waiting, and the channel that the
+// next change closes.
 func (c session) poll(since int64, kinds []string) ([]objects.Event, int64, chan struct{}, error) {
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
-	if err := c.blocked(); err != nil {
+	if err := c.outage(); err != nil {
 		return nil, 0, nil, err
 	}
 	events, err := c.store.eventsAfter(since, kinds)
--- a/standin/platform/store.go
+++ b/standin/platform/store.go
@@ -14,42 +14,43 @@
 	"heatherlock/objects"
 )
 
-// Defaults of the stand-in's options.
+// Defaults of the fields of Options.
 const (
 	DefaultWritesPerSecond = 500
 	DefaultReadsPerSecond  = 2000
 	DefaultKeptEvents      = 10000
 )
 
-// Options sets the bounds of a store; zero fields take the defaults.
+// Options sets the limits of a store. Zero or negative fields take the defaults.
 type Options struct {
 	WritesPerSecond int
 	ReadsPerSecond  int
-	// KeptEvents is how many changes a watch can go back over.
+	// KeptEvents is the minimum number of past changes that the store retains for
+	// watches, unless Compact drops them.
 	KeptEvents int
 }
 
 type objectKey struct{ kind, name string }
 
-// record is the state of one object from a revision on.
+// record is the state of an object as of a revision.
 type record struct {
 	revision int64
 	object   objects.Object
 	deleted  bool
 }
 
-// Store is the stand-in's state. All methods are safe for concurrent use.
+// Store is an in-memory object store. It is safe for concurrent use.
 type Store struct {
 	mu       sync.Mutex
 	revision int64
 	// compacted is the oldest revision that a watch may start from.
-	compacted int64
-	events    []objects.Event
-	kept      int
-	// history holds the records of each object, newest last, as far back as
-	// stale reads may go.
+	compacted  int64
+	events     []objects.Event
+	keptEvents int
+	// history holds the records of each object, newest last, back to the
+	// compacted revision, the oldest that a stale read may return.
 	history map[objectKey][]record
-	// changed is closed and replaced at each change of objects or faults.
+	// changed is closed and replaced on each change of an object or a fault.
 	changed chan struct{}
 
 	faults   faults
@@ -71,13 +72,13 @@
 		o.KeptEvents = DefaultKeptEvents
 	}
 	return &Store{
-		kept:     o.KeptEvents,
-		history:  map[objectKey][]record{},
-		changed:  make(chan struct{}),
-		counters: newCounters(),
-		faults:   newFaults(),
-		reads:    rate.NewLimiter(rate.Limit(o.ReadsPerSecond), o.ReadsPerSecond),
-		writes:   rate.NewLimiter(rate.Limit(o.WritesPerSecond), o.WritesPerSecond),
+		keptEvents: o.KeptEvents,
+		history:    map[objectKey][]record{},
+		changed:    make(chan struct{}),
+		counters:   newCounters(),
+		faults:     newFaults(),
+		reads:      rate.NewLimiter(rate.Limit(o.ReadsPerSecond), o.ReadsPerSecond),
+		writes:     rate.NewLimiter(rate.Limit(o.WritesPerSecond), o.WritesPerSecond),
 	}
 }
 
@@ -88,14 +89,14 @@
 	return s.revision
 }
 
-// Compact forgets the events up to revision; watches from before it get Gone.
+// Compact drops the events up to revision. Watches from an older revision fail as Gone.
 func (s *Store) Compact(revision int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.compact(min(revision, s.revision))
 }
 
-// compact drops events and history that no read needs any more.
+// compact drops events and history that no read needs any longer.
 func (s *Store) compact(revision int64) {
 	if revision <= s.compacted {
 		return
@@ -143,27 +144,27 @@
 	return objects.Object{}, false
 }
 
-// put stores a change as the next revision and wakes the watches.
+// put stores a change as the next revision and wakes waiting watches.
 func (s *Store) put(key objectKey, value json.RawMessage, deleted bool) objects.Object {
 	s.revision++
 	object := objects.Object{Kind: key.kind, Name: key.name, Version: s.revision, Value: value}
 	s.history[key] = append(s.history[key], record{revision: s.revision, object: object, deleted: deleted})
 	s.events = append(s.events, objects.Event{Object: object, Deleted: deleted})
-	if len(s.events) > 2*s.kept {
-		s.compact(s.events[len(s.events)-s.kept].Object.Version - 1)
+	if len(s.events) > 2*s.keptEvents {
+		s.compact(s.events[len(s.events)-s.keptEvents].Object.Version - 1)
 	}
-	s.wake()
+	s.wakeWatches()
 	return object
 }
 
-func (s *Store) wake() {
+func (s *Store) wakeWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 func (s *Store) create(key objectKey, value json.RawMessage) (objects.Object, error) {
 	if old, ok := s.at(key, s.revision); ok {
-		return objects.Object{}, failure(objects.Conflict, errors.Errorf("exists at version %d", old.Version))
+		return objects.Object{}, newError(objects.Conflict, errors.Errorf("exists at version %d", old.Version))
 	}
 	return s.put(key, value, false), nil
 }
@@ -182,23 +183,23 @@
 	return s.put(key, nil, true).Version, nil
 }
 
-// check compares the version a writer gives with the stored one.
+// check returns an error unless the object exists at the version that the writer expects.
 func (s *Store) check(key objectKey, version int64) error {
 	old, ok := s.at(key, s.revision)
 	if !ok {
-		return failure(objects.NotFound, nil)
+		return newError(objects.NotFound, nil)
 	}
 	if old.Version != version {
-		return failure(objects.Conflict, errors.Errorf("version %d given, %d stored", version, old.Version))
+		return newError(objects.Conflict, errors.Errorf("version %d given, %d stored", version, old.Version))
 	}
 	return nil
 }
 
-// list returns the objects of the kinds at a revision, sorted.
+// list returns the objects of the kinds as of a revision, sorted by kind and name.
 func (s *Store) list(kinds []string, revision int64) []objects.Object {
 	found := []objects.Object{}
 	for key := range s.history {
-		if !wanted(kinds, key.kind) {
+		if !matchesKind(kinds, key.kind) {
 			continue
 		}
 		if object, ok := s.at(key, revision); ok {
@@ -217,42 +218,41 @@
 // eventsAfter returns the changes of the kinds after a revision.
 func (s *Store) eventsAfter(since int64, kinds []string) ([]objects.Event, error) {
 	if since < s.compacted {
-		return nil, failure(objects.Gone, errors.Errorf("revision %d given, oldest kept %d", since, s.compacted))
+		return nil, newError(objects.Gone, errors.Errorf("revision %d given, oldest kept %d", since, s.compacted))
 	}
 	if since > s.revision {
-		return nil, failure(objects.Invalid, errors.Errorf("revision %d given, newest %d", since, s.revision))
+		return nil, newError(objects.Invalid, errors.Errorf("revision %d given, newest %d", since, s.revision))
 	}
 	events := []objects.Event{}
 	for _, e := range s.events[s.firstEventAfter(since):] {
-		if wanted(kinds, e.Object.Kind) {
+		if matchesKind(kinds, e.Object.Kind) {
 			events = append(events, e)
 		}
 	}
 	return events, nil
 }
 
-// wanted tells whether a filter of kinds lets a kind through; an empty filter
-// lets everything through.
-func wanted(kinds []string, kind string) bool {
+// matchesKind reports whether kinds contains kind. An empty list matches every kind.
+func matchesKind(kinds []string, kind string) bool {
 	return len(kinds) == 0 || slices.Contains(kinds, kind)
 }
 
-// checkValue returns the value in compact form or why it cannot be stored.
+// checkValue returns the value as compact JSON, or an error if it cannot be stored.
 func checkValue(value json.RawMessage) (json.RawMessage, error) {
 	if len(value) > objects.MaxValueBytes {
-		return nil, failure(objects.TooLarge, errors.Errorf("%d bytes, at most %d", len(value), objects.MaxValueBytes))
+		return nil, newError(objects.TooLarge, errors.Errorf("%d bytes, at most %d", len(value), objects.MaxValueBytes))
 	}
 	var compact bytes.Buffer
 	if err := json.Compact(&compact, value); err != nil {
-		return nil, failure(objects.Invalid, errors.Wrap(err, "value is no JSON"))
+		return nil, newError(objects.Invalid, errors.Wrap(err, "value is no JSON"))
 	}
 	return compact.Bytes(), nil
 }
 
-// failure returns an error whose call is filled in by the caller.
-func failure(kind objects.ErrorKind, cause error) *objects.Error {
+// newError returns an error without operation and object, which withCall sets.
+func newError(kind objects.ErrorKind, cause error) *objects.Error {
 	return &objects.Error{Kind: kind, Err: cause}
 }
 
-// throttleRetry is the time to come back that a throttled call is given.
+// throttleRetry is the RetryAfter of throttled calls.
 const throttleRetry = 500 * time.Millisecond
--- a/standin/platform/store_test.go
+++ b/standin/platform/store_test.go
@@ -18,8 +18,8 @@
 
 var kinds = []string{"Place", "Shift"}
 
-// reference is what the store ought to hold, kept as a plain map of whole
-// states by revision.
+// reference is a model of the store: the complete state after each revision and all
+// events.
 type reference struct {
 	states []map[string]objects.Object // index is the revision
 	events []objects.Event
@@ -41,23 +41,24 @@
 	r.events = append(r.events, objects.Event{Object: o, Deleted: deleted})
 }
 
-// machine drives the store and the reference side by side. Its last action may
-// have been a write whose reply was lost.
+// machine applies the same operations to the store and to the reference. While lossy is
+// set, the store drops the replies to writes.
 type machine struct {
-	store *Store
-	api   objects.API
-	ref   reference
-	lossy bool
-	stale int64
-	floor int64
+	store          *Store
+	api            objects.API
+	ref            reference
+	lossy          bool
+	staleRevisions int64
+	compacted      int64
 }
 
 func (m *machine) draw(t *rapid.T) (kind, name string) {
 	return rapid.SampledFrom(kinds).Draw(t, "kind"), rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")
 }
 
-// settle compares how a write ended with how it should have ended.
-func (m *machine) settle(t *rapid.T, want objects.ErrorKind, err error, next objects.Object, deleted bool) {
+// checkWrite compares the error of a write with the expected one, and applies a
+// successful write to the reference.
+func (m *machine) checkWrite(t *rapid.T, want objects.ErrorKind, err error, next objects.Object, deleted bool) {
 	if want == "" {
 		next.Version = int64(len(m.ref.states))
 		m.ref.change(next, deleted)
@@ -77,10 +78,10 @@
 		want = objects.Conflict
 	}
 	_, err := m.api.Create(t.Context(), kind, name, value)
-	m.settle(t, want, err, objects.Object{Kind: kind, Name: name, Value: value}, false)
+	m.checkWrite(t, want, err, objects.Object{Kind: kind, Name: name, Value: value}, false)
 }
 
-// expect returns the version to write on and how a conditional write on it ends.
+// expect returns the version for a conditional write and the expected error kind.
 func (m *machine) expect(t *rapid.T, kind, name string) (int64, objects.ErrorKind) {
 	old, exists := m.ref.now()[kind+"/"+name]
 	version := old.Version
@@ -101,33 +102,33 @@
 	version, want := m.expect(t, kind, name)
 	value := json.RawMessage(fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "value")))
 	_, err := m.api.Update(t.Context(), kind, name, version, value)
-	m.settle(t, want, err, objects.Object{Kind: kind, Name: name, Value: value}, false)
+	m.checkWrite(t, want, err, objects.Object{Kind: kind, Name: name, Value: value}, false)
 }
 
 func (m *machine) Delete(t *rapid.T) {
 	kind, name := m.draw(t)
 	version, want := m.expect(t, kind, name)
 	_, err := m.api.Delete(t.Context(), kind, name, version)
-	m.settle(t, want, err, objects.Object{Kind: kind, Name: name}, true)
+	m.checkWrite(t, want, err, objects.Object{Kind: kind, Name: name}, true)
 }
 
 func (m *machine) Compact(t *rapid.T) {
-	m.floor = max(m.floor, rapid.Int64Range(0, m.store.Revision()).Draw(t, "compact"))
-	m.store.Compact(m.floor)
+	m.compacted = max(m.compacted, rapid.Int64Range(0, m.store.Revision()).Draw(t, "compact"))
+	m.store.Compact(m.compacted)
 }
 
 func (m *machine) Switch(t *rapid.T) {
 	m.lossy = rapid.Bool().Draw(t, "lossy")
-	m.stale = rapid.Int64Range(0, 4).Draw(t, "stale")
+	m.staleRevisions = rapid.Int64Range(0, 4).Draw(t, "stale")
 	m.store.LoseReplies(map[bool]int{true: AllReplies, false: 0}[m.lossy])
-	m.store.StaleReads(m.stale)
+	m.store.StaleReads(m.staleRevisions)
 }
 
 func (m *machine) Watch(t *rapid.T) {
 	since := rapid.Int64Range(0, m.store.Revision()+1).Draw(t, "since")
 	events, revision, err := m.api.Watch(t.Context(), since, 0, "Place")
 	switch {
-	case since < m.floor:
+	case since < m.compacted:
 		assert.Equal(t, objects.KindOf(err), objects.Gone)
 	case since > m.store.Revision():
 		assert.Equal(t, objects.KindOf(err), objects.Invalid)
@@ -139,9 +140,10 @@
 	}
 }
 
-// Check compares reads, which may be stale by as much as the switch says.
+// Check compares reads with the reference. Reads are stale by the number of revisions
+// set with StaleReads.
 func (m *machine) Check(t *rapid.T) {
-	at := max(m.floor, m.store.Revision()-m.stale)
+	at := max(m.compacted, m.store.Revision()-m.staleRevisions)
 	objects, revision, err := m.api.List(t.Context())
 	assert.NilError(t, err)
 	assert.Equal(t, revision, at)
--- a/standin/platform/vms.go
+++ b/standin/platform/vms.go
@@ -9,8 +9,8 @@
 	"heatherlock/objects"
 )
 
-// vmHistory keeps each state of the list of VMs with the time it began, so
-// that reads can lag; Store.mu guards it.
+// vmHistory holds the states of the list of VMs with their start times, so
+// that reads can lag. Store.mu guards it.
 type vmHistory struct {
 	lag    time.Duration
 	states []vmList
@@ -21,10 +21,11 @@
 	vms  map[string]objects.VM
 }
 
-// maxVMStates bounds the history.
+// maxVMStates is the number of states above which the older half is dropped.
 const maxVMStates = 4096
 
-// SetVM puts a VM into the list or replaces its line.
+// SetVM adds a VM to the list or replaces its entry. If vm.Since is zero, SetVM sets
+// it to the current time.
 func (s *Store) SetVM(vm objects.VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,7 +41,7 @@
 	s.vms.push(now, vms)
 }
 
-// SetVMState changes the state of a listed VM.
+// SetVMState changes the state of a listed VM. It does nothing if the VM is not listed.
 func (s *Store) SetVMState(name string, state objects.VMState) {
 	s.mu.Lock()
 	vm, ok := s.vms.latest()[name]
@@ -53,7 +54,7 @@
 	s.SetVM(vm)
 }
 
-// SetVMLag makes reads of the list answer as of lag ago.
+// SetVMLag makes reads return the list as it was lag ago.
 func (s *Store) SetVMLag(lag time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,7 +78,7 @@
 	}
 }
 
-// at returns the list as of lag ago, sorted by name.
+// at returns the list as it was lag before now, sorted by name.
 func (h *vmHistory) at(now time.Time) []objects.VM {
 	seen := now.Add(-h.lag)
 	list := []objects.VM{}
