--- a/standin/deploy/data.go
+++ b/standin/deploy/data.go
@@ -8,7 +8,7 @@
 
 const megabyte = 1 << 20
 
-// Chile returns the deployment of the bathhouse agency.
+// Chile returns the deployment of the bathhouse agency in Chile.
 func Chile() Deployment {
 	return Deployment{
 		Name:      ChileName,
@@ -25,7 +25,8 @@
 	}
 }
 
-// Prairies returns the deployment of the interpreters' cooperative.
+// Prairies returns the deployment of the interpreters' cooperative in the Canadian
+// prairies.
 func Prairies() Deployment {
 	return Deployment{
 		Name:      PrairiesName,
--- a/standin/deploy/deploy.go
+++ b/standin/deploy/deploy.go
@@ -10,50 +10,51 @@
 	"heatherlock/api/oas"
 )
 
-// Zone is an availability zone. It holds one place of the same name.
+// Zone is an availability zone. It has one place, with the same name.
 type Zone struct {
 	Name   string
 	Region string
-	// Block is the client block on loopback whose callers belong to the place.
+	// Block is the block of loopback addresses whose callers have the place as
+	// their home.
 	Block netip.Prefix
 }
 
-// EntryVM is one entry VM.
+// EntryVM is an entry VM with its zone and region.
 type EntryVM struct {
 	Name   string
 	Zone   string
 	Region string
 }
 
-// Work says what callers do with a service.
+// Work is the kind of requests that callers send to a service.
 type Work uint8
 
-// Kinds of work.
+// Request kinds.
 const (
 	WorkRead     Work = iota // GET, idempotent
-	WorkPurchase             // POST, non-idempotent, keyed
-	WorkUpload               // POST with a long body, non-idempotent, keyed
+	WorkPurchase             // POST, non-idempotent, with an idempotency key
+	WorkUpload               // POST with a large body, non-idempotent, with an idempotency key
 )
 
-// Service is a service with its targets.
+// Service is a service and the size of its set of targets.
 type Service struct {
 	Name        string
 	Work        Work
 	Criticality oas.ServiceSpecCriticality
-	Endpoints   int // over all zones
-	Slots       int // of each endpoint
+	Endpoints   int // number of targets in all zones
+	Slots       int // slots per target
 	Timeout     time.Duration
-	// ServiceTime is the assumed median time of a request in a slot.
+	// ServiceTime is the assumed median time that a request occupies a slot.
 	ServiceTime time.Duration
-	// UploadBytes is the size of an upload.
+	// UploadBytes is the size of an upload; zero for other kinds of requests.
 	UploadBytes int
 }
 
-// Delays are one-way.
+// Delays are one-way network delays.
 type Delays struct {
 	Zones   time.Duration // between availability zones of a region
-	Regions time.Duration
-	Clients time.Duration
+	Regions time.Duration // between regions
+	Clients time.Duration // between callers and entry VMs
 }
 
 // Delay returns the one-way delay between two zones.
@@ -68,7 +69,7 @@
 	return d.Delays.Regions
 }
 
-// Target is one endpoint.
+// Target is a target of a service in a place.
 type Target struct {
 	Name    string
 	Service string
@@ -76,31 +77,32 @@
 	Slots   int
 }
 
-// Deployment is a whole deployment.
+// Deployment is a set of zones with their services and delays.
 type Deployment struct {
 	Name     string
 	Zones    []Zone
 	Services []Service
 	Delays   Delays
-	// ShiftFrom and ShiftTo are the regions that the example shift joins.
+	// ShiftFrom and ShiftTo are the source and destination region of the example
+	// shift.
 	ShiftFrom, ShiftTo string
 }
 
 const (
 	entryVMsPerZone = 2
-	// MaxConnections is the number of connections an endpoint holds.
+	// MaxConnections is the largest number of open connections of a target.
 	MaxConnections = 400
 	// firstBlock is the second byte of the first client block in 127/8.
 	firstBlock = 16
 )
 
-// Names of the deployments.
+// Names that Named accepts.
 const (
 	ChileName    = "chile"
 	PrairiesName = "prairies"
 )
 
-// Named returns a deployment by name.
+// Named returns the deployment with the given name.
 func Named(name string) (Deployment, error) {
 	switch name {
 	case ChileName:
@@ -122,7 +124,7 @@
 	return all
 }
 
-// Stretched returns the deployment with service times n times as long.
+// Stretched returns a copy of the deployment with all service times multiplied by n.
 func (d Deployment) Stretched(n int) Deployment {
 	d.Services = slices.Clone(d.Services)
 	for i := range d.Services {
@@ -131,7 +133,7 @@
 	return d
 }
 
-// EntryVMs returns two entry VMs for each zone.
+// EntryVMs returns the entry VMs, two per zone.
 func (d Deployment) EntryVMs() []EntryVM {
 	var all []EntryVM
 	for _, z := range d.Zones {
@@ -142,7 +144,7 @@
 	return all
 }
 
-// Targets returns the endpoints, spread evenly over the zones.
+// Targets returns the targets of all services, assigned to the zones in turn.
 func (d Deployment) Targets() []Target {
 	var all []Target
 	for _, s := range d.Services {
@@ -155,7 +157,7 @@
 	return all
 }
 
-// Service returns a service by name.
+// Service returns the service with the given name and whether it exists.
 func (d Deployment) Service(name string) (Service, bool) {
 	for _, s := range d.Services {
 		if s.Name == name {
@@ -176,7 +178,7 @@
 	return places
 }
 
-// Regions returns the region of each place.
+// Regions returns the region by place.
 func (d Deployment) Regions() map[string]string {
 	regions := map[string]string{}
 	for _, z := range d.Zones {
@@ -185,7 +187,7 @@
 	return regions
 }
 
-// Host returns the host name by which callers name a service.
+// Host returns the host name that callers use for a service.
 func (d Deployment) Host(service string) string {
 	return strings.Join([]string{service, d.Name, "example"}, ".")
 }
--- a/standin/deploy/deploy_test.go
+++ b/standin/deploy/deploy_test.go
@@ -9,9 +9,9 @@
 	"heatherlock/standin/witness"
 )
 
-// Symptom: a run passes on a deployment smaller than the real one. Cause: a
-// slip in the data; the sizes are checked against those of the deployments.
-func TestSizesOfToday(t *testing.T) {
+// Guards against an error in the data by which runs would pass on deployments smaller
+// than the real ones. The expected sizes are those of the real deployments.
+func TestDeploymentSizes(t *testing.T) {
 	for _, name := range []string{ChileName, PrairiesName} {
 		d, err := Named(name)
 		assert.NilError(t, err)
--- a/standin/deploy/objects.go
+++ b/standin/deploy/objects.go
@@ -10,11 +10,11 @@
 	"heatherlock/standin/witness"
 )
 
-// blocksName names the object that holds a deployment's client blocks.
+// blocksName is the name of the object with a deployment's client blocks.
 const blocksName = "callers"
 
-// Objects returns the operators' objects of the deployment, given the address
-// of each target.
+// Objects returns the operators' objects of the deployment. Addresses holds the address
+// of each target by name; a missing one is an error.
 func (d Deployment) Objects(addresses map[string]string) ([]oas.Object, error) {
 	var all []oas.Object
 	for _, s := range d.Services {
@@ -30,12 +30,12 @@
 	return append(all, oas.NewClientBlocksObject(d.blocks())), nil
 }
 
-func named(name string) oas.Metadata { return oas.Metadata{Name: oas.ObjectName(name)} }
+func metadata(name string) oas.Metadata { return oas.Metadata{Name: oas.ObjectName(name)} }
 
 func (d Deployment) service(s Service) oas.Service {
 	return oas.Service{
 		Kind:     string(oas.KindService),
-		Metadata: named(s.Name),
+		Metadata: metadata(s.Name),
 		Spec: oas.ServiceSpec{
 			Hosts:                []string{d.Host(s.Name)},
 			Criticality:          oas.NewOptServiceSpecCriticality(s.Criticality),
@@ -46,7 +46,7 @@
 }
 
 func (d Deployment) place(z Zone, addresses map[string]string) (oas.Place, error) {
-	p := oas.Place{Kind: string(oas.KindPlace), Metadata: named(z.Name), Spec: oas.PlaceSpec{Region: z.Region, Zone: z.Name}}
+	p := oas.Place{Kind: string(oas.KindPlace), Metadata: metadata(z.Name), Spec: oas.PlaceSpec{Region: z.Region, Zone: z.Name}}
 	for _, t := range d.Targets() {
 		if t.Place != z.Name {
 			continue
@@ -64,17 +64,17 @@
 }
 
 func (d Deployment) blocks() oas.ClientBlocks {
-	b := oas.ClientBlocks{Kind: string(oas.KindClientBlocks), Metadata: named(blocksName)}
+	b := oas.ClientBlocks{Kind: string(oas.KindClientBlocks), Metadata: metadata(blocksName)}
 	for _, z := range d.Zones {
 		b.Spec.Blocks = append(b.Spec.Blocks, oas.ClientBlock{Prefix: z.Block.String(), Place: z.Name})
 	}
 	return b
 }
 
-// Encode returns an object's JSON.
+// Encode returns the JSON encoding of an object.
 func Encode(o oas.Object) (json.RawMessage, error) { return o.MarshalJSON() }
 
-// Identity returns an object's kind and name.
+// Identity returns the kind and name of an object, or empty strings for an unknown type.
 func Identity(o oas.Object) (kind, name string) {
 	switch o.Type {
 	case oas.ServiceObject:
@@ -93,28 +93,29 @@
 	return "", ""
 }
 
-// Cold start of the stand-ins.
+// Cold start and service time distribution of the fake targets; see target.Config.
 const (
-	coldFactor = 1.5
-	coldWarm   = 40
-	coldIdle   = 30 * time.Second
-	sigma      = 0.4
+	coldFactor       = 1.5
+	coldRequests     = 40
+	coldIdle         = 30 * time.Second
+	serviceTimeSigma = 0.4
 )
 
-// Running is a deployment's target stand-ins.
+// Running is the set of running fake targets of a deployment, by name.
 type Running struct {
 	Targets map[string]*target.Target
 }
 
-// StartTargets starts every target of the deployment on free loopback ports.
+// StartTargets starts every target of the deployment on a free loopback port. If one
+// fails, it closes those already started. The caller must call Close.
 func (d Deployment) StartTargets(seed uint64, crashMarker string, w *witness.Witness) (*Running, error) {
 	r := &Running{Targets: map[string]*target.Target{}}
 	for _, t := range d.Targets() {
 		s, _ := d.Service(t.Service)
 		started, err := target.Start(target.Config{
 			Name: t.Name, Service: t.Service, Place: t.Place, Slots: t.Slots,
-			MaxConnections: MaxConnections, ServiceTime: s.ServiceTime, Sigma: sigma,
-			Cold: target.Cold{Factor: coldFactor, Warm: coldWarm, Idle: coldIdle},
+			MaxConnections: MaxConnections, ServiceTime: s.ServiceTime, Sigma: serviceTimeSigma,
+			Cold: target.Cold{Factor: coldFactor, Warm: coldRequests, Idle: coldIdle},
 			Seed: seed, CrashMarker: crashMarker, Witness: w,
 		})
 		if err != nil {
@@ -126,7 +127,7 @@
 	return r, nil
 }
 
-// Addresses returns the address of each target.
+// Addresses returns the address of each target by name.
 func (r *Running) Addresses() map[string]string {
 	addresses := map[string]string{}
 	for name, t := range r.Targets {
