--- a/standin/memnet/doc.go
+++ b/standin/memnet/doc.go
@@ -1,8 +1,8 @@
-// Package memnet is an in-memory network for failure tests: whole daemons,
-// targets and callers talk over it under testing/synctest, where a minute
-// passes in a moment and every run takes the same course.
+// Package memnet implements an in-memory network for failure tests. Complete daemons,
+// targets and callers communicate over it under testing/synctest, with virtual time
+// and reproducible runs.
 //
-// Hosts belong to zones; the link between two zones can be cut, which refuses
-// new connections and breaks those that stand. Limits: connections have no
-// buffer (net.Pipe) and links no delay.
+// Hosts belong to zones. The link from one zone to another can be cut, which refuses
+// new connections and closes established ones. Connections have no buffer (net.Pipe)
+// and links have no delay.
 package memnet
--- a/standin/memnet/memnet.go
+++ b/standin/memnet/memnet.go
@@ -9,10 +9,10 @@
 	"sync"
 )
 
-// firstPort is where free ports start.
+// firstPort is the port after which free ports are assigned.
 const firstPort = 20000
 
-// ErrCut is the cause of failures on a cut link.
+// ErrCut is the cause of dial errors on a cut link.
 var ErrCut = errors.New("memnet: the link between the zones is cut")
 
 var errRefused = errors.New("memnet: connection refused")
@@ -23,13 +23,13 @@
 	port      uint16
 	listeners map[string]*listener
 	conns     map[*conn]struct{}
-	cut       map[link]bool
+	cutLinks  map[link]bool
 }
 
-// link is a pair of zones in the order from caller to listener.
+// link is a directed pair of zones, from the dialing host to the listener.
 type link struct{ from, to string }
 
-// Host is one machine on the network.
+// Host is a machine on the network.
 type Host struct {
 	network *Network
 	zone    string
@@ -38,19 +38,20 @@
 
 // New returns an empty network.
 func New() *Network {
-	return &Network{port: firstPort, listeners: map[string]*listener{}, conns: map[*conn]struct{}{}, cut: map[link]bool{}}
+	return &Network{port: firstPort, listeners: map[string]*listener{}, conns: map[*conn]struct{}{}, cutLinks: map[link]bool{}}
 }
 
-// Host returns a machine in a zone; address is where its connections come from.
+// Host returns a machine in a zone. Address is the source IP address of its connections;
+// Host panics if it is invalid.
 func (n *Network) Host(zone, address string) *Host {
 	return &Host{network: n, zone: zone, address: netip.MustParseAddr(address)}
 }
 
-// Cut cuts or mends the links from one zone to another, in that direction:
-// from is the side that opens connections.
+// Cut cuts the link from one zone to another, or restores it if on is false. It affects
+// connections that hosts in zone from have opened or open to listeners in zone to.
 func (n *Network) Cut(from, to string, on bool) {
 	n.mu.Lock()
-	n.cut[link{from, to}] = on
+	n.cutLinks[link{from, to}] = on
 	var broken []*conn
 	for c := range n.conns {
 		if on && c.link == (link{from, to}) {
@@ -63,68 +64,69 @@
 	}
 }
 
-// Listen opens a listener on the host; port 0 takes a free one.
+// Listen opens a listener on the host. Port 0 means a free port.
 func (h *Host) Listen(_, address string) (net.Listener, error) {
-	wanted, err := netip.ParseAddrPort(address)
+	requested, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, fmt.Errorf("memnet: listen: %w", err)
 	}
 	n := h.network
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if wanted.Port() == 0 {
+	if requested.Port() == 0 {
 		n.port++
-		wanted = netip.AddrPortFrom(wanted.Addr(), n.port)
+		requested = netip.AddrPortFrom(requested.Addr(), n.port)
 	}
-	if _, taken := n.listeners[wanted.String()]; taken {
-		return nil, fmt.Errorf("memnet: address %s is in use", wanted)
+	if _, taken := n.listeners[requested.String()]; taken {
+		return nil, fmt.Errorf("memnet: address %s is in use", requested)
 	}
-	l := &listener{network: n, zone: h.zone, address: wanted, accepted: make(chan net.Conn), closed: make(chan struct{})}
-	n.listeners[wanted.String()] = l
+	l := &listener{network: n, zone: h.zone, address: requested, accepted: make(chan net.Conn), closed: make(chan struct{})}
+	n.listeners[requested.String()] = l
 	return l, nil
 }
 
-// Dial opens a connection from the host, as net.Dialer.DialContext does.
+// Dial opens a connection from the host. It has the signature of
+// net.Dialer.DialContext.
 func (h *Host) Dial(ctx context.Context, _, address string) (net.Conn, error) {
-	near, far, err := h.network.open(h, address)
+	dialer, acceptor, err := h.network.open(h, address)
 	if err != nil {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: err}
 	}
 	select {
-	case far.listener.accepted <- far:
-		return near, nil
-	case <-far.listener.closed:
+	case acceptor.listener.accepted <- acceptor:
+		return dialer, nil
+	case <-acceptor.listener.closed:
 		err = errRefused
 	case <-ctx.Done():
 		err = ctx.Err()
 	}
-	_ = near.Close()
-	_ = far.Close()
+	_ = dialer.Close()
+	_ = acceptor.Close()
 	return nil, &net.OpError{Op: "dial", Net: "tcp", Err: err}
 }
 
-func (n *Network) open(h *Host, address string) (near, far *conn, err error) {
+func (n *Network) open(h *Host, address string) (dialer, acceptor *conn, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l, ok := n.listeners[address]
 	if !ok {
 		return nil, nil, errRefused
 	}
-	way := link{h.zone, l.zone}
-	if n.cut[way] {
+	path := link{h.zone, l.zone}
+	if n.cutLinks[path] {
 		return nil, nil, ErrCut
 	}
 	n.port++
-	source := net.TCPAddrFromAddrPort(netip.AddrPortFrom(h.address, n.port))
-	sink := net.TCPAddrFromAddrPort(l.address)
+	sourceAddress := net.TCPAddrFromAddrPort(netip.AddrPortFrom(h.address, n.port))
+	listenAddress := net.TCPAddrFromAddrPort(l.address)
 	a, b := net.Pipe()
-	near = &conn{Conn: a, network: n, listener: l, link: way, local: source, remote: sink}
-	far = &conn{Conn: b, network: n, listener: l, link: way, local: sink, remote: source}
-	n.conns[near], n.conns[far] = struct{}{}, struct{}{}
-	return near, far, nil
+	dialer = &conn{Conn: a, network: n, listener: l, link: path, local: sourceAddress, remote: listenAddress}
+	acceptor = &conn{Conn: b, network: n, listener: l, link: path, local: listenAddress, remote: sourceAddress}
+	n.conns[dialer], n.conns[acceptor] = struct{}{}, struct{}{}
+	return dialer, acceptor, nil
 }
 
-// conn is one end of a connection.
+// conn is one end of a connection. Both ends have the link of the dialing side.
 type conn struct {
 	net.Conn
 	network       *Network
