--- a/standin/metastore/doc.go
+++ b/standin/metastore/doc.go
@@ -1,5 +1,6 @@
-// Package metastore is a stand-in for the users' metadata store, for tests. It
-// keeps objects by kind and name under one revision, answers lists in pages and
-// watches from its history, and can be made to fail: silent, refusing, slow,
-// losing answers, forgetting its history, for all callers or for some.
+// Package metastore implements a fake of the users' metadata store, for tests. It
+// stores objects by kind and name under one revision, serves lists in pages and
+// watches from its history, and can inject faults: it can hang or return errors for all
+// or some callers, delay responses, drop the responses to writes, lose its history, and
+// serve stale reads.
 package metastore
--- a/standin/metastore/http.go
+++ b/standin/metastore/http.go
@@ -11,18 +11,18 @@
 	"time"
 )
 
-// Faults is how the store misbehaves.
+// Faults selects the faults of the store. The zero value means none.
 type Faults struct {
-	// Silent callers get no answer; Busy ones 503; Limited ones 429. Each is
-	// asked with the caller's address, and may be nil.
+	// Silent, Busy and Limited select the callers, by remote address, that get no
+	// response, status 503 and status 429. Nil selects none.
 	Silent, Busy, Limited func(remote string) bool
-	// Delay is added to each answer.
+	// Delay is the delay of each call.
 	Delay time.Duration
-	// LoseWrites does writes and loses their answers.
+	// LoseWrites performs writes but sends no response to them.
 	LoseWrites bool
 }
 
-// All is a fault for every caller.
+// All selects every caller for a fault.
 func All(string) bool { return true }
 
 // SetFaults replaces the faults.
@@ -34,7 +34,7 @@
 
 const prefix = "/v1/objects/"
 
-// ServeHTTP serves the store's interface.
+// ServeHTTP serves the store's HTTP API.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	f := s.faults
@@ -43,7 +43,7 @@
 		s.stale++
 	}
 	s.mu.Unlock()
-	if f.refuses(w, r) {
+	if f.inject(w, r) {
 		return
 	}
 	kind, name, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, prefix), "/")
@@ -59,32 +59,32 @@
 	reply(w, status, body)
 }
 
-// refuses acts on the faults, and reports whether the call ends with that.
-func (f Faults) refuses(w http.ResponseWriter, r *http.Request) bool {
-	hits := func(who func(string) bool) bool { return who != nil && who(r.RemoteAddr) }
+// inject applies the faults to a call and reports whether it has sent the response.
+func (f Faults) inject(w http.ResponseWriter, r *http.Request) bool {
+	selected := func(filter func(string) bool) bool { return filter != nil && filter(r.RemoteAddr) }
 	time.Sleep(f.Delay)
 	switch {
-	case hits(f.Silent):
-		_, _ = io.Copy(io.Discard, r.Body) // with the body read, the server sees its caller leave
+	case selected(f.Silent):
+		_, _ = io.Copy(io.Discard, r.Body) // the server detects a disconnect only after the body is read
 		hang(r.Context())
 		panic(http.ErrAbortHandler)
-	case hits(f.Busy):
+	case selected(f.Busy):
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return true
-	case hits(f.Limited):
+	case selected(f.Limited):
 		w.WriteHeader(http.StatusTooManyRequests)
 		return true
 	}
 	return false
 }
 
-// hangFor is longer than any caller waits.
-const hangFor = 30 * time.Second
+// hangTimeout is longer than any caller waits.
+const hangTimeout = 30 * time.Second
 
 func hang(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(hangFor):
+	case <-time.After(hangTimeout):
 	}
 }
 
@@ -92,7 +92,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	if body != nil {
-		_ = json.NewEncoder(w).Encode(body) // a caller that left needs no answer
+		_ = json.NewEncoder(w).Encode(body) // the caller may have disconnected
 	}
 }
 
@@ -126,8 +126,8 @@
 	defer s.mu.Unlock()
 	p := page{Items: []Object{}, Revision: s.revision}
 	objects := s.objects[kind]
-	if stale && s.lagging != nil {
-		objects, p.Revision = s.lagging[kind], s.laggingAt
+	if stale && s.staleObjects != nil {
+		objects, p.Revision = s.staleObjects[kind], s.staleRevision
 	}
 	for name, o := range objects {
 		if name > after {
--- a/standin/metastore/store.go
+++ b/standin/metastore/store.go
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// Metadata is what the store says of an object.
+// Metadata is the metadata of an object.
 type Metadata struct {
 	Name       string   `json:"name"`
 	Revision   int64    `json:"revision"`
@@ -23,7 +23,7 @@
 	Status   json.RawMessage `json:"status"`
 }
 
-// Event is a change.
+// Event is a change of an object. Object is the last state if Removed is set.
 type Event struct {
 	Removed bool   `json:"removed"`
 	Object  Object `json:"object"`
@@ -32,26 +32,28 @@
 	revision int64
 }
 
-// Store is the stand-in. It is safe for concurrent use.
+// Store is an in-memory metadata store. It is safe for concurrent use.
 type Store struct {
-	// PageSize bounds a page of a list.
+	// PageSize is the largest number of objects in a page of a list. Set it before
+	// use.
 	PageSize int
 
 	mu       sync.Mutex
 	revision int64
 	objects  map[string]map[string]Object
 	history  []Event
-	oldest   int64 // revisions up to here are forgotten
+	oldest   int64 // watches that start before this revision fail
 	changed  chan struct{}
 	faults   Faults
 	calls    int
 	stale    int
-	// lagging is what reads see that may be stale, as of laggingAt; nil if they do not lag.
-	lagging   map[string]map[string]Object
-	laggingAt int64
+	// staleObjects holds the objects as of staleRevision for lists that allow stale
+	// results; nil if such lists are up to date.
+	staleObjects  map[string]map[string]Object
+	staleRevision int64
 }
 
-// firstRevision is above 0, as the users' store begins.
+// firstRevision is above 0 because the revisions of the users' store also start above 0.
 const firstRevision = 100
 
 // New returns an empty store.
@@ -59,12 +61,12 @@
 	return &Store{PageSize: 500, revision: firstRevision, oldest: firstRevision, objects: make(map[string]map[string]Object), changed: make(chan struct{})}
 }
 
-// Put stores an object whatever is there, as the operator and targets do, and
-// returns the revision.
+// Put creates or replaces an object without a check of its revision, as the operator and
+// targets do, and returns the object's revision. An equal spec changes nothing.
 func (s *Store) Put(kind, name string, spec any) int64 {
 	raw, err := json.Marshal(spec)
 	if err != nil {
-		panic("metastore: a test stores what JSON cannot hold: " + err.Error())
+		panic("metastore: spec cannot be encoded as JSON: " + err.Error())
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,7 +91,7 @@
 	return o
 }
 
-// Remove deletes an object and reports whether there was one.
+// Remove deletes an object and reports whether it existed.
 func (s *Store) Remove(kind, name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,7 +115,7 @@
 	s.changed = make(chan struct{})
 }
 
-// Forget drops the history, so that watches from before it fail.
+// Forget drops the history, so that watches from an older revision fail with status 410.
 func (s *Store) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,24 +124,25 @@
 	s.changed = make(chan struct{})
 }
 
-// Lag lets reads that may be stale see the store as it is now, until the next call.
+// Lag makes lists that allow stale results return the current state of the store until
+// the next call of Lag.
 func (s *Store) Lag() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lagging, s.laggingAt = make(map[string]map[string]Object, len(s.objects)), s.revision
+	s.staleObjects, s.staleRevision = make(map[string]map[string]Object, len(s.objects)), s.revision
 	for kind, objects := range s.objects {
-		s.lagging[kind] = maps.Clone(objects)
+		s.staleObjects[kind] = maps.Clone(objects)
 	}
 }
 
-// StaleCalls returns how many of the calls allowed stale answers.
+// StaleCalls returns the number of calls that allowed stale results.
 func (s *Store) StaleCalls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stale
 }
 
-// Names returns the names of a kind's objects.
+// Names returns the sorted names of the objects of a kind.
 func (s *Store) Names(kind string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,15 +154,15 @@
 	return names
 }
 
-// Calls returns how many calls were made.
+// Calls returns the number of HTTP calls received.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// since returns the kind's events after a revision; ok is false if they are
-// forgotten.
+// since returns the events of a kind after a revision; ok is false if the history no
+// longer reaches back to it.
 func (s *Store) since(kind string, revision int64) (events []Event, ok bool) {
 	if revision < s.oldest {
 		return nil, false
