--- a/standin/target/serve.go
+++ b/standin/target/serve.go
@@ -149,7 +149,7 @@
 func (t *Target) execute(x *run, r *http.Request) witness.End {
 	if marker := t.config.CrashMarker; marker != "" && r.Header.Get(HeaderCrash) == marker {
 		t.crash(x.incarnation)
-		return witness.EndCulprit
+		return witness.EndCausedCrash
 	}
 	if r.Body == http.NoBody {
 		return t.serveInSlot(x)
@@ -158,7 +158,7 @@
 	sum, size, err := witness.Sum(scan)
 	if scan.found {
 		t.crash(x.incarnation)
-		return witness.EndCulprit
+		return witness.EndCausedCrash
 	}
 	if err != nil {
 		return x.stopReason()
--- a/standin/witness/judge.go
+++ b/standin/witness/judge.go
@@ -14,8 +14,8 @@
 	// ConfigGrace is the time within which an accepted configuration must be in
 	// force on every entry VM.
 	ConfigGrace = 4 * time.Second
-	// MaxLost is the largest number of targets per region that one request may crash.
-	MaxLost = 2
+	// MaxCrashes is the largest number of targets per region that one request may crash.
+	MaxCrashes = 2
 )
 
 // Promise names a promise of the system.
@@ -33,7 +33,7 @@
 	PromiseUploads    Promise = "uploads arrive whole"
 	PromiseConfigFast Promise = "configuration is in force within seconds"
 	PromiseNoRevert   Promise = "configuration never reverts"
-	PromiseFewLost    Promise = "one request takes down two targets at most"
+	PromiseCrashLimit Promise = "one request takes down two targets at most"
 )
 
 // CapLimit is a cap as the operator declared it: at most Requests executions within
@@ -324,7 +324,7 @@
 			}
 			f.Observed++
 			v.DrainTime = max(v.DrainTime, e.Ended.Sub(s.Accepted))
-			if e.How == EndCancelled || e.How == EndCrashed || e.How == EndCulprit {
+			if e.Outcome == EndCancelled || e.Outcome == EndCrashed || e.Outcome == EndCausedCrash {
 				f.Broken++
 				f.Detail = fmt.Sprintf("%s was cut at %s", e.Try, s.Target)
 			}
@@ -337,5 +337,5 @@
 // runsAtOrAfter reports whether an execution was in flight at a time or started after
 // it, that is, had not ended by then.
 func (e *Execution) runsAtOrAfter(at time.Time) bool {
-	return e.How == EndRunning || e.Ended.After(at)
+	return e.Outcome == EndRunning || e.Ended.After(at)
 }
--- a/standin/witness/judge_test.go
+++ b/standin/witness/judge_test.go
@@ -39,7 +39,7 @@
 }
 
 func (w *Witness) crash(request string) {
-	w.Finished(w.Started(Start{At: at(60), Target: "tickets-1", Request: request}), at(70), EndCulprit)
+	w.Finished(w.Started(Start{At: at(60), Target: "tickets-1", Request: request}), at(70), EndCausedCrash)
 }
 
 func (w *Witness) run(request, home string, startMs, forMs int, how End) *Execution {
@@ -126,7 +126,7 @@
 		{"configuration never seen", PromiseConfigFast, func(w *Witness) {
 			w.ConfigAccepted(9, at(8000), []string{"vm-2"})
 		}},
-		{"one request crashes a third target", PromiseFewLost, func(w *Witness) { w.crash("crash") }},
+		{"one request crashes a third target", PromiseCrashLimit, func(w *Witness) { w.crash("crash") }},
 		{"configuration reverts", PromiseNoRevert, func(w *Witness) {
 			w.ConfigSeen("vm-1", 6, at(300))
 		}},
--- a/standin/witness/judge_uploads_config.go
+++ b/standin/witness/judge_uploads_config.go
@@ -11,7 +11,7 @@
 	whole := map[string]bool{}
 	for _, e := range w.executions {
 		u, ok := w.callers.uploads[e.Request]
-		if ok && e.How == EndAnswered && e.Sum == u.sum && e.Bytes == u.bytes {
+		if ok && e.Outcome == EndAnswered && e.Sum == u.sum && e.Bytes == u.bytes {
 			whole[e.Request] = true
 		}
 	}
@@ -53,16 +53,16 @@
 
 func (w *Witness) judgeCrashes(v *Verdict) Finding {
 	type crashKey struct{ request, region string }
-	f := Finding{Promise: PromiseFewLost}
+	f := Finding{Promise: PromiseCrashLimit}
 	crashes := map[crashKey]int{}
 	for _, e := range w.executions {
-		if e.How != EndCulprit {
+		if e.Outcome != EndCausedCrash {
 			continue
 		}
 		f.Observed++
 		l := crashKey{e.Request, w.regions[e.Place]}
 		crashes[l]++
-		if crashes[l] > MaxLost {
+		if crashes[l] > MaxCrashes {
 			f.Broken++
 			f.Detail = fmt.Sprintf("request %s took down %d targets of %s", l.request, crashes[l], l.region)
 		}
--- a/standin/witness/record.go
+++ b/standin/witness/record.go
@@ -12,12 +12,12 @@
 
 // End values.
 const (
-	EndRunning   End = iota // still running
-	EndAnswered             // completed; the target responds
-	EndCancelled            // the sender disconnected or stopped sending the body
-	EndDeadline             // the deadline passed
-	EndCrashed              // the target stopped or crashed while it ran, not because of it
-	EndCulprit              // this request crashed the target
+	EndRunning     End = iota // still running
+	EndAnswered               // completed; the target responds
+	EndCancelled              // the sender disconnected or stopped sending the body
+	EndDeadline               // the deadline passed
+	EndCrashed                // the target stopped or crashed while it ran, not because of it
+	EndCausedCrash            // this request crashed the target
 )
 
 // Start describes the start of an execution.
@@ -35,8 +35,8 @@
 	Place   string
 	Service string
 	// Ended is the end time; zero while the execution runs.
-	Ended time.Time
-	How   End
+	Ended   time.Time
+	Outcome End
 	// Bytes and Sum are the size and digest of the body that the target received.
 	Bytes int64
 	Sum   string
@@ -156,10 +156,10 @@
 func (w *Witness) Finished(e *Execution, at time.Time, how End) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if e.How != EndRunning {
+	if e.Outcome != EndRunning {
 		return
 	}
-	e.Ended, e.How = at, how
+	e.Ended, e.Outcome = at, how
 	if t, ok := w.targets[e.Target]; ok {
 		t.running--
 		w.pools[t.pool].running--
