--- a/soak/check.go
+++ b/soak/check.go
@@ -19,27 +19,29 @@
 	"heatherlock/steering"
 )
 
-// headerReason tells why an entry VM refused a request.
+// headerReason is the response header in which an entry VM names the reason of a refusal.
 const headerReason = "Heatherlock-Reason"
 
-// Bounds that are checked, with room for a busy machine.
+// Limits that the checks apply. They leave room for a busy machine.
 const (
-	// applyBound is how soon a configuration is in force, drainBound how soon a
-	// leaving target gets nothing new.
+	// applyBound is the time within which a new configuration must be in force,
+	// and drainBound the time after which a draining target must get no new request.
 	applyBound = 4 * time.Second
 	drainBound = 4 * time.Second
-	// steadySpan is how long a VM, the store and targets must be undisturbed to
-	// be held to a bound.
-	steadySpan = 6 * time.Second
-	// healTime is the part at the end of a run without faults, and healedWithin
-	// when all requests must be served again.
-	healTime     = 9 * time.Second
-	callDeadline = 2500 * time.Millisecond
-	// finalWait bounds a caller's wait for its answer, beyond its deadline.
-	finalWait = 2 * time.Second
+	// quietPeriod is how long an entry VM and the store must have been free of injected
+	// faults before a check applies one of the limits above. A target is excluded if its
+	// connections were disturbed after it began to drain.
+	quietPeriod = 6 * time.Second
+	// recoveryPhase is the part at the end of a run in which no new fault begins. In
+	// its last allServedPhase, every request must be served.
+	recoveryPhase = 9 * time.Second
+	callDeadline  = 2500 * time.Millisecond
+	// finalAnswerGrace is how long a caller waits for a response beyond its deadline.
+	// A response later than half of it after the deadline is a finding.
+	finalAnswerGrace = 2 * time.Second
 )
 
-// findings collects breaches. It is safe for concurrent use.
+// findings collects violations of the guarantees. It is safe for concurrent use.
 type findings struct {
 	mu    sync.Mutex
 	began time.Time
@@ -52,37 +54,41 @@
 	f.all = append(f.all, fmt.Sprintf("%6.2f s  ", time.Since(f.began).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// caller sends requests on connections that it keeps until they end.
+// caller sends requests one after another on a persistent connection, and opens a
+// new one when that is closed.
 type caller struct {
-	site   *site
+	system *system
 	name   int
 	random *rand.Rand
 	daemon *daemon
 	conn   net.Conn
-	in     *bufio.Reader
-	kept   bool // an answer came on the connection before
+	reader *bufio.Reader
+	reused bool // a response has arrived on this connection
 }
 
-// outcome is what became of one request.
+// outcome is the result of one request.
 type outcome struct {
-	id     string
-	once   bool
-	status int // 0 without an answer
+	id         string
+	atMostOnce bool
+	status     int // 0 without a response
 }
 
-// ledger holds what callers were told of requests that run at most once.
-type ledger struct {
-	mu       sync.Mutex
-	refused  map[string]int
-	served   map[string]bool
-	asked    int
-	answered int
-	healed   atomic.Int64 // failures after the faults ended
+// callLog counts the requests and responses of all callers, and holds the result by
+// request ID for requests that must run at most once.
+type callLog struct {
+	mu                  sync.Mutex
+	refused             map[string]int
+	served              map[string]bool
+	requests            int
+	answered            int
+	failedAfterRecovery atomic.Int64 // failed requests in the last part of the run, when all must be served
 }
 
-func (c *caller) call(n int, l *ledger, healing bool) {
-	once := c.random.IntN(3) == 0
-	o := outcome{id: fmt.Sprintf("c%d-%d", c.name, n), once: once}
+// call sends the request numbered n and checks its outcome. With recovered set, every
+// status but 200 is a finding.
+func (c *caller) call(n int, l *callLog, recovered bool) {
+	atMostOnce := c.random.IntN(3) == 0
+	o := outcome{id: fmt.Sprintf("c%d-%d", c.name, n), atMostOnce: atMostOnce}
 	sent := time.Now()
 	if c.conn == nil && !c.connect() {
 		return
@@ -90,27 +96,28 @@
 	body, err := c.exchange(&o)
 	d := c.daemon
 	if err != nil {
-		c.drop()
-		c.judgeCut(o, d, sent, err)
+		c.closeConn()
+		c.checkInterrupted(o, d, sent, err)
 	}
-	l.note(o)
-	if o.status >= 200 && o.status < 300 && !c.site.isAnswer(body) {
-		c.site.findings.add("request %s got %q, which is no target's whole answer", o.id, body)
+	l.record(o)
+	if o.status >= 200 && o.status < 300 && !c.system.isCompleteAnswer(body) {
+		c.system.findings.add("request %s got %q, which is no target's whole answer", o.id, body)
 	}
-	if healing && o.status != http.StatusOK {
-		l.healed.Add(1)
-		c.site.findings.add("request %s to %s got %d (%v) though all faults ended", o.id, d.name, o.status, err)
+	if recovered && o.status != http.StatusOK {
+		l.failedAfterRecovery.Add(1)
+		c.system.findings.add("request %s to %s got %d (%v) though all faults ended", o.id, d.name, o.status, err)
 	}
-	if took := time.Since(sent); took > callDeadline+finalWait/2 && !d.wasCut(sent) {
-		c.site.findings.add("request %s to %s had no final answer for %v", o.id, d.name, took)
+	if took := time.Since(sent); took > callDeadline+finalAnswerGrace/2 && !d.wasInterrupted(sent) {
+		c.system.findings.add("request %s to %s had no final answer for %v", o.id, d.name, took)
 	}
 }
 
-// connect asks the directory of some entry VM and takes one of those it names.
+// connect queries the directory of a random entry VM and connects to a random one of
+// the addresses returned.
 func (c *caller) connect() bool {
-	ask := c.site.daemons[c.random.IntN(len(c.site.daemons))]
+	directory := c.system.daemons[c.random.IntN(len(c.system.daemons))]
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	response, err := client.Get("http://" + ask.address(c.site.ports[2]) + platform.PathDirectory + "?name=" + host + "&region=r-a&zone=a")
+	response, err := client.Get("http://" + directory.address(c.system.ports[2]) + platform.PathDirectory + "?name=" + host + "&region=r-a&zone=a")
 	if err != nil {
 		return false
 	}
@@ -120,8 +127,8 @@
 		return false
 	}
 	address := answer.Addresses[c.random.IntN(len(answer.Addresses))]
-	for _, d := range c.site.daemons {
-		if d.address(c.site.ports[0]) == address {
+	for _, d := range c.system.daemons {
+		if d.address(c.system.ports[0]) == address {
 			c.daemon = d
 		}
 	}
@@ -129,29 +136,30 @@
 	if err != nil {
 		return false
 	}
-	c.conn, c.in, c.kept = conn, bufio.NewReader(conn), false
+	c.conn, c.reader, c.reused = conn, bufio.NewReader(conn), false
 	return true
 }
 
-func (c *caller) drop() {
+func (c *caller) closeConn() {
 	if c.conn != nil {
 		_ = c.conn.Close()
 	}
 	c.conn = nil
 }
 
+// exchange sends one request and reads its response. It returns the body.
 func (c *caller) exchange(o *outcome) (string, error) {
 	method, path, body := "GET", "/read/", ""
-	if o.once {
+	if o.atMostOnce {
 		method, path, body = "POST", "/buy/", strings.Repeat("x", c.random.IntN(3000))
 	}
 	head := fmt.Sprintf("%s %s%d HTTP/1.1\r\nHost: %s\r\nX-Request-Id: %s\r\nX-Affinity-Key: %d\r\nX-Deadline-Ms: %d\r\nApi-Key: %s\r\nX-Tenant: forged\r\nContent-Length: %d\r\n\r\n",
-		method, path, c.random.IntN(50), host, o.id, c.random.IntN(30), callDeadline.Milliseconds(), keyOf(workspaceOfCaller(c.name)), len(body))
-	_ = c.conn.SetDeadline(time.Now().Add(callDeadline + finalWait))
+		method, path, c.random.IntN(50), host, o.id, c.random.IntN(30), callDeadline.Milliseconds(), apiKeyOf(workspaceOfCaller(c.name)), len(body))
+	_ = c.conn.SetDeadline(time.Now().Add(callDeadline + finalAnswerGrace))
 	if _, err := io.WriteString(c.conn, head+body); err != nil {
 		return "", err
 	}
-	response, err := http.ReadResponse(c.in, nil)
+	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return "", err
 	}
@@ -161,35 +169,36 @@
 	}
 	o.status = response.StatusCode
 	if id := response.Header.Get("X-Request-Id"); id != "" && id != o.id {
-		c.site.findings.add("request %s got the answer to %s", o.id, id)
+		c.system.findings.add("request %s got the answer to %s", o.id, id)
 	}
-	c.kept = true
+	c.reused = true
 	if response.Close {
-		c.drop()
+		c.closeConn()
 	}
 	return string(raw), nil
 }
 
-// judgeCut decides whether a request that got no answer was cut by the entry VM:
-// it ran, and the entry VM was neither killed nor paused meanwhile.
-func (c *caller) judgeCut(o outcome, d *daemon, sent time.Time, err error) {
-	if errors.Is(err, syscall.ECONNREFUSED) || d.wasCut(sent.Add(-time.Second)) {
+// checkInterrupted checks a request that got no response. It is a finding if the
+// request ran on a target and the entry VM was neither killed nor paused in the
+// meantime: the entry VM itself then broke the connection.
+func (c *caller) checkInterrupted(o outcome, d *daemon, sent time.Time, err error) {
+	if errors.Is(err, syscall.ECONNREFUSED) || d.wasInterrupted(sent.Add(-time.Second)) {
 		return
 	}
-	time.Sleep(100 * time.Millisecond) // a kill may be noted just after its effect
-	if !d.wasCut(sent.Add(-time.Second)) && c.site.ran(o.id) > 0 {
-		c.site.findings.add("request %s was cut by %s: %v", o.id, d.name, err)
+	time.Sleep(100 * time.Millisecond) // the connection may break just before interruptedAt is set
+	if !d.wasInterrupted(sent.Add(-time.Second)) && c.system.runCount(o.id) > 0 {
+		c.system.findings.add("request %s was cut by %s: %v", o.id, d.name, err)
 	}
 }
 
-func (l *ledger) note(o outcome) {
+func (l *callLog) record(o outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.asked++
+	l.requests++
 	if o.status != 0 {
 		l.answered++
 	}
-	if !o.once {
+	if !o.atMostOnce {
 		return
 	}
 	switch o.status {
@@ -200,24 +209,26 @@
 	}
 }
 
-func (s *site) isAnswer(body string) bool {
+// isCompleteAnswer reports whether a body is the complete response of one of the
+// targets of the service.
+func (s *system) isCompleteAnswer(body string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, t := range s.all {
-		if t.name != otherName && body == t.Body() {
+	for _, t := range s.allTargets {
+		if t.name != otherServiceName && body == t.Body() {
 			return true
 		}
 	}
 	return false
 }
 
-// ran returns how often a request ran, on all targets.
-func (s *site) ran(id string) int {
+// runCount returns how many times a request ran on all targets together.
+func (s *system) runCount(id string) int {
 	s.mu.Lock()
-	all := append([]*target(nil), s.all...)
+	allTargets := append([]*target(nil), s.allTargets...)
 	s.mu.Unlock()
 	n := 0
-	for _, t := range all {
+	for _, t := range allTargets {
 		for _, run := range t.Runs() {
 			if run.ID == id {
 				n++
@@ -227,21 +238,22 @@
 	return n
 }
 
-// checkRuns compares what ran with what callers were told.
-func (s *site) checkRuns(l *ledger) {
+// checkRuns compares the requests that ran on targets with the responses that
+// callers received. The caller holds s.mu.
+func (s *system) checkRuns(l *callLog) {
 	runs := make(map[string]int)
-	for _, t := range s.all {
+	for _, t := range s.allTargets {
 		for _, run := range t.Runs() {
 			runs[run.ID]++
 			if run.Method == "POST" && runs[run.ID] == 2 {
 				s.findings.add("request %s ran twice", run.ID)
 			}
-			s.checkIdentity(run)
-			if t.name == otherName {
+			s.checkIdentityHeaders(run)
+			if t.name == otherServiceName {
 				s.findings.add("request %s ran at another service", run.ID)
 			}
-			if !t.leaving.IsZero() && run.At.After(t.leaving.Add(drainBound)) && t.harmed.Before(t.leaving) && s.wellAround(t.leaving) {
-				s.findings.add("request %s ran at %s %v after it said that it leaves", run.ID, t.name, run.At.Sub(t.leaving))
+			if !t.drainingSince.IsZero() && run.At.After(t.drainingSince.Add(drainBound)) && t.disturbedAt.Before(t.drainingSince) && s.storeHealthyAround(t.drainingSince) {
+				s.findings.add("request %s ran at %s %v after it said that it leaves", run.ID, t.name, run.At.Sub(t.drainingSince))
 			}
 		}
 	}
@@ -257,34 +269,36 @@
 	}
 }
 
-// wellAround reports whether the store was not harmed from before a time until
-// the bound for leaving targets was over.
-func (s *site) wellAround(at time.Time) bool {
-	for _, bad := range s.storeBad {
-		if bad.After(at.Add(-steadySpan)) && bad.Before(at.Add(drainBound)) {
+// storeHealthyAround reports whether the store had no injected fault from
+// quietPeriod before a time until drainBound after it.
+func (s *system) storeHealthyAround(at time.Time) bool {
+	for _, bad := range s.storeDisturbedAt {
+		if bad.After(at.Add(-quietPeriod)) && bad.Before(at.Add(drainBound)) {
 			return false
 		}
 	}
 	return true
 }
 
-// expectRoute checks that undisturbed entry VMs know a route in time, and never
-// forget it within a boot.
-func (s *site) expectRoute(name string) {
+// checkRouteApplied checks that entry VMs without recent faults know a new route
+// within applyBound, and that none loses it again before its process restarts.
+func (s *system) checkRouteApplied(name string) {
 	time.Sleep(applyBound)
 	boots := make(map[*daemon]int)
 	for range 4 {
-		if s.storeWell(steadySpan) {
+		if s.storeHealthy(quietPeriod) {
 			for _, d := range s.daemons {
-				s.probe(d, name, boots)
+				s.probeRoute(d, name, boots)
 			}
 		}
 		time.Sleep(700 * time.Millisecond)
 	}
 }
 
-func (s *site) probe(d *daemon, name string, boots map[*daemon]int) {
-	boot, ok := d.undisturbed(steadySpan)
+// probeRoute sends a request for a route to an entry VM. boots holds, for each entry
+// VM, the boot in which it last knew the route: within that boot it must still know it.
+func (s *system) probeRoute(d *daemon, name string, boots map[*daemon]int) {
+	boot, ok := d.undisturbed(quietPeriod)
 	if !ok && boots[d] != boot {
 		return
 	}
@@ -294,14 +308,14 @@
 	}
 	request.Host = host
 	request.Header.Set("X-Request-Id", "probe")
-	request.Header.Set("Api-Key", keyOf(workspaceNames[0]))
+	request.Header.Set("Api-Key", apiKeyOf(workspaceNames[0]))
 	response, err := (&http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}).Do(request)
 	if err != nil {
 		return
 	}
 	_ = response.Body.Close()
-	waits := steering.Reason(response.Header.Get(headerReason)) == steering.ReasonConfigBehind
-	if response.StatusCode == http.StatusNotFound || waits {
+	configBehind := steering.Reason(response.Header.Get(headerReason)) == steering.ReasonConfigBehind
+	if response.StatusCode == http.StatusNotFound || configBehind {
 		s.findings.add("%s does not know route %s", d.name, name)
 		return
 	}
--- a/soak/daemon.go
+++ b/soak/daemon.go
@@ -13,7 +13,7 @@
 	"heatherlock/platform"
 )
 
-// daemon is one entry VM: a process that is started again each time it ends.
+// daemon is one entry VM: a process that is restarted each time it exits.
 type daemon struct {
 	name, ip string
 	dir      string
@@ -22,21 +22,21 @@
 
 	mu      sync.Mutex
 	process *os.Process
-	// cut is when it was last killed or paused; what a caller loses then is no
-	// breach.
-	cut     time.Time
-	leaving time.Time // of the last SIGTERM
-	boots   int
-	stopped bool
-	ended   chan struct{}
+	// interruptedAt is when the process was last killed, paused or resumed. A request
+	// that fails around that time is no finding.
+	interruptedAt time.Time
+	terminatedAt  time.Time // time of the last SIGTERM
+	boots         int
+	stopped       bool
+	ended         chan struct{}
 }
 
-// restartPause is how long after its end a process is started again.
+// restartPause is the delay between the exit of a process and its restart.
 const restartPause = 300 * time.Millisecond
 
 func (d *daemon) address(port int) string { return fmt.Sprintf("%s:%d", d.ip, port) }
 
-// writeSettings replaces the settings file.
+// writeSettings replaces the settings file atomically.
 func (d *daemon) writeSettings() error {
 	raw, err := json.Marshal(d.settings)
 	if err != nil {
@@ -49,7 +49,8 @@
 	return os.Rename(file+".new", file)
 }
 
-// run keeps the process running until stop.
+// run starts the process and restarts it after each exit, until stop is called. An exit
+// without a recent signal is reported.
 func (d *daemon) run(report func(format string, args ...any)) {
 	defer close(d.ended)
 	for {
@@ -60,11 +61,11 @@
 		}
 		state, err := process.Wait()
 		d.mu.Lock()
-		unasked := time.Since(d.cut) > 2*time.Second && time.Since(d.leaving) > 10*time.Second && !d.stopped
+		unexpected := time.Since(d.interruptedAt) > 2*time.Second && time.Since(d.terminatedAt) > 10*time.Second && !d.stopped
 		stopped := d.stopped
 		d.process = nil
 		d.mu.Unlock()
-		if unasked {
+		if unexpected {
 			report("%s ended by itself: %v %v", d.name, state, err)
 		}
 		if stopped {
@@ -93,22 +94,22 @@
 	return cmd.Process, nil
 }
 
-// signal sends a signal to the process, if it runs.
+// signal sends a signal to the process if it is running.
 func (d *daemon) signal(s syscall.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch s {
 	case syscall.SIGTERM:
-		d.leaving = time.Now()
+		d.terminatedAt = time.Now()
 	case syscall.SIGKILL, syscall.SIGSTOP, syscall.SIGCONT:
-		d.cut = time.Now()
+		d.interruptedAt = time.Now()
 	}
 	if d.process != nil {
-		_ = d.process.Signal(s) // it may have ended just now
+		_ = d.process.Signal(s) // the process may have just exited
 	}
 }
 
-// stop ends the process for good.
+// stop kills the process, also when it is paused, and waits until run returns.
 func (d *daemon) stop() {
 	d.mu.Lock()
 	d.stopped = true
@@ -118,17 +119,18 @@
 	<-d.ended
 }
 
-// undisturbed reports whether the daemon was neither killed, paused nor told to
-// leave within a span.
+// undisturbed reports whether the daemon is running and got no signal that kills, pauses
+// or resumes it within a span, and no SIGTERM within that span and the 10 s before it. It
+// also returns the number of the current boot.
 func (d *daemon) undisturbed(span time.Duration) (boot int, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.boots, time.Since(d.cut) > span && time.Since(d.leaving) > span+10*time.Second && d.process != nil
+	return d.boots, time.Since(d.interruptedAt) > span && time.Since(d.terminatedAt) > span+10*time.Second && d.process != nil
 }
 
-// wasCut reports whether the daemon was killed or paused since a time.
-func (d *daemon) wasCut(since time.Time) bool {
+// wasInterrupted reports whether the daemon was killed, paused or resumed after a time.
+func (d *daemon) wasInterrupted(since time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.cut.After(since)
+	return d.interruptedAt.After(since)
 }
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -12,20 +12,20 @@
 	"heatherlock/standin/metastore"
 )
 
-// step is one fault of a plan.
+// step is one fault of a plan, injected at a time since the start of the run.
 type step struct {
-	at   time.Duration
-	what string
-	do   func(*site)
+	at          time.Duration
+	description string
+	do          func(*system)
 }
 
-// newPlan draws the faults of a seed: about one in 0.45 s, some in series, over
-// all but the last part of the run.
+// newPlan draws the faults of a seed: one about every 0.45 s, some of them in several
+// steps, until recoveryPhase before the end of the run.
 func newPlan(seed uint64, length time.Duration, daemons int) []step {
-	d := &draw{Rand: rand.New(rand.NewPCG(seed, 7)), ways: slices.Clone(spoils)}
-	d.Shuffle(len(d.ways), func(i, j int) { d.ways[i], d.ways[j] = d.ways[j], d.ways[i] })
+	d := &planner{Rand: rand.New(rand.NewPCG(seed, 7)), faults: slices.Clone(targetFaultKinds)}
+	d.Shuffle(len(d.faults), func(i, j int) { d.faults[i], d.faults[j] = d.faults[j], d.faults[i] })
 	var plan []step
-	for at := 2 * time.Second; at < length-healTime; at += time.Duration(150+d.IntN(600)) * time.Millisecond {
+	for at := 2 * time.Second; at < length-recoveryPhase; at += time.Duration(150+d.IntN(600)) * time.Millisecond {
 		plan = append(plan, d.step(at, daemons)...)
 	}
 	plan = append(plan, workspaceFaults(seed, length)...)
@@ -33,21 +33,22 @@
 	return plan
 }
 
-// draw draws a plan.
-type draw struct {
+// planner draws the steps of a plan.
+type planner struct {
 	*rand.Rand
-	ways []endpoint.Fault
-	next int
+	faults    []endpoint.Fault
+	nextFault int
 }
 
-func (d *draw) step(at time.Duration, daemons int) []step {
+// step draws the next fault, which may take several steps.
+func (d *planner) step(at time.Duration, daemons int) []step {
 	r := d.Rand
 	span := time.Duration(500+r.IntN(3000)) * time.Millisecond
 	switch r.IntN(13) {
 	case 0, 1, 2:
-		return signals(r, at, span, daemons)
+		return signalFaults(r, at, span, daemons)
 	case 3, 4:
-		return ways(r, at, span)
+		return connectionFaults(r, at, span)
 	case 5, 6:
 		return d.targetFaults(at, span)
 	case 7, 12:
@@ -55,11 +56,12 @@
 	case 8, 9:
 		return storeFaults(r, at, span)
 	}
-	return configurations(r, at)
+	return configChanges(r, at)
 }
 
-// signals stop, pause, kill and restart entry VMs, in turn or together.
-func signals(r *rand.Rand, at, span time.Duration, daemons int) []step {
+// signalFaults stop, pause, kill and restart up to half of the entry VMs, one after
+// another or at the same time.
+func signalFaults(r *rand.Rand, at, span time.Duration, daemons int) []step {
 	kind := []struct {
 		name  string
 		first syscall.Signal
@@ -72,7 +74,7 @@
 	var steps []step
 	for n := range count {
 		i := (first + n) % daemons
-		steps = append(steps, step{at + time.Duration(n)*gap, fmt.Sprintf("%s to vm-%d", kind.name, i), func(s *site) {
+		steps = append(steps, step{at + time.Duration(n)*gap, fmt.Sprintf("%s to vm-%d", kind.name, i), func(s *system) {
 			s.daemons[i].signal(kind.first)
 			if kind.then != 0 {
 				time.AfterFunc(span, func() { s.daemons[i].signal(kind.then) })
@@ -82,13 +84,13 @@
 	return steps
 }
 
-// ways harm the connections to a target.
-func ways(r *rand.Rand, at, span time.Duration) []step {
+// connectionFaults disturb the connections to one target.
+func connectionFaults(r *rand.Rand, at, span time.Duration) []step {
 	mode, pick := Mode(1+r.IntN(4)), r.Uint64()
-	return []step{{at, fmt.Sprintf("the way to a target: %s for %v", mode, span), func(s *site) {
+	return []step{{at, fmt.Sprintf("the way to a target: %s for %v", mode, span), func(s *system) {
 		if t := s.pick(pick); t != nil {
 			s.mu.Lock()
-			t.harmed = time.Now()
+			t.disturbedAt = time.Now()
 			s.mu.Unlock()
 			t.proxy.set(mode)
 			time.AfterFunc(span, func() { t.proxy.set(Pass) })
@@ -96,31 +98,32 @@
 	}}}
 }
 
-// spoils are the ways in which a target treats requests badly.
-var spoils = []endpoint.Fault{endpoint.Crash, endpoint.LoseAnswer, endpoint.Cut, endpoint.Garbage, endpoint.Extra, endpoint.Shed,
+// targetFaultKinds are the faults that a target can apply to its requests.
+var targetFaultKinds = []endpoint.Fault{endpoint.Crash, endpoint.LoseAnswer, endpoint.Cut, endpoint.Garbage, endpoint.Extra, endpoint.Shed,
 	endpoint.Unproven, endpoint.Fail, endpoint.Unframed, endpoint.UnframedReset, endpoint.Dark, endpoint.Early}
 
-// targetFaults let two targets spoil requests in two ways. The ways are taken in
-// an order that the seed shuffles, so that few seeds cover all.
-func (d *draw) targetFaults(at, span time.Duration) []step {
+// targetFaults makes two targets apply a fault each to a share of their requests. The
+// faults are taken in turn from a list shuffled by the seed, so that few seeds cover all.
+func (d *planner) targetFaults(at, span time.Duration) []step {
 	var steps []step
 	for range 2 {
-		f, every, pick := d.ways[d.next%len(d.ways)], 1+d.IntN(6), d.Uint64()
-		d.next++
-		steps = append(steps, step{at, fmt.Sprintf("a target spoils one of %d requests (fault %d) for %v", every, f, span), func(s *site) {
+		f, every, pick := d.faults[d.nextFault%len(d.faults)], 1+d.IntN(6), d.Uint64()
+		d.nextFault++
+		steps = append(steps, step{at, fmt.Sprintf("a target spoils one of %d requests (fault %d) for %v", every, f, span), func(s *system) {
 			if t := s.pick(pick); t != nil {
-				t.spoil(f, every, span)
+				t.injectFault(f, every, span)
 			}
 		}})
 	}
 	return steps
 }
 
-// targetChanges let targets leave, die, or give their address to another.
+// targetChanges drains a target, stops it without draining, or starts a target of another
+// service at its address. A new target replaces it.
 func targetChanges(r *rand.Rand, at time.Duration) []step {
 	kind, pick := r.IntN(3), r.Uint64()
 	name := [...]string{"a target leaves", "a target dies", "a target's address goes to another service"}[kind]
-	return []step{{at, name, func(s *site) {
+	return []step{{at, name, func(s *system) {
 		t := s.pick(pick)
 		if err := s.addTarget(); err != nil || t == nil {
 			s.findings.add("target not started: %v", err)
@@ -128,11 +131,11 @@
 		}
 		switch kind {
 		case 0:
-			s.leave(t)
+			s.drain(t)
 		case 1:
 			s.remove(t, false)
 		case 2:
-			if err := s.giveAddress(t); err != nil {
+			if err := s.reuseAddress(t); err != nil {
 				s.findings.add("target not started: %v", err)
 			}
 		}
@@ -149,45 +152,45 @@
 		{"losing answers", metastore.Faults{LoseWrites: true}, Pass}, {"reset", metastore.Faults{}, Reset}, {"cut one way", metastore.Faults{}, OneWay},
 		{"forgetful", metastore.Faults{}, Pass}}
 	k := kinds[r.IntN(len(kinds))]
-	return []step{{at, fmt.Sprintf("the store is %s for %v", k.name, span), func(s *site) {
+	return []step{{at, fmt.Sprintf("the store is %s for %v", k.name, span), func(s *system) {
 		if k.name == "forgetful" {
 			s.store.Forget()
 			return
 		}
-		s.harmStore(k.faults, k.mode, span)
+		s.disturbStore(k.faults, k.mode, span)
 	}}}
 }
 
-// grownBy is how many routes the last of three configurations in a row adds: enough that
-// it goes from VM to VM in many parts.
-const grownBy = 1000
+// bulkRoutes is how many routes the last of three configurations in a row adds: enough that
+// entry VMs send the configuration to one another in many parts.
+const bulkRoutes = 1000
 
-// configurations come in quick succession, each with a route of its own; the last of three
-// grows by many.
-func configurations(r *rand.Rand, at time.Duration) []step {
+// configChanges writes one to three configurations 150 ms apart, each of which adds a route.
+// The third one adds bulkRoutes routes.
+func configChanges(r *rand.Rand, at time.Duration) []step {
 	var steps []step
 	for n := range 1 + r.IntN(3) {
-		what := "a configuration adds a route"
+		description := "a configuration adds a route"
 		if n == 2 {
-			what = fmt.Sprintf("a configuration adds %d routes", grownBy)
+			description = fmt.Sprintf("a configuration adds %d routes", bulkRoutes)
 		}
-		steps = append(steps, step{at + time.Duration(n)*150*time.Millisecond, what, func(s *site) {
+		steps = append(steps, step{at + time.Duration(n)*150*time.Millisecond, description, func(s *system) {
 			if n == 2 {
-				s.grow(grownBy - 1)
+				s.addIdleRoutes(bulkRoutes - 1)
 			}
 			s.mu.Lock()
 			name := fmt.Sprint("added-", len(s.routes))
 			s.mu.Unlock()
 			s.addRoute(name, "safe")
-			s.configure()
-			go s.expectRoute(name)
+			s.writeConfig()
+			go s.checkRouteApplied(name)
 		}})
 	}
 	return steps
 }
 
-// pick returns one of the live targets, and none when few are left.
-func (s *site) pick(n uint64) *target {
+// pick returns one of the live targets, or nil when fewer than three are left.
+func (s *system) pick(n uint64) *target {
 	live := s.live()
 	if len(live) < 3 {
 		return nil
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -8,63 +8,63 @@
 	"time"
 )
 
-// Mode is what a proxy does with what passes.
+// Mode is how a proxy treats the traffic of its connections.
 type Mode int32
 
-// Modes.
 const (
+	// Pass forwards everything unchanged.
 	Pass Mode = iota
-	// Delay holds each piece back for a while.
+	// Delay forwards each chunk after chunkDelay.
 	Delay
-	// Silence takes what comes and passes nothing on, either way.
-	Silence
-	// OneWay passes requests on and swallows answers.
+	// Blackhole reads and drops everything, in both directions.
+	Blackhole
+	// OneWay forwards requests and drops responses.
 	OneWay
-	// Reset breaks each connection.
+	// Reset resets every connection, open or new.
 	Reset
 )
 
 var modeNames = [...]string{"pass", "delay", "silence", "one way", "reset"}
 
-// String names the mode in plans and findings.
+// String returns the name of the mode as plans print it.
 func (m Mode) String() string { return modeNames[m] }
 
-// pieceDelay is what Delay adds to each piece.
-const pieceDelay = 60 * time.Millisecond
+// chunkDelay is the delay that mode Delay adds to each chunk of up to 16 KiB.
+const chunkDelay = 60 * time.Millisecond
 
-// proxy passes TCP connections on to a target or the store.
+// proxy forwards TCP connections to a target or the store.
 type proxy struct {
 	listener net.Listener
-	to       atomic.Value // string
+	upstream atomic.Value // string
 	mode     atomic.Int32
 
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
 }
 
-// newProxy listens on a free loopback port.
-func newProxy(to string) (*proxy, error) {
+// newProxy starts a proxy to an upstream address on a free loopback port.
+func newProxy(upstream string) (*proxy, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	p := &proxy{listener: listener, conns: make(map[net.Conn]struct{})}
-	p.to.Store(to)
+	p.upstream.Store(upstream)
 	go p.accept()
 	return p, nil
 }
 
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-// set changes the mode; Reset also breaks what is open.
+// set changes the mode. Reset also resets the open connections.
 func (p *proxy) set(m Mode) {
 	p.mode.Store(int32(m))
 	if m == Reset {
-		p.breakAll()
+		p.resetAll()
 	}
 }
 
-func (p *proxy) breakAll() {
+func (p *proxy) resetAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
@@ -77,7 +77,7 @@
 
 func (p *proxy) close() {
 	_ = p.listener.Close()
-	p.breakAll()
+	p.resetAll()
 }
 
 func (p *proxy) accept() {
@@ -91,40 +91,41 @@
 			_ = from.Close()
 			continue
 		}
-		go p.join(from)
+		go p.relay(from)
 	}
 }
 
-func (p *proxy) join(from net.Conn) {
-	to, err := net.DialTimeout("tcp4", p.to.Load().(string), time.Second)
+func (p *proxy) relay(from net.Conn) {
+	upstream, err := net.DialTimeout("tcp4", p.upstream.Load().(string), time.Second)
 	if err != nil {
 		_ = from.(*net.TCPConn).SetLinger(0)
 		_ = from.Close()
 		return
 	}
 	p.mu.Lock()
-	p.conns[from], p.conns[to] = struct{}{}, struct{}{}
+	p.conns[from], p.conns[upstream] = struct{}{}, struct{}{}
 	p.mu.Unlock()
-	var both sync.WaitGroup
-	both.Go(func() { p.pass(to, from, false) })
-	both.Go(func() { p.pass(from, to, true) })
-	both.Wait()
+	var copies sync.WaitGroup
+	copies.Go(func() { p.copyOneWay(upstream, from, false) })
+	copies.Go(func() { p.copyOneWay(from, upstream, true) })
+	copies.Wait()
 	p.mu.Lock()
 	delete(p.conns, from)
-	delete(p.conns, to)
+	delete(p.conns, upstream)
 	p.mu.Unlock()
 }
 
-// pass copies one way. A reset on one side is passed on as one, an end as an end.
-func (p *proxy) pass(to, from net.Conn, answers bool) {
+// copyOneWay copies one direction of a connection; answers is set for the direction from
+// the upstream. It forwards a reset as a reset and an orderly close as a close.
+func (p *proxy) copyOneWay(to, from net.Conn, answers bool) {
 	buffer := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buffer)
 		switch mode := Mode(p.mode.Load()); {
-		case mode == Silence || mode == OneWay && answers:
+		case mode == Blackhole || mode == OneWay && answers:
 			n = 0
 		case mode == Delay:
-			time.Sleep(pieceDelay)
+			time.Sleep(chunkDelay)
 		}
 		if n > 0 {
 			if _, failed := to.Write(buffer[:n]); failed != nil {
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -11,45 +11,48 @@
 	"heatherlock/platform"
 )
 
-// Options are the choices of a run.
+// Options configures a run.
 type Options struct {
-	Seed    uint64
+	Seed uint64
+	// Length is the duration of the run once all entry VMs are ready.
 	Length  time.Duration
 	Daemons int
 	Targets int
 	Callers int
-	// Binary is the daemon to run.
+	// Binary is the path of the daemon's executable.
 	Binary string
-	// BasePort is the first of seven ports in use on each entry VM's address.
+	// BasePort is the first of seven consecutive ports used on the address of each entry VM.
 	BasePort int
-	// KeepLogs leaves the daemons' logs; a run with findings always does.
+	// KeepLogs keeps the logs of the daemons. A run with findings keeps them in any case.
 	KeepLogs bool
 }
 
-// Report is what a run showed.
+// Report is the result of a run.
 type Report struct {
 	Seed     uint64
 	Plan     []string
-	Asked    int
+	Requests int
 	Answered int
 	Findings []string
-	// Logs is the folder with the daemons' logs, if it was kept.
+	// Logs is the directory with the logs of the daemons, or empty if it was removed.
 	Logs string
 }
 
-// readyWithin bounds the start of all entry VMs.
-const readyWithin = 15 * time.Second
+// readyTimeout is how long Run waits until all entry VMs are ready.
+const readyTimeout = 15 * time.Second
 
-// Run plays a seed.
+// Run starts a deployment, injects the faults planned for the seed while callers send
+// requests, and checks the outcome. An error means that the run could not be carried out;
+// violated guarantees are in the report.
 func Run(o Options) (Report, error) {
 	dir, err := os.MkdirTemp("", "heatherlock-soak-")
 	if err != nil {
-		return Report{}, fmt.Errorf("soak: no folder for logs: %w", err)
+		return Report{}, fmt.Errorf("soak: create log directory: %w", err)
 	}
 	f := &findings{began: time.Now()}
-	s, err := newSite(o, dir, f)
+	s, err := newSystem(o, dir, f)
 	if err != nil {
-		return Report{}, fmt.Errorf("soak: start: %w", err)
+		return Report{}, fmt.Errorf("soak: start deployment: %w", err)
 	}
 	defer s.close()
 	if err := s.awaitReady(); err != nil {
@@ -58,19 +61,19 @@
 	f.mu.Lock()
 	f.began = time.Now()
 	f.mu.Unlock()
-	l := &ledger{refused: make(map[string]int), served: make(map[string]bool)}
+	l := &callLog{refused: make(map[string]int), served: make(map[string]bool)}
 	plan := newPlan(o.Seed, o.Length, o.Daemons)
 	report := Report{Seed: o.Seed}
 	var all sync.WaitGroup
-	all.Go(func() { s.play(plan, &report) })
+	all.Go(func() { s.runPlan(plan, &report) })
 	for n := range o.Callers {
-		all.Go(func() { s.keepCalling(n, o, l) })
+		all.Go(func() { s.runCaller(n, o, l) })
 	}
 	all.Wait()
 	s.mu.Lock()
 	s.checkRuns(l)
 	s.mu.Unlock()
-	report.Asked, report.Answered, report.Findings = l.asked, l.answered, f.all
+	report.Requests, report.Answered, report.Findings = l.requests, l.answered, f.all
 	if len(f.all) == 0 && !o.KeepLogs {
 		return report, os.RemoveAll(dir)
 	}
@@ -78,9 +81,9 @@
 	return report, nil
 }
 
-func (s *site) awaitReady() error {
+func (s *system) awaitReady() error {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for end := time.Now().Add(readyWithin); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		ready := 0
 		for _, d := range s.daemons {
 			response, err := client.Get("http://" + d.address(s.ports[1]) + platform.PathReady)
@@ -96,30 +99,30 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("soak: not all of %d entry VMs were ready within %v", len(s.daemons), readyWithin)
+	return fmt.Errorf("soak: not all %d entry VMs became ready within %v", len(s.daemons), readyTimeout)
 }
 
-func (s *site) play(plan []step, report *Report) {
+func (s *system) runPlan(plan []step, report *Report) {
 	began := time.Now()
 	for _, st := range plan {
 		time.Sleep(time.Until(began.Add(st.at)))
-		report.Plan = append(report.Plan, fmt.Sprintf("%6.2f s  %s", st.at.Seconds(), st.what))
+		report.Plan = append(report.Plan, fmt.Sprintf("%6.2f s  %s", st.at.Seconds(), st.description))
 		st.do(s)
 	}
 }
 
-// callPause is the mean pause of a caller between two requests.
-const callPause = 25 * time.Millisecond
+// meanCallPause is the mean pause of a caller between two requests.
+const meanCallPause = 25 * time.Millisecond
 
-// keepCalling sends requests until the run is over. In its last seconds all
-// faults are over, and every request has to be served.
-func (s *site) keepCalling(n int, o Options, l *ledger) {
-	c := &caller{site: s, name: n, random: rand.New(rand.NewPCG(o.Seed, uint64(n)+100))}
-	defer c.drop()
+// runCaller sends requests until the run is over. All faults end well before that, and
+// in the last allServedPhase every request must be served.
+func (s *system) runCaller(n int, o Options, l *callLog) {
+	c := &caller{system: s, name: n, random: rand.New(rand.NewPCG(o.Seed, uint64(n)+100))}
+	defer c.closeConn()
 	began := time.Now()
-	const healedFor = 2 * time.Second
+	const allServedPhase = 2 * time.Second
 	for i := 0; time.Since(began) < o.Length; i++ {
-		c.call(i, l, time.Since(began) > o.Length-healedFor)
-		time.Sleep(time.Duration(c.random.Int64N(int64(2 * callPause))))
+		c.call(i, l, time.Since(began) > o.Length-allServedPhase)
+		time.Sleep(time.Duration(c.random.Int64N(int64(2 * meanCallPause))))
 	}
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -19,7 +19,7 @@
 	daemons = flag.Int("soak.daemons", 5, "entry VMs")
 )
 
-func build(t *testing.T, tags string) string {
+func buildDaemon(t *testing.T, tags string) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "heatherlockd")
 	cmd := exec.Command("go", "build", "-tags", tags, "-o", binary, "heatherlock/cmd/heatherlockd")
@@ -32,63 +32,66 @@
 	return Options{Seed: seed, Length: *length, Daemons: *daemons, Targets: 8, Callers: 12, Binary: binary, BasePort: 23000 + int(seed%400)*8}
 }
 
-// The promises hold while processes and links fail at random.
-func TestPromisesHoldUnderRandomFaults(t *testing.T) {
-	binary := build(t, "")
+// TestGuaranteesHoldUnderRandomFaults guards against violated guarantees (a request that
+// runs twice, a wrong or missing response, a configuration not applied in time) while
+// processes, connections and the store fail at random.
+func TestGuaranteesHoldUnderRandomFaults(t *testing.T) {
+	binary := buildDaemon(t, "")
 	for seed := *first; seed < *first+uint64(*seeds); seed++ {
 		report, err := Run(options(seed, binary))
 		assert.NilError(t, err)
-		t.Logf("seed %d: %d faults, %d requests, %d answered, %d findings", seed, len(report.Plan), report.Asked, report.Answered, len(report.Findings))
+		t.Logf("seed %d: %d faults, %d requests, %d answered, %d findings", seed, len(report.Plan), report.Requests, report.Answered, len(report.Findings))
 		if len(report.Findings) > 0 {
-			t.Errorf("seed %d broke a promise; logs in %s\nplan:\n%s\nfindings:\n%s", seed, report.Logs, strings.Join(report.Plan, "\n"), strings.Join(report.Findings, "\n"))
+			t.Errorf("seed %d violated a guarantee; logs in %s\nplan:\n%s\nfindings:\n%s", seed, report.Logs, strings.Join(report.Plan, "\n"), strings.Join(report.Findings, "\n"))
 		}
 	}
 }
 
-var cases = flag.Bool("soak.cases", false, "play the seeds that have failed")
+var replayFailed = flag.Bool("soak.cases", false, "play the seeds that have failed")
 
-// Seeds that failed, with what was seen and the cause as far as it is known. A seed repeats
-// the plan, not each interleaving: both also pass.
-var failed = map[uint64]string{
+// failedSeeds maps seeds that once failed to the observed failure and its cause as far as it
+// is known. A seed repeats the plan but not the interleaving, so a run of one may also pass.
+var failedSeeds = map[uint64]string{
 	337: "two reads of one page got 503 in the last 2 s: two targets died with requests for it in hand, and it was held back as one that crashes targets",
 	432: "one read got 503 in the last 2 s, for the same reason",
 	721: "two requests had no final answer: an entry VM stood still for good, the reader and a heartbeat waiting for each other",
 }
 
-// Seeds that broke a promise once stay here unchanged.
-func TestSeedsThatFailed(t *testing.T) {
-	if !*cases {
-		t.Skip("takes a minute; give -soak.cases")
+// TestRegressionSeeds repeats the plans under which a guarantee was once violated. Seeds
+// stay in the list unchanged.
+func TestRegressionSeeds(t *testing.T) {
+	if !*replayFailed {
+		t.Skip("takes a minute; run with -soak.cases")
 	}
-	binary := build(t, "")
-	for seed, seen := range failed {
+	binary := buildDaemon(t, "")
+	for seed, seen := range failedSeeds {
 		report, err := Run(options(seed, binary))
 		assert.NilError(t, err)
 		if len(report.Findings) > 0 {
-			t.Errorf("seed %d, once: %s; now:\n%s", seed, seen, strings.Join(report.Findings, "\n"))
+			t.Errorf("seed %d failed before with: %s; findings now:\n%s", seed, seen, strings.Join(report.Findings, "\n"))
 		}
 	}
 }
 
 var planted = flag.Bool("soak.planted", false, "play builds with planted defects, which must be found")
 
-// A soak that finds nothing may be blind. Each planted defect breaks one promise,
-// and has to be found within a few seeds.
+// TestPlantedDefectsAreFound guards against checks that can't fail. Each planted defect, a
+// build tag of the daemon, violates one guarantee and must be found within 12 seeds.
 func TestPlantedDefectsAreFound(t *testing.T) {
 	if !*planted {
-		t.Skip("takes minutes; give -soak.planted")
+		t.Skip("takes several minutes; run with -soak.planted")
 	}
-	for name, says := range map[string]string{"twice": "ran twice", "falsely_not_run": "and ran", "crossed": "the answer to", "leaving_ignored": "after it said that it leaves",
+	for name, finding := range map[string]string{"twice": "ran twice", "falsely_not_run": "and ran", "crossed": "the answer to", "leaving_ignored": "after it said that it leaves",
 		"stale_config": "does not know route", "cut_on_stop": "was cut by", "reused_address": "ran at another service"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			binary := build(t, "planted_"+name)
+			binary := buildDaemon(t, "planted_"+name)
 			for seed := uint64(1); seed <= 12; seed++ {
 				o := options(seed, binary)
 				o.BasePort = 30000 + int(name[0])*60 + int(seed)*8
 				report, err := Run(o)
 				assert.NilError(t, err)
-				if strings.Contains(strings.Join(report.Findings, "\n"), says) {
+				if strings.Contains(strings.Join(report.Findings, "\n"), finding) {
 					t.Logf("found with seed %d", seed)
 					return
 				}
