--- a/cmd/internal/benchdecide/bench.go
+++ b/cmd/internal/benchdecide/bench.go
@@ -14,55 +14,55 @@
 	"heatherlock/steering/routing"
 )
 
-// Goals of a decision.
+// Goals for the cost of one decision.
 const (
 	goalNs     = 1000
 	goalAllocs = 0
 )
 
-// sizes are the numbers of targets measured.
-var sizes = []int{20, 200, 2000}
+// targetCounts are the numbers of targets at which each decision is measured.
+var targetCounts = []int{20, 200, 2000}
 
-// slots of each target.
-const slots = 4
+const slotsPerTarget = 4
 
-// Row is the cost of one kind of decision.
+// Row is the cost of one kind of decision at one number of targets.
 type Row struct {
-	Decision string  `json:"decision"`
-	Targets  int     `json:"targets"`
-	Ns       float64 `json:"ns"`
-	Allocs   int64   `json:"allocs"`
-	Bytes    int64   `json:"bytes"`
-	// Met says whether the row is within the goal.
+	Decision string `json:"decision"`
+	Targets  int    `json:"targets"`
+	// Ns, Allocs and Bytes are per decision.
+	Ns     float64 `json:"ns"`
+	Allocs int64   `json:"allocs"`
+	Bytes  int64   `json:"bytes"`
+	// Met reports whether the row is within the goals.
 	Met bool `json:"met"`
 }
 
-// Report holds all rows.
+// Report is the result of a benchmark run.
 type Report struct {
 	GoalNs     float64 `json:"goal_ns"`
 	GoalAllocs int64   `json:"goal_allocs"`
 	Rows       []Row   `json:"rows"`
 }
 
-// decision is one thing measured.
+// decision is one kind of decision and its benchmark for a number of targets.
 type decision struct {
 	name string
 	run  func(b *testing.B, targets int)
 }
 
 var decisions = []decision{
-	{"admit, choose a target and release, slots free", free},
-	{"admit, choose around two avoided targets and release", avoiding},
-	{"queue, then be served by a release, all slots in use", queued},
-	{"refuse, queue full", refused},
-	{"judge an outcome", judged},
+	{"admit, choose a target and release, slots free", admitFree},
+	{"admit, choose around two avoided targets and release", admitAvoiding},
+	{"queue, then be served by a release, all slots in use", queueAndServe},
+	{"refuse, queue full", refuseQueueFull},
+	{"judge an outcome", observeOutcome},
 }
 
-// Run measures every decision at every size.
+// Run measures every decision at every number of targets.
 func Run() Report {
 	report := Report{GoalNs: goalNs, GoalAllocs: goalAllocs}
 	for _, d := range decisions {
-		for _, n := range sizes {
+		for _, n := range targetCounts {
 			result := testing.Benchmark(func(b *testing.B) { d.run(b, n) })
 			ns := float64(result.T.Nanoseconds()) / float64(max(1, result.N))
 			report.Rows = append(report.Rows, Row{
@@ -81,7 +81,7 @@
 	p := pool.New(start, cfg)
 	var declared []routing.Target
 	for i := range targets {
-		declared = append(declared, routing.Target{Name: targetName(i), Slots: slots})
+		declared = append(declared, routing.Target{Name: targetName(i), Slots: slotsPerTarget})
 	}
 	p.SetTargets(start, declared, nil)
 	return p
@@ -89,8 +89,8 @@
 
 func targetName(i int) steering.Target { return steering.Target(fmt.Sprintf("target-%04d", i)) }
 
-// fill takes a part of all slots.
-func fill(p *pool.Pool, n int) []pool.GrantID {
+// acquireGrants acquires n grants, each of which occupies a slot.
+func acquireGrants(p *pool.Pool, n int) []pool.GrantID {
 	held := make([]pool.GrantID, n)
 	for i := range held {
 		held[i] = p.Acquire(start, pool.Request{Deadline: start.Add(time.Hour)}).Grant
@@ -98,47 +98,53 @@
 	return held
 }
 
-var done = pool.Outcome{ReportedInFlight: pool.NoReport, ReportedSlots: pool.NoReport}
+var completed = pool.Outcome{ReportedInFlight: pool.NoReport, ReportedSlots: pool.NoReport}
 
-// stride visits held grants in an order that is not theirs.
+// stride is the step through grants and targets. It is a large prime, so that they are
+// visited in another order than they were created in.
 const stride = 7919
 
-func free(b *testing.B, targets int) { cycle(b, targets, nil) }
+func admitFree(b *testing.B, targets int) { cycleGrants(b, targets, nil) }
 
-func avoiding(b *testing.B, targets int) {
-	cycle(b, targets, []steering.Target{targetName(0), targetName(1)})
+func admitAvoiding(b *testing.B, targets int) {
+	cycleGrants(b, targets, []steering.Target{targetName(0), targetName(1)})
 }
 
-// cycle keeps three quarters of the slots in use.
-func cycle(b *testing.B, targets int, avoid []steering.Target) {
+// cycleGrants measures releasing and acquiring a grant while three quarters of the slots
+// are in use.
+func cycleGrants(b *testing.B, targets int, avoid []steering.Target) {
 	p := newPool(targets, pool.Config{})
-	held := fill(p, targets*slots*3/4)
+	held := acquireGrants(p, targets*slotsPerTarget*3/4)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
 		now := start.Add(time.Duration(i) * time.Microsecond)
 		k := i * stride % len(held)
-		p.Release(now, held[k], done)
+		p.Release(now, held[k], completed)
 		held[k] = p.Acquire(now, pool.Request{Deadline: now.Add(time.Hour), Avoid: avoid}).Grant
 	}
 }
 
-func queued(b *testing.B, targets int) {
+// queueAndServe measures queueing a request while all slots are in use, and the release that
+// serves it.
+func queueAndServe(b *testing.B, targets int) {
 	p := newPool(targets, pool.Config{})
-	held := fill(p, targets*slots)
+	held := acquireGrants(p, targets*slotsPerTarget)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
 		now := start.Add(time.Duration(i) * time.Microsecond)
 		p.Acquire(now, pool.Request{Deadline: now.Add(time.Hour)})
 		k := i * stride % len(held)
-		held[k] = p.Release(now, held[k], done).Served[0].Grant
+		held[k] = p.Release(now, held[k], completed).Served[0].Grant
 	}
 }
 
-func refused(b *testing.B, targets int) {
+// refuseQueueFull measures refusing a request while all slots are in use and nothing may
+// queue.
+func refuseQueueFull(b *testing.B, targets int) {
 	p := newPool(targets, pool.Config{QueuePerSlot: -1})
-	fill(p, targets*slots)
+	acquireGrants(p, targets*slotsPerTarget)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
@@ -147,7 +153,9 @@
 	}
 }
 
-func judged(b *testing.B, targets int) {
+// observeOutcome measures recording an outcome for outlier detection; one in 50 outcomes is a
+// failure.
+func observeOutcome(b *testing.B, targets int) {
 	tracker := health.New(health.Config{})
 	var names []steering.Target
 	for i := range targets {
@@ -165,7 +173,7 @@
 	}
 }
 
-// WriteText writes the report as a table.
+// WriteText writes the report as a table. Write errors are ignored.
 func (r Report) WriteText(w io.Writer) {
 	fmt.Fprintf(w, "goal: under %.0f ns and %d allocations per decision\n", r.GoalNs, r.GoalAllocs)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
--- a/cmd/internal/benchdecide/bench_test.go
+++ b/cmd/internal/benchdecide/bench_test.go
@@ -8,16 +8,17 @@
 	"heatherlock/steering/pool"
 )
 
-// A hot path that allocates once more is slower at every size and shows in the
-// collector's share of a busy entry VM; time itself is not asserted.
+// TestHotPathDoesNotAllocate guards against an allocation added to the hot path: it slows
+// down every decision at every number of targets and raises the share of CPU time that the
+// garbage collector takes on a busy entry VM. The time itself is not asserted.
 func TestHotPathDoesNotAllocate(t *testing.T) {
 	p := newPool(200, pool.Config{})
-	held := fill(p, 600)
+	held := acquireGrants(p, 600)
 	i := 0
 	allocs := testing.AllocsPerRun(1000, func() {
 		k := i * stride % len(held)
 		i++
-		p.Release(start, held[k], done)
+		p.Release(start, held[k], completed)
 		held[k] = p.Acquire(start, pool.Request{Deadline: start.Add(1 << 40)}).Grant
 	})
 	assert.Equal(t, allocs, 0.0)
--- a/cmd/internal/benchdecide/command.go
+++ b/cmd/internal/benchdecide/command.go
@@ -8,7 +8,7 @@
 	"heatherlock/cmd/internal/command"
 )
 
-// Command returns `bench decide`.
+// Command returns the command `bench decide`.
 func Command() command.Command {
 	return command.Command{
 		Name:    "decide",
--- a/cmd/internal/benchdecide/doc.go
+++ b/cmd/internal/benchdecide/doc.go
@@ -1,7 +1,7 @@
-// Package benchdecide measures what one decision of the data path costs:
-// nanoseconds and allocations per admission and choice at several numbers of
-// targets, alone and while requests queue.
+// Package benchdecide measures the cost of one decision of the data path:
+// nanoseconds and allocations per admission and choice of a target at several
+// numbers of targets, with free slots and while requests queue.
 //
 // Limits: the decisions run one after another on one core, without locks and
-// without the network; figures of a busy machine scatter.
+// without the network. On a busy machine the results vary between runs.
 package benchdecide
