--- a/cmd/internal/benchcaps/central.go
+++ b/cmd/internal/benchcaps/central.go
@@ -5,26 +5,28 @@
 	"time"
 )
 
-// runCentral simulates one counter that sees every request without delay and
-// lets one through while fewer than the cap started in the last window: the
-// most that any way can let through under a sliding window.
-func runCentral(s scene) result {
+// runCentral simulates a central counter that sees every request without delay and
+// admits it if fewer requests than the cap started in the last window. No scheme
+// can admit more under a sliding window.
+func runCentral(s scenario) result {
 	return runCounter(s, func(starts []time.Duration, now time.Duration) bool {
 		return len(starts) < s.requests || starts[len(starts)-s.requests] <= now-s.window
 	})
 }
 
-// runFixedWindow simulates one counter that is set back at the start of each
-// window, as simple limiters do.
-func runFixedWindow(s scene) result {
+// runFixedWindow simulates a central counter that is reset at the start of each
+// window, as in simple rate limiters.
+func runFixedWindow(s scenario) result {
 	return runCounter(s, func(starts []time.Duration, now time.Duration) bool {
 		first := now.Truncate(s.window)
 		return len(starts) < s.requests || starts[len(starts)-s.requests] < first
 	})
 }
 
-// runCounter simulates one counter; requests wait as in the product.
-func runCounter(s scene, free func(starts []time.Duration, now time.Duration) bool) result {
+// runCounter simulates a central counter. A request waits up to maxPermitWait for
+// a permit, as in the product. canStart reports whether a request may start now,
+// given the times at which earlier ones started.
+func runCounter(s scenario, canStart func(starts []time.Duration, now time.Duration) bool) result {
 	rng := rand.New(rand.NewPCG(s.seed, 1))
 	var r result
 	var waiting []time.Duration
@@ -36,11 +38,11 @@
 			}
 		}
 		for len(waiting) > 0 {
-			if now-waiting[0] > patience {
+			if now-waiting[0] > maxPermitWait {
 				waiting = waiting[1:]
 				continue
 			}
-			if !free(r.starts, now) {
+			if !canStart(r.starts, now) {
 				break
 			}
 			waiting = waiting[1:]
--- a/cmd/internal/benchcaps/command.go
+++ b/cmd/internal/benchcaps/command.go
@@ -9,13 +9,13 @@
 	"heatherlock/cmd/internal/command"
 )
 
-// Bounds of the simulated time per row.
+// Default and upper limit of the simulated time per row.
 const (
 	defaultLength = 30 * time.Second
 	maxLength     = 10 * time.Minute
 )
 
-// Command returns `bench caps`.
+// Command returns the command `bench caps`.
 func Command() command.Command {
 	return command.Command{
 		Name:    "caps",
--- a/cmd/internal/benchcaps/divide.go
+++ b/cmd/internal/benchcaps/divide.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// divide gives the seats anew, max-min by the demand since the last time: no
-// seat can gain but by one that has less, and what nobody asked for is shared
-// equally. It stands for a division that needs no messages and is known to all
-// at once, so it flatters that way.
-func (s *simulation) divide() {
-	wants := make([]int, len(s.vms))
+// redivideSeats recomputes the seats by max-min fairness from the demand since the
+// last division: no seat can be larger without making an equal or smaller one
+// smaller, and permits without demand are shared equally. The new seats take effect
+// on all entry VMs at once and without messages, so the schemes that use it look
+// better here than they are in a real system.
+func (s *simulation) redivideSeats() {
+	demands := make([]int, len(s.vms))
 	for i, v := range s.vms {
-		perWindow := float64(v.arrived) * float64(s.window) / float64(s.redivide)
-		wants[i] = int(perWindow + 1)
+		perWindow := float64(v.arrived) * float64(s.window) / float64(s.redivideInterval)
+		demands[i] = int(perWindow + 1)
 		v.arrived = 0
 	}
 	s.version++
 	now := s.time()
 	free := s.requests
-	shares := maxMin(wants, s.requests)
-	for i, v := range s.vms { // those who give stop first
+	shares := maxMin(demands, s.requests)
+	for i, v := range s.vms { // seats that get smaller give up their permits before others get them
 		if shares[i] < v.seat {
 			v.seat = max(shares[i], v.holder.Shrink(now, shares[i]))
 		}
@@ -31,14 +32,14 @@
 	}
 }
 
-// maxMin divides a total: each gets what it wants or an equal part of what is
-// left, whichever is less, and the rest is shared equally.
-func maxMin(wants []int, total int) []int {
-	shares := make([]int, len(wants))
+// maxMin divides a total by max-min fairness: each share is its demand or an equal
+// part of what is left, whichever is less, and the rest is shared equally.
+func maxMin(demands []int, total int) []int {
+	shares := make([]int, len(demands))
 	for left := total; left > 0; {
 		given := 0
 		for i := range shares {
-			if left > 0 && shares[i] < wants[i] {
+			if left > 0 && shares[i] < demands[i] {
 				shares[i]++
 				left--
 				given++
@@ -57,8 +58,9 @@
 	return shares
 }
 
-// redivideEvery are the intervals compared: they are minimum holding times.
+// The intervals between two divisions of the seats that are compared. An entry VM
+// keeps its seat for at least this long.
 const (
-	redivideOften  = 10 * time.Second
-	redivideSeldom = 30 * time.Second
+	shortRedivideInterval = 10 * time.Second
+	longRedivideInterval  = 30 * time.Second
 )
--- a/cmd/internal/benchcaps/report.go
+++ b/cmd/internal/benchcaps/report.go
@@ -9,57 +9,58 @@
 	"heatherlock/cmd/internal/command"
 )
 
-// way is one way to hold a cap.
-type way struct {
+// scheme is one method to enforce a cap on several entry VMs.
+type scheme struct {
 	name string
-	run  func(scene) result
+	run  func(scenario) result
 }
 
-var ways = []way{
+var schemes = []scheme{
 	{"central counter, no delay (ideal)", runCentral},
 	{"central counter, fixed windows", runFixedWindow},
-	{"equal seats", func(s scene) result { return runShares(s, 0) }},
-	{"seats and loans of 1 window", func(s scene) result { return runShares(s, 1) }},
-	{"seats and loans of 2 windows", func(s scene) result { return runShares(s, 2) }},
-	{"seats and loans of 4 windows", func(s scene) result { return runShares(s, 4) }},
-	{"seats and loans of 8 windows", func(s scene) result { return runShares(s, 8) }},
-	{"seats by demand each 10 s", func(s scene) result { return runDivided(s, 0, redivideOften) }},
-	{"seats by demand each 10 s, loans of 8", func(s scene) result { return runDivided(s, 8, redivideOften) }},
-	{"seats by demand each 30 s, loans of 8", func(s scene) result { return runDivided(s, 8, redivideSeldom) }},
+	{"equal seats", func(s scenario) result { return runSeats(s, 0) }},
+	{"seats and loans of 1 window", func(s scenario) result { return runSeats(s, 1) }},
+	{"seats and loans of 2 windows", func(s scenario) result { return runSeats(s, 2) }},
+	{"seats and loans of 4 windows", func(s scenario) result { return runSeats(s, 4) }},
+	{"seats and loans of 8 windows", func(s scenario) result { return runSeats(s, 8) }},
+	{"seats by demand each 10 s", func(s scenario) result { return runRedividedSeats(s, 0, shortRedivideInterval) }},
+	{"seats by demand each 10 s, loans of 8", func(s scenario) result { return runRedividedSeats(s, 8, shortRedivideInterval) }},
+	{"seats by demand each 30 s, loans of 8", func(s scenario) result { return runRedividedSeats(s, 8, longRedivideInterval) }},
 }
 
-// Row is what one way did in one setting.
+// Row is the result of one scheme in one scenario.
 type Row struct {
 	Way      string  `json:"way"`
 	Cap      int     `json:"cap"`
 	WindowMs int64   `json:"window_ms"`
 	VMs      int     `json:"vms"`
 	Demand   Demand  `json:"demand"`
-	Load     float64 `json:"load"` // offered over the cap
+	Load     float64 `json:"load"` // offered requests divided by the cap
 	Offered  int     `json:"offered"`
 	Admitted int     `json:"admitted"`
-	// Wasted is the part of what the ideal lets through that this way does not.
+	// Wasted is the fraction of the requests admitted by the ideal scheme that
+	// this one does not admit.
 	Wasted float64 `json:"wasted"`
-	// Peak is the most starts in any window.
+	// Peak is the maximum number of requests started in any window.
 	Peak int `json:"peak"`
-	// MessagesPerSecond are requests for loans, of all entry VMs together.
+	// MessagesPerSecond is the rate of loan requests of all entry VMs together.
 	MessagesPerSecond float64 `json:"messages_per_second"`
 }
 
-// Report holds all rows.
+// Report is the result of a benchmark run.
 type Report struct {
 	Seed    uint64  `json:"seed"`
 	Seconds float64 `json:"seconds"`
 	Rows    []Row   `json:"rows"`
 }
 
-// Run compares the ways in every setting.
+// Run compares the schemes in every scenario. The length is the simulated time per row.
 func Run(length time.Duration, seed uint64) Report {
 	report := Report{Seed: seed, Seconds: length.Seconds()}
 	for _, size := range []struct{ requests, vms int }{{100, 4}, {100, 22}, {12, 22}} {
 		for _, demand := range []Demand{Even, Busy, Moving} {
 			for _, load := range []float64{0.6, 0.95, 1.5} {
-				s := scene{requests: size.requests, window: time.Second, vms: size.vms, demand: demand, load: load, length: length, seed: seed}
+				s := scenario{requests: size.requests, window: time.Second, vms: size.vms, demand: demand, load: load, length: length, seed: seed}
 				report.Rows = append(report.Rows, compare(s)...)
 			}
 		}
@@ -67,11 +68,11 @@
 	return report
 }
 
-// compare runs all ways in one setting.
-func compare(s scene) []Row {
+// compare runs all schemes in one scenario. The first of them is the ideal.
+func compare(s scenario) []Row {
 	var rows []Row
 	ideal := 0
-	for _, w := range ways {
+	for _, w := range schemes {
 		r := w.run(s)
 		if len(rows) == 0 {
 			ideal = r.admitted
@@ -85,7 +86,8 @@
 	return rows
 }
 
-// peak returns the most starts in any window that is open at its beginning.
+// peak returns the maximum number of starts in any window. A window excludes its first
+// instant and includes its last.
 func peak(starts []time.Duration, window time.Duration) int {
 	most, first := 0, 0
 	for i, at := range starts {
@@ -97,7 +99,7 @@
 	return most
 }
 
-// WriteText writes the report as a table.
+// WriteText writes the report as a table. Write errors are ignored.
 func (r Report) WriteText(w io.Writer) {
 	fmt.Fprintf(w, "%.0f s simulated per row, window 1 s, seed %d\n", r.Seconds, r.Seed)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
--- a/cmd/internal/benchcaps/sim.go
+++ b/cmd/internal/benchcaps/sim.go
@@ -13,37 +13,40 @@
 const (
 	// step is the resolution of the simulation.
 	step = time.Millisecond
-	// oneWay is the delay of a message between entry VMs.
-	oneWay = time.Millisecond
-	// patience is how long a request waits for a permit, as in the product.
-	patience = 25 * time.Millisecond
-	// lendersPerRound and emptyFor are the product's.
-	lendersPerRound = 3
-	// movesEvery is how often the busy entry VM changes under moving demand.
-	movesEvery = 10 * time.Second
-	// busyShare is the part of the demand that the busy entry VM gets.
+	// oneWayDelay is the delay of a message between entry VMs.
+	oneWayDelay = time.Millisecond
+	// maxPermitWait is how long a request waits for a permit, as in the product.
+	maxPermitWait = 25 * time.Millisecond
+	// lendersPerShortage bounds the entry VMs asked for a loan in one shortage, as in
+	// the product.
+	lendersPerShortage = 3
+	// busyMoveInterval is the time after which another entry VM becomes the busy one
+	// under moving demand.
+	busyMoveInterval = 10 * time.Second
+	// busyShare is the fraction of the demand that reaches the busy entry VM.
 	busyShare = 0.95
 )
 
-// epoch is when every simulation begins.
+// epoch is the start time of every simulation.
 var epoch = time.Unix(0, 0)
 
-// Demand says how requests spread over the entry VMs.
+// Demand is a distribution of requests over the entry VMs.
 type Demand string
 
-// Kinds of demand.
+// Even gives every entry VM the same demand, Busy gives one of them busyShare of it, and
+// Moving does the same but moves on to another entry VM every busyMoveInterval.
 const (
 	Even   Demand = "even"
 	Busy   Demand = "one busy VM"
 	Moving Demand = "busy VM moves"
 )
 
-// shares returns the part of the demand that each entry VM gets at a time.
+// shares returns the fraction of the demand that each entry VM gets at a time.
 func (d Demand) shares(vms int, at time.Duration) []float64 {
 	shares := make([]float64, vms)
 	busy := 0
 	if d == Moving {
-		busy = int(at/movesEvery) % vms
+		busy = int(at/busyMoveInterval) % vms
 	}
 	for i := range shares {
 		switch {
@@ -58,64 +61,68 @@
 	return shares
 }
 
-// scene is one setting in which all ways are compared.
-type scene struct {
+// scenario is a set of parameters under which all schemes are compared.
+type scenario struct {
 	requests int // the cap
 	window   time.Duration
 	vms      int
 	demand   Demand
-	load     float64 // requests offered per window over the cap
+	load     float64 // requests offered per window, divided by the cap
 	length   time.Duration
 	seed     uint64
 }
 
-// result counts what one way did.
+// result is the outcome of one scheme in one scenario; starts are the times at which
+// requests started.
 type result struct {
 	offered, admitted, messages int
 	starts                      []time.Duration
 }
 
-// vm is one entry VM: its books, the requests that wait, and its loan request.
+// vm is one entry VM: its permits, its waiting requests and its pending loan request.
 type vm struct {
-	name    steering.Incarnation
-	holder  *caps.Holder
-	waiting []time.Duration // arrival times
-	ask     *pendingAsk
-	empty   map[int]time.Duration
-	turn    int
-	round   int
-	arrived int // requests since the seats were last divided
-	seat    int
+	name         steering.Incarnation
+	holder       *caps.Holder
+	waiting      []time.Duration // arrival times
+	loan         *pendingLoan
+	skipUntil    map[int]time.Duration // by index of the lender
+	lenderTurn   int                   // number of lenders tried; modulo the VMs, the index of the last one
+	lendersAsked int                   // in the present shortage
+	arrived      int                   // requests since the seats were last divided
+	seat         int
 }
 
-type pendingAsk struct {
+// pendingLoan is a loan request in transit: it reaches the lender at arriveAt, and the reply
+// with the number of permits lent reaches the borrower at replyAt.
+type pendingLoan struct {
 	caps.LoanAsk
 	lender   int
-	lendAt   time.Duration
-	grantAt  time.Duration
+	arriveAt time.Duration
+	replyAt  time.Duration
 	lent     int
 	answered bool
 }
 
-// simulation runs one way in one scene.
+// simulation runs one scheme in one scenario.
 type simulation struct {
-	scene
+	scenario
 	loans bool
 	rng   *rand.Rand
 	vms   []*vm
 	now   time.Duration
-	// redivide is how often the seats are divided anew by demand; 0 never.
-	redivide time.Duration
-	version  int64
+	// redivideInterval is the time between two divisions of the seats by demand; 0 means never.
+	redivideInterval time.Duration
+	version          int64
 	result
 }
 
-// runShares simulates seats, with loans of a term in windows or, for 0, without.
-func runShares(s scene, termWindows int) result { return runDivided(s, termWindows, 0) }
+// runSeats simulates equal seats, with loans for a term in windows, or without loans for
+// a term of 0.
+func runSeats(s scenario, termWindows int) result { return runRedividedSeats(s, termWindows, 0) }
 
-// runDivided is runShares with seats that are divided anew by demand.
-func runDivided(s scene, termWindows int, redivide time.Duration) result {
-	sim := &simulation{scene: s, loans: termWindows > 0, rng: rand.New(rand.NewPCG(s.seed, 1)), redivide: redivide, version: 1}
+// runRedividedSeats is like runSeats with seats that are divided by demand at an interval.
+func runRedividedSeats(s scenario, termWindows int, redivideInterval time.Duration) result {
+	sim := &simulation{scenario: s, loans: termWindows > 0, rng: rand.New(rand.NewPCG(s.seed, 1)), redivideInterval: redivideInterval, version: 1}
 	rule := caps.Rule{Version: 1, Requests: s.requests, Window: s.window, TermWindows: termWindows}
 	for i := range s.vms {
 		h := caps.NewHolder(epoch, rule)
@@ -124,11 +131,11 @@
 			seat++
 		}
 		h.Adopt(epoch, 1, seat, s.window, false)
-		sim.vms = append(sim.vms, &vm{name: steering.Incarnation(fmt.Sprint(i)), holder: h, seat: seat, empty: map[int]time.Duration{}})
+		sim.vms = append(sim.vms, &vm{name: steering.Incarnation(fmt.Sprint(i)), holder: h, seat: seat, skipUntil: map[int]time.Duration{}})
 	}
-	settled := sim.vms[0].holder.Terms().SeatWait() + time.Second
-	for sim.now = settled; sim.now < settled+s.length; sim.now += step {
-		sim.tick(sim.now - settled)
+	warmup := sim.vms[0].holder.Terms().SeatWait() + time.Second
+	for sim.now = warmup; sim.now < warmup+s.length; sim.now += step {
+		sim.tick(sim.now - warmup)
 	}
 	return sim.result
 }
@@ -136,12 +143,12 @@
 func (s *simulation) time() time.Time { return epoch.Add(s.now) }
 
 func (s *simulation) tick(elapsed time.Duration) {
-	if s.redivide > 0 && elapsed > 0 && elapsed%s.redivide == 0 {
-		s.divide()
+	if s.redivideInterval > 0 && elapsed > 0 && elapsed%s.redivideInterval == 0 {
+		s.redivideSeats()
 	}
 	arrivals := s.arrivals(s.rng, elapsed)
 	for i, v := range s.vms {
-		s.exchange(v)
+		s.advanceLoan(v)
 		s.serveWaiting(v)
 		for range arrivals[i] {
 			s.offered++
@@ -149,17 +156,17 @@
 			v.holder.Arrive(s.time())
 			if !s.serve(v) {
 				v.waiting = append(v.waiting, s.now)
-				v.round = 0
+				v.lendersAsked = 0
 			}
 		}
 		if len(v.waiting) > 0 && s.loans {
-			s.askFor(i, v)
+			s.requestLoan(i, v)
 		}
 	}
 }
 
-// arrivals draws how many requests reach each entry VM in a step.
-func (s scene) arrivals(rng *rand.Rand, elapsed time.Duration) []int {
+// arrivals draws the number of requests that reach each entry VM in a step.
+func (s scenario) arrivals(rng *rand.Rand, elapsed time.Duration) []int {
 	perStep := s.load * float64(s.requests) * float64(step) / float64(s.window)
 	counts := make([]int, s.vms)
 	for i, share := range s.demand.shares(s.vms, elapsed) {
@@ -168,7 +175,8 @@
 	return counts
 }
 
-// poisson draws by inversion; means here are far below one hundred.
+// poisson draws from a Poisson distribution by multiplying uniform draws until the product
+// falls below exp(-mean), which is usable because the means here are far below 100.
 func poisson(rng *rand.Rand, mean float64) int {
 	n, p, limit := 0, rng.Float64(), math.Exp(-mean)
 	for p > limit {
@@ -191,7 +199,7 @@
 
 func (s *simulation) serveWaiting(v *vm) {
 	for len(v.waiting) > 0 {
-		if s.now-v.waiting[0] > patience {
+		if s.now-v.waiting[0] > maxPermitWait {
 			v.waiting = v.waiting[1:]
 			continue
 		}
@@ -202,42 +210,45 @@
 	}
 }
 
-// askFor starts a request for a loan, to a few holders in turn per shortage.
-func (s *simulation) askFor(self int, v *vm) {
-	if v.ask != nil || v.round >= lendersPerRound {
+// requestLoan sends a request for a loan to the next entry VM, unless one is pending or
+// lendersPerShortage of them were asked in this shortage.
+func (s *simulation) requestLoan(self int, v *vm) {
+	if v.loan != nil || v.lendersAsked >= lendersPerShortage {
 		return
 	}
 	for range s.vms {
-		v.turn++
-		lender := v.turn % len(s.vms)
-		if lender == self || s.now < v.empty[lender] {
+		v.lenderTurn++
+		lender := v.lenderTurn % len(s.vms)
+		if lender == self || s.now < v.skipUntil[lender] {
 			continue
 		}
-		v.round++
+		v.lendersAsked++
 		s.messages++
-		v.ask = &pendingAsk{
+		v.loan = &pendingLoan{
 			LoanAsk: v.holder.Ask(s.time(), max(1, v.holder.Shortfall(s.time()))),
-			lender:  lender, lendAt: s.now + oneWay, grantAt: s.now + 2*oneWay,
+			lender:  lender, arriveAt: s.now + oneWayDelay, replyAt: s.now + 2*oneWayDelay,
 		}
 		return
 	}
 }
 
-// exchange moves the request for a loan on.
-func (s *simulation) exchange(v *vm) {
-	if v.ask == nil {
+// advanceLoan delivers the pending loan request to the lender, or the reply to the borrower,
+// when it is due. A lender that granted nothing is skipped for half a window, at most 1 s,
+// as in the product.
+func (s *simulation) advanceLoan(v *vm) {
+	if v.loan == nil {
 		return
 	}
-	lender := s.vms[v.ask.lender]
-	if !v.ask.answered && s.now >= v.ask.lendAt {
-		v.ask.answered = true
-		v.ask.lent = lender.holder.Lend(s.time(), caps.LoanKey{From: v.name, Nonce: v.ask.Nonce}, 1, v.ask.Permits)
+	lender := s.vms[v.loan.lender]
+	if !v.loan.answered && s.now >= v.loan.arriveAt {
+		v.loan.answered = true
+		v.loan.lent = lender.holder.Lend(s.time(), caps.LoanKey{From: v.name, Nonce: v.loan.Nonce}, 1, v.loan.Permits)
 	}
-	if s.now < v.ask.grantAt {
+	if s.now < v.loan.replyAt {
 		return
 	}
-	if v.holder.Granted(s.time(), v.ask.Nonce, v.ask.lent, lender.holder.Terms().Term) == 0 {
-		v.empty[v.ask.lender] = s.now + min(s.window/2, time.Second)
+	if v.holder.Granted(s.time(), v.loan.Nonce, v.loan.lent, lender.holder.Terms().Term) == 0 {
+		v.skipUntil[v.loan.lender] = s.now + min(s.window/2, time.Second)
 	}
-	v.ask = nil
+	v.loan = nil
 }
