--- a/cmd/internal/benchoperators/command.go
+++ b/cmd/internal/benchoperators/command.go
@@ -14,14 +14,18 @@
 type Options struct {
 	Client  client.Options
 	Changes int
-	Every   time.Duration
-	Seed    uint64
-	// Limit is the time in which a change must be in force everywhere.
-	Limit    time.Duration
+	// Every is the mean pause between two changes.
+	Every time.Duration
+	// Seed determines the pauses.
+	Seed uint64
+	// Limit is the limit on the 99th percentile of the time until a change is in
+	// force everywhere.
+	Limit time.Duration
+	// JSONFile is the file to which the report is written; empty for none.
 	JSONFile string
 }
 
-// Defaults returns the options when no flag is given.
+// Defaults returns the options that apply when no flag is given.
 func Defaults() Options {
 	return Options{Changes: 100, Every: 300 * time.Millisecond, Seed: 1, Limit: 4 * time.Second}
 }
@@ -31,7 +35,7 @@
 	minEvery   = 10 * time.Millisecond
 )
 
-// Command returns `bench operators`.
+// Command returns the command `bench operators`.
 func Command() command.Command {
 	return command.Command{
 		Name:    "operators",
--- a/cmd/internal/benchoperators/report.go
+++ b/cmd/internal/benchoperators/report.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Report is what was measured.
+// Report is the result of a measurement.
 type Report struct {
 	EntryVMs int   `json:"entryVMs"`
 	Zones    int   `json:"zones"`
@@ -19,7 +19,7 @@
 	InForce  Times `json:"inForceEverywhereMs"`
 }
 
-// Times summarises durations in milliseconds, counted from sending the change.
+// Times summarises durations in milliseconds, measured from the sending of a change.
 type Times struct {
 	Count int     `json:"count"`
 	P50   float64 `json:"p50"`
@@ -29,8 +29,8 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// summarise gives exact percentiles: the smallest value that at least the share
-// of all values does not exceed.
+// summarise computes exact percentiles: each is the smallest measured value such that
+// at least the given share of all values does not exceed it.
 func summarise(all []time.Duration) Times {
 	if len(all) == 0 {
 		return Times{}
@@ -42,7 +42,7 @@
 	return Times{Count: len(sorted), P50: at(0.5), P99: at(0.99), Max: at(1)}
 }
 
-// WriteText writes the report as a table.
+// WriteText writes the report as a table. Write errors are ignored.
 func (r *Report) WriteText(out io.Writer) {
 	fmt.Fprintf(out, "%d changes, %d entry VMs in %d zones; milliseconds from sending the change\n\n", r.Changes, r.EntryVMs, r.Zones)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
--- a/cmd/internal/benchoperators/report_test.go
+++ b/cmd/internal/benchoperators/report_test.go
@@ -7,6 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
+// TestPercentilesAreExact guards against interpolated percentiles and an index that is off by
+// one, also for one value and for none.
 func TestPercentilesAreExact(t *testing.T) {
 	var all []time.Duration
 	for i := 200; i >= 1; i-- {
--- a/cmd/internal/benchoperators/run.go
+++ b/cmd/internal/benchoperators/run.go
@@ -17,31 +17,33 @@
 )
 
 const (
-	// askEvery is the pause between two questions to one entry VM.
-	askEvery = 10 * time.Millisecond
-	// patience bounds the wait for one change to be in force everywhere.
-	patience = 30 * time.Second
-	// watchWait is how long one poll of the watch waits.
-	watchWait = 5 * time.Second
+	// statusPollInterval is the pause between two status requests to one entry VM.
+	statusPollInterval = 10 * time.Millisecond
+	// changeTimeout is how long to wait until one change is in force everywhere. It
+	// also limits the deletion of the object at the end.
+	changeTimeout = 30 * time.Second
+	// watchPollTimeout is how long one long poll of the watch waits for events.
+	watchPollTimeout = 5 * time.Second
 )
 
-// bench is a measurement under way.
+// bench is a measurement in progress.
 type bench struct {
-	options Options
-	client  *client.Client
-	all     []*client.Client // one for each entry VM
+	options  Options
+	client   *client.Client
+	entryVMs []*client.Client // one client for each live entry VM
 
-	mu   sync.Mutex
-	seen map[int64]time.Time // when the watch showed each version
+	mu        sync.Mutex
+	watchedAt map[int64]time.Time // when the watch returned each version
 }
 
-// Run measures. The error is a *command.Error or a *client.Failure.
+// Run carries out the measurement against the system that the options name. The error
+// is a *command.Error or a *client.Failure.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	c, err := client.New(o.Client)
 	if err != nil {
 		return nil, err
 	}
-	b := &bench{options: o, client: c, seen: map[int64]time.Time{}}
+	b := &bench{options: o, client: c, watchedAt: map[int64]time.Time{}}
 	report, err := b.connect(ctx)
 	if err != nil {
 		return nil, err
@@ -57,7 +59,7 @@
 	return report, nil
 }
 
-// connect finds every entry VM that takes part.
+// connect creates a client for every live entry VM that has an operator address.
 func (b *bench) connect(ctx context.Context) (*Report, error) {
 	status, err := b.client.Status(ctx)
 	if err != nil {
@@ -70,33 +72,36 @@
 		}
 		options := b.options.Client
 		options.EntryVMs = []string{address}
-		one, err := client.New(options)
+		vm, err := client.New(options)
 		if err != nil {
 			return nil, err
 		}
-		b.all = append(b.all, one)
+		b.entryVMs = append(b.entryVMs, vm)
 	}
-	if len(b.all) == 0 {
+	if len(b.entryVMs) == 0 {
 		return nil, command.Failf(command.Refused, "look at `heatherlock status`", "no live entry VM tells its operator address")
 	}
-	return &Report{EntryVMs: len(b.all), Zones: len(status.Zones)}, nil
+	return &Report{EntryVMs: len(b.entryVMs), Zones: len(status.Zones)}, nil
 }
 
+// create writes the Service that the measurement changes, under a random name.
 func (b *bench) create(ctx context.Context) (oas.Object, error) {
 	name := oas.ObjectName("bench-operators-" + strings.ToLower(rand.Text()[:8]))
 	service := oas.Service{Kind: string(oas.KindService), Metadata: oas.Metadata{Name: name}}
 	return b.client.Put(ctx, oas.NewServiceObject(service), client.WriteOptions{})
 }
 
-// remove takes the object away again, also when the measurement failed.
+// remove deletes the object. It uses a context of its own, so that it also runs after an
+// interrupted measurement.
 func (b *bench) remove(ref check.Ref) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
 	defer cancel()
 	if o, err := b.client.Get(ctx, ref); err == nil {
 		_ = b.client.Delete(ctx, ref, check.MetadataOf(&o).Version.Or(0), client.WriteOptions{})
 	}
 }
 
+// measure sends the changes one after another and fills the times of the report.
 func (b *bench) measure(ctx context.Context, object oas.Object, report *Report) error {
 	watchCtx, stop := context.WithCancel(ctx)
 	var watching sync.WaitGroup
@@ -133,15 +138,16 @@
 	return nil
 }
 
-// waitInForce asks every entry VM until each says that it has the version.
+// waitInForce polls every entry VM until each reports a configuration version that includes
+// the change.
 func (b *bench) waitInForce(ctx context.Context, version int64) error {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	group, ctx := errgroup.WithContext(ctx)
-	for _, one := range b.all {
+	for _, vm := range b.entryVMs {
 		group.Go(func() error {
 			for {
-				status, err := one.Status(ctx)
+				status, err := vm.Status(ctx)
 				if err != nil {
 					return err
 				}
@@ -150,8 +156,8 @@
 				}
 				select {
 				case <-ctx.Done():
-					return command.Failf(command.Other, "look at `heatherlock status`", "version %d is not in force on %s after %s", version, status.AnsweredBy, patience)
-				case <-time.After(askEvery):
+					return command.Failf(command.Other, "look at `heatherlock status`", "version %d is not in force on %s after %s", version, status.AnsweredBy, changeTimeout)
+				case <-time.After(statusPollInterval):
 				}
 			}
 		})
@@ -159,33 +165,33 @@
 	return group.Wait()
 }
 
-// watch notes when each version shows up, through the entry VM that comes last
-// in the list and not the one that takes the changes.
+// watch records when the watch returns each version. It watches through the last entry VM
+// of the list rather than the one that receives the changes.
 func (b *bench) watch(ctx context.Context, since int64) {
-	through := b.all[len(b.all)-1]
+	last := b.entryVMs[len(b.entryVMs)-1]
 	for ctx.Err() == nil {
-		reply, err := through.Watch(ctx, oas.KindService, since, watchWait)
+		reply, err := last.Watch(ctx, oas.KindService, since, watchPollTimeout)
 		if err != nil {
 			continue
 		}
 		now := time.Now()
 		b.mu.Lock()
 		for _, e := range reply.Events {
-			b.seen[e.Version] = now
+			b.watchedAt[e.Version] = now
 		}
 		b.mu.Unlock()
 		since = reply.Version
 	}
 }
 
-// watched returns the time from sending to the watch for each change that it
-// showed; the report's count shows if any is missing.
+// watched returns, for each change that the watch returned, the time since it was sent. A
+// count in the report lower than the number of changes shows that some are missing.
 func (b *bench) watched(sent map[int64]time.Time) []time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var all []time.Duration
 	for version, began := range sent {
-		if at, ok := b.seen[version]; ok {
+		if at, ok := b.watchedAt[version]; ok {
 			all = append(all, at.Sub(began))
 		}
 	}
