--- a/cmd/internal/benchpath/bench_test.go
+++ b/cmd/internal/benchpath/bench_test.go
@@ -11,7 +11,7 @@
 func TestShortBench(t *testing.T) {
 	report, err := Run(t.Context(), Options{Round: 30 * time.Millisecond, Rounds: 1, Workers: 4})
 	assert.NilError(t, err)
-	for _, l := range []Loop{report.Single.Direct, report.Single.Hop, report.Many.Direct, report.Many.Hop, report.Lookups} {
+	for _, l := range []LoopResult{report.Single.Direct, report.Single.Hop, report.Many.Direct, report.Many.Hop, report.Lookups} {
 		assert.Check(t, l.Count > 0)
 		assert.Equal(t, l.Errors, int64(0))
 	}
@@ -21,14 +21,14 @@
 	assert.Check(t, bytes.Contains(text.Bytes(), []byte("look-ups")))
 }
 
-// Symptom: "memory stays flat" although uploads are kept whole. Cause: a
-// measurement that does not see what is held.
+// Guards against a heap measurement that misses memory in use. The benchmark would then report
+// that memory does not grow with the upload size although whole uploads are buffered.
 func TestHeapPeakSeesWhatIsHeld(t *testing.T) {
 	const held = 32 << 20
 	peak, err := heapPeak(func() error {
-		kept := bytes.Repeat([]byte{1}, held)
+		data := bytes.Repeat([]byte{1}, held)
 		time.Sleep(20 * time.Millisecond)
-		assert.Check(t, kept[held-1] == 1)
+		assert.Check(t, data[held-1] == 1)
 		return nil
 	})
 	assert.NilError(t, err)
--- a/cmd/internal/benchpath/client.go
+++ b/cmd/internal/benchpath/client.go
@@ -15,14 +15,15 @@
 	"heatherlock/standin/witness"
 )
 
-// maxConnections kept by a client.
+// maxConnections is the number of idle connections that a client keeps, and the upper bound of
+// [Options.Workers].
 const maxConnections = 1024
 
 func newClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxConnections, DisableCompression: true}}
 }
 
-// get sends one request and reads its whole answer.
+// get sends one request and reads the whole response. It returns an error unless the status is 200.
 func (r *rig) get(ctx context.Context, c *http.Client, url string) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -30,24 +31,24 @@
 	}
 	request.Header.Set("Heatherlock-Service", serviceName)
 	request.Header.Set(witness.HeaderRequest, "bench")
-	return finish(c.Do(request))
+	return readResponse(c.Do(request))
 }
 
-func finish(reply *http.Response, err error) error {
+func readResponse(response *http.Response, err error) error {
 	if err != nil {
 		return err
 	}
-	defer func() { _ = reply.Body.Close() }()
-	if _, err := io.Copy(io.Discard, reply.Body); err != nil {
+	defer func() { _ = response.Body.Close() }()
+	if _, err := io.Copy(io.Discard, response.Body); err != nil {
 		return err
 	}
-	if reply.StatusCode != http.StatusOK {
-		return fmt.Errorf("status %d (%s)", reply.StatusCode, reply.Header.Get("Heatherlock-Reason"))
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("status %d (%s)", response.StatusCode, response.Header.Get("Heatherlock-Reason"))
 	}
 	return nil
 }
 
-// upload sends bytes that no machine has to make: zeros.
+// upload sends size zero bytes, which take no memory and hardly any CPU time to generate.
 func (r *rig) upload(ctx context.Context, c *http.Client, url string, size int64) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPut, url, io.LimitReader(zeros{}, size))
 	if err != nil {
@@ -55,74 +56,76 @@
 	}
 	request.ContentLength = size
 	request.Header.Set("Heatherlock-Service", serviceName)
-	return finish(c.Do(request))
+	return readResponse(c.Do(request))
 }
 
 type zeros struct{}
 
-// Read gives zeros.
+// Read fills p with zeros.
 func (zeros) Read(p []byte) (int, error) {
 	clear(p)
 	return len(p), nil
 }
 
-// Loop is what a closed loop of workers measured.
-type Loop struct {
+// LoopResult is the result of a closed loop of workers.
+type LoopResult struct {
 	P50Us     int64   `json:"p50_us"`
 	P99Us     int64   `json:"p99_us"`
 	PerSecond float64 `json:"per_second"`
 	Count     int64   `json:"count"`
 	Errors    int64   `json:"errors"`
-	// CPUUs is the processor time that the whole process spent for each
-	// request: callers, entry VM and target. Unlike the rate it does not
-	// depend on what else the machine does.
+	// CPUUs is the CPU time in microseconds per successful request, spent by the whole process:
+	// callers, entry VM and target. Unlike the rate, it does not depend on other load on the
+	// machine.
 	CPUUs float64 `json:"cpu_us"`
 }
 
-// loop has workers repeat do for a time.
-func loop(ctx context.Context, workers int, d time.Duration, do func(context.Context) error) Loop {
-	limited, cancel := context.WithTimeout(ctx, d)
+// runLoop starts the given number of workers, each of which calls do in a loop for the duration d.
+func runLoop(ctx context.Context, workers int, d time.Duration, do func(context.Context) error) LoopResult {
+	loopCtx, cancel := context.WithTimeout(ctx, d)
 	defer cancel()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	var mu sync.Mutex
-	sum := hdrhistogram.New(1, 60_000_000, 3)
-	errors := int64(0)
-	begun, spent := time.Now(), processorTime()
+	merged := hdrhistogram.New(1, 60_000_000, 3)
+	failures := int64(0)
+	start, startCPU := time.Now(), cpuTime()
 	for range workers {
-		all.Go(func() {
-			h, failed := repeat(ctx, limited, do)
+		wg.Go(func() {
+			h, failed := callRepeatedly(ctx, loopCtx, do)
 			mu.Lock()
 			defer mu.Unlock()
-			sum.Merge(h)
-			errors += failed
+			merged.Merge(h)
+			failures += failed
 		})
 	}
-	all.Wait()
-	took, used := time.Since(begun), processorTime()-spent
-	return Loop{
-		P50Us: sum.ValueAtQuantile(50), P99Us: sum.ValueAtQuantile(99), Count: sum.TotalCount(), Errors: errors,
-		PerSecond: float64(sum.TotalCount()) / took.Seconds(),
-		CPUUs:     float64(used.Microseconds()) / float64(max(1, sum.TotalCount())),
+	wg.Wait()
+	elapsed, usedCPU := time.Since(start), cpuTime()-startCPU
+	return LoopResult{
+		P50Us: merged.ValueAtQuantile(50), P99Us: merged.ValueAtQuantile(99), Count: merged.TotalCount(), Errors: failures,
+		PerSecond: float64(merged.TotalCount()) / elapsed.Seconds(),
+		CPUUs:     float64(usedCPU.Microseconds()) / float64(max(1, merged.TotalCount())),
 	}
 }
 
-// repeat runs do under ctx until limited ends: the last call is not cut.
-func repeat(ctx, limited context.Context, do func(context.Context) error) (*hdrhistogram.Histogram, int64) {
+// callRepeatedly calls do with ctx until loopCtx ends. The last call runs to completion because ctx
+// has no such deadline. It returns the latencies of the successful calls and the number of failed
+// ones.
+func callRepeatedly(ctx, loopCtx context.Context, do func(context.Context) error) (*hdrhistogram.Histogram, int64) {
 	h := hdrhistogram.New(1, 60_000_000, 3)
 	failed := int64(0)
-	for limited.Err() == nil {
-		begun := time.Now()
+	for loopCtx.Err() == nil {
+		start := time.Now()
 		if err := do(ctx); err != nil {
 			failed++
 			continue
 		}
-		_ = h.RecordValue(max(1, time.Since(begun).Microseconds()))
+		_ = h.RecordValue(max(1, time.Since(start).Microseconds()))
 	}
 	return h, failed
 }
 
-// processorTime returns the processor time that this process has used.
-func processorTime() time.Duration {
+// cpuTime returns the user and system CPU time of this process, or 0 if it is unavailable.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -130,19 +133,19 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// heapPeak runs f and returns how far the heap in use rose above its start.
+// heapPeak runs f and returns the peak growth of the heap in use while f runs, in bytes.
 func heapPeak(f func() error) (bytes int64, err error) {
 	runtime.GC()
 	base := heapInUse()
 	stop := make(chan struct{})
 	peak := make(chan int64)
 	go func() {
-		most := int64(0)
+		highest := int64(0)
 		for {
-			most = max(most, heapInUse()-base)
+			highest = max(highest, heapInUse()-base)
 			select {
 			case <-stop:
-				peak <- most
+				peak <- highest
 				return
 			case <-time.After(2 * time.Millisecond):
 			}
--- a/cmd/internal/benchpath/command.go
+++ b/cmd/internal/benchpath/command.go
@@ -8,7 +8,7 @@
 	"heatherlock/cmd/internal/command"
 )
 
-// Command returns `bench path`.
+// Command returns the `bench path` command.
 func Command() command.Command {
 	return command.Command{
 		Name:    "path",
--- a/cmd/internal/benchpath/doc.go
+++ b/cmd/internal/benchpath/doc.go
@@ -1,7 +1,9 @@
-// Package benchpath measures what one entry VM costs on the path of a request:
-// latency and throughput against a direct call to the same target stand-in,
-// memory while uploads stream through, and look-ups a second over HTTP.
+// Package benchpath measures the overhead that one entry VM adds to a request:
+// latency and throughput compared with direct calls to the same simulated target,
+// memory use while uploads stream through, and lookups per second over HTTP.
+// [Run] performs the measurements, and [Command] is the `bench path` command.
 //
-// Limits: callers, entry VM and target share one process and its cores, so the
-// figures are ratios of one run, not what separate machines would give.
+// Callers, entry VM and target share one process and its cores, so results are
+// only meaningful relative to each other within one run. They do not predict the
+// figures of separate machines.
 package benchpath
--- a/cmd/internal/benchpath/rig.go
+++ b/cmd/internal/benchpath/rig.go
@@ -18,23 +18,24 @@
 	"heatherlock/standin/target"
 )
 
-// The one service of the rig.
+// Names and sizes of the deployment: one service, one target and one entry VM.
 const (
 	serviceName = "bench"
 	placeName   = "bench-a"
 	zoneName    = "bench-a"
 	regionName  = "bench"
 	vmName      = "bench-a-1"
-	// targetSlots and targetConnections leave the target out of the way.
+	// targetSlots and targetConnections are large enough that the target is never the bottleneck.
 	targetSlots       = 4096
 	targetConnections = 8192
 	readyTimeout      = 10 * time.Second
 )
 
-// rig is one entry VM, one target and the platform stand-in.
+// rig runs one entry VM, one simulated target, a bare proxy and the simulated platform in this
+// process.
 type rig struct {
 	target *target.Target
-	bare   *bareHop
+	bare   *bareProxy
 	server *http.Server
 	node   *node.Node
 	stop   context.CancelFunc
@@ -50,7 +51,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if r.bare, err = startBareHop(r.target.Address()); err != nil {
+	if r.bare, err = startBareProxy(r.target.Address()); err != nil {
 		_ = r.target.Close()
 		return nil, err
 	}
@@ -71,9 +72,9 @@
 		_ = r.server.Close()
 		return nil, errors.Wrap(err, "bench: start the entry VM")
 	}
-	var running context.Context
-	running, r.stop = context.WithCancel(context.Background())
-	go func() { r.done <- r.node.Run(running) }()
+	var runCtx context.Context
+	runCtx, r.stop = context.WithCancel(context.Background())
+	go func() { r.done <- r.node.Run(runCtx) }()
 	return r, r.waitReady(ctx)
 }
 
@@ -119,7 +120,7 @@
 	return []oas.Object{oas.NewServiceObject(service), oas.NewPlaceObject(place), oas.NewClientBlocksObject(blocks)}
 }
 
-// waitReady waits until a request goes through the entry VM.
+// waitReady waits until a request through the entry VM succeeds, for at most readyTimeout.
 func (r *rig) waitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
