--- a/cmd/internal/benchlookup/bench_test.go
+++ b/cmd/internal/benchlookup/bench_test.go
@@ -14,9 +14,9 @@
 	assert.NilError(t, o.Check())
 	report, err := Run(t.Context(), o)
 	assert.NilError(t, err)
-	for _, way := range report.Tables {
-		assert.Equal(t, way.Missed, 0, way.Way)
-		assert.Assert(t, way.LookupsPerSecond > 0 && way.MB > 0, way.Way)
+	for _, result := range report.Tables {
+		assert.Equal(t, result.Missed, 0, result.Way)
+		assert.Assert(t, result.LookupsPerSecond > 0 && result.MB > 0, result.Way)
 	}
 	assert.Equal(t, report.Node.AllocsPerLookup < 0.01, true)
 	assert.Assert(t, report.Node.OneBlock.Bytes < report.Node.AllBlocks.Bytes)
--- a/cmd/internal/benchlookup/command.go
+++ b/cmd/internal/benchlookup/command.go
@@ -9,32 +9,32 @@
 	"heatherlock/cmd/internal/command"
 )
 
-// Options say what is measured.
+// Options configures a run.
 type Options struct {
 	Blocks   int
 	Places   int
 	Zones    int
-	VMs      int // entry VMs over all zones
+	VMs      int // entry VMs in all zones together
 	Round    time.Duration
-	Clients  int // callers at once over HTTP
+	Clients  int // concurrent callers over HTTP
 	Seed     uint64
 	JSONFile string
 }
 
-// Defaults returns the size that heatherlock is built for.
+// Defaults returns the deployment size that heatherlock is designed for.
 func Defaults() Options {
 	return Options{Blocks: 680_000, Places: 120, Zones: 30, VMs: 650, Round: 3 * time.Second, Clients: 64, Seed: 1}
 }
 
-// Bounds of the options; they keep a measurement within a few minutes and half
-// of a usual machine.
+// Upper bounds of the options. They keep a run within a few minutes and within half of the
+// resources of a typical machine.
 const (
 	maxBlocks  = 5_000_000
 	maxRound   = time.Minute
 	maxClients = 1000
 )
 
-// Check returns what is wrong with the options.
+// Check returns an error for the first option that is out of bounds.
 func (o Options) Check() error {
 	switch {
 	case o.Blocks < 1000 || o.Blocks > maxBlocks:
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// Command returns `bench lookup`.
+// Command returns the `bench lookup` command.
 func Command() command.Command {
 	return command.Command{
 		Name:    "lookup",
--- a/cmd/internal/benchlookup/doc.go
+++ b/cmd/internal/benchlookup/doc.go
@@ -1,7 +1,9 @@
-// Package benchlookup measures look-ups at the size that heatherlock is built
-// for: the memory and speed of the block table against other ways to keep it,
-// whole look-ups a second, the change of one block and of the whole table while
-// look-ups go on, and look-ups over HTTP. Everything runs in this process, the
-// platform stand-in included, so that HTTP figures share the machine with
-// their own clients.
+// Package benchlookup measures lookups at the deployment size that heatherlock
+// is designed for: the memory and speed of the table of client blocks compared
+// with other data structures, complete lookups per second, changes of one block
+// and of the whole table during lookups, and lookups over HTTP. [Run] performs
+// the measurements, and [Command] is the `bench lookup` command.
+//
+// Everything runs in this process, including the simulated platform, so the HTTP
+// server shares the processors with the callers that measure it.
 package benchlookup
--- a/cmd/internal/benchlookup/http.go
+++ b/cmd/internal/benchlookup/http.go
@@ -17,23 +17,24 @@
 	"heatherlock/node/lookups"
 )
 
-// HTTPResult is look-ups over loopback HTTP, callers in the same process.
+// HTTPResult is the result of lookups over HTTP on the loopback interface, with the callers in the
+// same process as the server.
 type HTTPResult struct {
 	Clients          int     `json:"clients"`
 	LookupsPerSecond float64 `json:"lookupsPerSecond"`
 	P50Ms            float64 `json:"p50Ms"`
 	P99Ms            float64 `json:"p99Ms"`
 	Failed           int64   `json:"failed"`
-	// CPUs is the number of processors that server and callers shared.
+	// CPUs is the number of processors that the server and the callers share.
 	CPUs int `json:"cpus"`
 }
 
-// caller keeps one connection and sends one look-up after another.
+// caller sends lookups one after another over one connection.
 type caller struct {
-	conn    net.Conn
-	reader  *bufio.Reader
-	times   *hdrhistogram.Histogram
-	request []byte
+	conn      net.Conn
+	reader    *bufio.Reader
+	latencies *hdrhistogram.Histogram
+	request   []byte
 }
 
 func newCaller(address string) (*caller, error) {
@@ -42,30 +43,31 @@
 		return nil, errors.Wrap(err, "dial")
 	}
 	request := fmt.Sprintf("GET %s?service=%s HTTP/1.1\r\nHost: %s\r\n\r\n", lookups.Path, services[0], address)
-	return &caller{conn: conn, reader: bufio.NewReader(conn), times: hdrhistogram.New(1, int64(time.Minute), 3), request: []byte(request)}, nil
+	return &caller{conn: conn, reader: bufio.NewReader(conn), latencies: hdrhistogram.New(1, int64(time.Minute), 3), request: []byte(request)}, nil
 }
 
-// lookUp sends one look-up and reads its answer whole.
+// lookUp sends one lookup, reads the whole response and records the latency. It returns an error
+// unless the status is 200.
 func (c *caller) lookUp() error {
-	begun := time.Now()
+	startedAt := time.Now()
 	if _, err := c.conn.Write(c.request); err != nil {
 		return err
 	}
-	reply, err := http.ReadResponse(c.reader, nil)
+	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return err
 	}
-	_, err = io.Copy(io.Discard, reply.Body)
-	_ = reply.Body.Close()
-	if err == nil && reply.StatusCode != http.StatusOK {
-		err = errors.Errorf("status %d", reply.StatusCode)
+	_, err = io.Copy(io.Discard, response.Body)
+	_ = response.Body.Close()
+	if err == nil && response.StatusCode != http.StatusOK {
+		err = errors.Errorf("status %d", response.StatusCode)
 	}
-	_ = c.times.RecordValue(time.Since(begun).Nanoseconds())
+	_ = c.latencies.RecordValue(time.Since(startedAt).Nanoseconds())
 	return err
 }
 
-// overHTTP measures look-ups over loopback.
-func (r *rig) overHTTP(ctx context.Context, cpus int) (HTTPResult, error) {
+// measureHTTP measures lookups over HTTP on the loopback interface.
+func (r *rig) measureHTTP(ctx context.Context, cpus int) (HTTPResult, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return HTTPResult{}, errors.Wrap(err, "listen")
@@ -76,7 +78,7 @@
 	go func() { _ = server.Serve(listener) }()
 	defer func() { _ = server.Close() }()
 	var callers []*caller
-	for range r.world.options.Clients {
+	for range r.deployment.options.Clients {
 		c, err := newCaller(listener.Addr().String())
 		if err != nil {
 			return HTTPResult{}, err
@@ -84,18 +86,19 @@
 		defer func() { _ = c.conn.Close() }()
 		callers = append(callers, c)
 	}
-	out := drive(ctx, callers, r.world.options.Round)
+	out := runCallers(ctx, callers, r.deployment.options.Round)
 	out.CPUs = cpus
 	return out, nil
 }
 
-// drive lets every caller send for a round.
-func drive(ctx context.Context, callers []*caller, round time.Duration) HTTPResult {
+// runCallers lets all callers send lookups concurrently for one round. A caller stops at its first
+// error.
+func runCallers(ctx context.Context, callers []*caller, round time.Duration) HTTPResult {
 	ctx, cancel := context.WithTimeout(ctx, round)
 	defer cancel()
 	var group sync.WaitGroup
 	var failed atomic.Int64
-	begun := time.Now()
+	startedAt := time.Now()
 	for _, c := range callers {
 		group.Go(func() {
 			for ctx.Err() == nil {
@@ -107,14 +110,14 @@
 		})
 	}
 	group.Wait()
-	took := time.Since(begun)
+	elapsed := time.Since(startedAt)
 	all := hdrhistogram.New(1, int64(time.Minute), 3)
 	for _, c := range callers {
-		all.Merge(c.times)
+		all.Merge(c.latencies)
 	}
 	return HTTPResult{
 		Clients:          len(callers),
-		LookupsPerSecond: float64(all.TotalCount()) / took.Seconds(),
+		LookupsPerSecond: float64(all.TotalCount()) / elapsed.Seconds(),
 		P50Ms:            float64(all.ValueAtQuantile(50)) / 1e6,
 		P99Ms:            float64(all.ValueAtQuantile(99)) / 1e6,
 		Failed:           failed.Load(),
--- a/cmd/internal/benchlookup/node.go
+++ b/cmd/internal/benchlookup/node.go
@@ -22,136 +22,137 @@
 	"heatherlock/steering/routing"
 )
 
-// objectsOfBlocks is the number of ClientBlocks objects that the blocks are
-// declared in; one object must fit an operator's request.
-const objectsOfBlocks = 10
+// blockObjects is the number of ClientBlocks objects that the blocks are divided among, because each
+// object has to fit in one request of an operator.
+const blockObjects = 10
 
-// changeTimeout bounds the wait for a version to be in force.
+// changeTimeout limits the wait until lookups use a new configuration version.
 const changeTimeout = time.Minute
 
-// NodeResult is the whole path in one entry VM: platform, sets, compile, plan.
+// NodeResult is the result for the lookup subsystem of one entry VM: it reads objects from the
+// platform, compiles them into a table and a routing plan, and answers lookups.
 type NodeResult struct {
-	// StartMs is the time from an empty process to the first snapshot.
+	// StartMs is the time from the start without any configuration until lookups use all of it.
 	StartMs float64 `json:"startMs"`
-	// LiveMB is the memory of everything a node keeps for look-ups: stored
-	// objects, table and plan.
+	// LiveMB is the live memory of an entry VM for lookups: stored objects, table and plan.
 	LiveMB float64 `json:"liveMB"`
-	// StoredMB is the part of it that is the stored objects.
+	// StoredMB is the part of LiveMB that the stored objects take.
 	StoredMB float64 `json:"storedObjectsMB"`
-	// StartPeakMB is the most memory taken while starting, garbage included,
-	// under a bound of boundMB.
+	// StartPeakMB is the peak memory during the start, including garbage, under a memory limit
+	// of memoryLimitMB.
 	StartPeakMB      float64 `json:"startPeakMB"`
 	NsPerLookup      float64 `json:"nsPerLookup"`
 	LookupsPerSecond float64 `json:"lookupsPerSecondPerCore"`
 	AllocsPerLookup  float64 `json:"allocsPerLookup"`
-	// SmallChangeMs is the time from the platform's acceptance of a change to
-	// a Service until answers are made from it, the median of smallChanges.
-	// Compiling and planning run on one core and take nearly all of it.
+	// SmallChangeMs is the time from the update of a Service object on the platform until lookups
+	// use it, as the median of smallChanges updates. Compilation and planning run on one core and
+	// take nearly all of this time.
 	SmallChangeMs float64 `json:"smallChangeMs"`
-	// OneBlock and AllBlocks are changes while look-ups go on.
+	// OneBlock and AllBlocks are the results of changes to one block and to all blocks, made
+	// while lookups run.
 	OneBlock  ChangeResult `json:"oneBlockChanged"`
 	AllBlocks ChangeResult `json:"allBlocksChanged"`
 }
 
-// ChangeResult is one change of configuration under look-ups.
+// ChangeResult is the result of one configuration change made while lookups run.
 type ChangeResult struct {
-	// Ms is the time from the first write to the platform to the answers made
-	// from the last one.
+	// Ms is the time from the first write to the platform until lookups use the last one.
 	Ms float64 `json:"ms"`
-	// PeakMB is the most memory taken meanwhile, garbage included, in a second
-	// run of the change under a bound of boundMB. BoundedMs is the time of
-	// that run: collections cost more under the bound.
+	// PeakMB is the peak memory, including garbage, of a second run of the change under a memory
+	// limit of memoryLimitMB. BoundedMs is the duration of that run, in which garbage collection costs
+	// more because of the limit.
 	PeakMB    float64 `json:"peakMB"`
 	BoundedMs float64 `json:"boundedMs"`
-	// Bytes are the changed objects as they travel to each node.
+	// Bytes is the total size of the changed objects, which every entry VM receives.
 	Bytes int `json:"bytes"`
-	// LookupP50Us to LookupMaxUs are the times of single look-ups on one core
-	// meanwhile.
+	// LookupP50Us, LookupP999Us and LookupMaxUs are latencies of single lookups that run on one
+	// core during the change.
 	LookupP50Us  float64 `json:"lookupP50Us"`
 	LookupP999Us float64 `json:"lookupP999Us"`
 	LookupMaxUs  float64 `json:"lookupMaxUs"`
 }
 
-// rig is one entry VM's configuration and look-ups on the stand-in platform.
+// rig runs the configuration and lookup subsystems of one entry VM against the simulated platform.
 type rig struct {
-	world    *world
-	platform *standin.Store
-	api      objects.API
-	spread   *dynamic.Spread
-	lookups  *lookups.Lookups
-	version  map[string]int64           // of the ClientBlocks objects
-	shards   map[string]map[string]bool // of the ClientBlocks objects
-	stop     context.CancelFunc
-	done     chan error
+	deployment *deployment
+	platform   *standin.Store
+	api        objects.API
+	configs    *dynamic.Spread
+	lookups    *lookups.Lookups
+	version    map[string]int64           // version by name of the ClientBlocks object
+	shards     map[string]map[string]bool // set of shard names by name of the ClientBlocks object
+	stop       context.CancelFunc
+	done       chan error
 }
 
-func newRig(ctx context.Context, w *world) (*rig, error) {
+func newRig(ctx context.Context, d *deployment) (*rig, error) {
 	store := standin.NewStore(standin.Options{WritesPerSecond: 1e6, ReadsPerSecond: 1e6})
-	r := &rig{world: w, platform: store, api: store.As("operator", "operator"), version: map[string]int64{}, shards: map[string]map[string]bool{}}
-	return r, r.declare(ctx)
+	r := &rig{deployment: d, platform: store, api: store.As("operator", "operator"), version: map[string]int64{}, shards: map[string]map[string]bool{}}
+	return r, r.createDeployment(ctx)
 }
 
-// start begins the entry VM anew and waits until it answers.
+// start starts the entry VM, stopping a previous one first, and waits until lookups use the newest
+// configuration.
 func (r *rig) start(ctx context.Context) error {
 	if r.stop != nil {
 		r.close()
 	}
 	var err error
-	r.spread, err = dynamic.New(dynamic.Config{
+	r.configs, err = dynamic.New(dynamic.Config{
 		Platform: r.platform.As("vm-000", "zone-00"),
-		Members:  view{r.world.members[:1]},
+		Members:  memberView{r.deployment.members[:1]},
 		Peer:     func(string) peerpb.Peer { return nil },
 	})
 	if err != nil {
 		return err
 	}
-	r.lookups, err = lookups.New(lookups.Config{Configs: r.spread, Members: view{r.world.members}})
+	r.lookups, err = lookups.New(lookups.Config{Configs: r.configs, Members: memberView{r.deployment.members}})
 	if err != nil {
 		return err
 	}
-	running, stop := context.WithCancel(ctx)
+	runCtx, stop := context.WithCancel(ctx)
 	done := make(chan error, 2)
-	go func() { done <- r.spread.Run(running) }()
-	go func() { done <- r.lookups.Run(running) }()
+	go func() { done <- r.configs.Run(runCtx) }()
+	go func() { done <- r.lookups.Run(runCtx) }()
 	r.stop, r.done = stop, done
-	return r.await(ctx, r.newest())
+	return r.waitForVersion(ctx, r.newest())
 }
 
 func (r *rig) close() {
 	r.stop()
 	<-r.done
 	<-r.done
-	r.spread, r.lookups = nil, nil
+	r.configs, r.lookups = nil, nil
 }
 
-// declare writes the made-up deployment to the platform.
-func (r *rig) declare(ctx context.Context) error {
+// createDeployment stores the synthetic deployment on the platform.
+func (r *rig) createDeployment(ctx context.Context) error {
 	for _, service := range services {
 		value := fmt.Sprintf(`{"kind":"Service","metadata":{"name":%q},"spec":{}}`, service)
 		if _, err := r.api.Create(ctx, dynamic.KindService, string(service), json.RawMessage(value)); err != nil {
 			return err
 		}
 	}
-	for i := range r.world.options.Places {
-		if err := r.declarePlace(ctx, i); err != nil {
+	for i := range r.deployment.options.Places {
+		if err := r.createPlace(ctx, i); err != nil {
 			return err
 		}
 	}
-	for part := range objectsOfBlocks {
-		w, err := r.prepare(part, r.world.blocks)
+	for index := range blockObjects {
+		w, err := r.buildObject(index, r.deployment.blocks)
 		if err != nil {
 			return err
 		}
-		if _, err := r.store(ctx, w); err != nil {
+		if _, err := r.writeObject(ctx, w); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *rig) declarePlace(ctx context.Context, i int) error {
-	place := oas.Place{Kind: "Place", Metadata: oas.Metadata{Name: oas.ObjectName(r.world.place(i))}}
-	place.Spec.Zone, place.Spec.Region = string(r.world.zone(i)), string(r.world.region(i))
+func (r *rig) createPlace(ctx context.Context, i int) error {
+	place := oas.Place{Kind: "Place", Metadata: oas.Metadata{Name: oas.ObjectName(r.deployment.place(i))}}
+	place.Spec.Zone, place.Spec.Region = string(r.deployment.zone(i)), string(r.deployment.region(i))
 	for n, service := range services {
 		place.Spec.Targets = append(place.Spec.Targets, oas.TargetSpec{
 			Name: fmt.Sprintf("t-%03d-%d", i, n), Service: string(service), Address: fmt.Sprintf("10.200.%d.%d:80", i, n), Slots: 4,
@@ -165,17 +166,17 @@
 	return err
 }
 
-// blockWrite is a ClientBlocks object ready to be stored.
+// blockWrite is a ClientBlocks object, split into a manifest and shards for storage.
 type blockWrite struct {
 	name  string
 	split dynamic.Split
 }
 
-// prepare makes one of the ClientBlocks objects.
-func (r *rig) prepare(part int, blocks []routing.Block) (blockWrite, error) {
-	w := blockWrite{name: fmt.Sprintf("clients-%d", part)}
+// buildObject builds the ClientBlocks object with the given index from its share of the blocks.
+func (r *rig) buildObject(index int, blocks []routing.Block) (blockWrite, error) {
+	w := blockWrite{name: fmt.Sprintf("clients-%d", index)}
 	object := &oas.ClientBlocks{Kind: "ClientBlocks", Metadata: oas.Metadata{Name: oas.ObjectName(w.name)}}
-	for i := part; i < len(blocks); i += objectsOfBlocks {
+	for i := index; i < len(blocks); i += blockObjects {
 		object.Spec.Blocks = append(object.Spec.Blocks, oas.ClientBlock{Prefix: blocks[i].Prefix.String(), Place: string(blocks[i].Place)})
 	}
 	var err error
@@ -183,14 +184,14 @@
 	return w, err
 }
 
-// store writes an object as an operator's request does: fresh shards, the
-// manifest, then the removal of shards that it no longer names. It returns the
-// bytes of what changed.
-func (r *rig) store(ctx context.Context, w blockWrite) (int, error) {
+// writeObject stores an object in the order that an operator's request uses: it creates the new
+// shards, writes the manifest, and then deletes the shards that the manifest no longer names. It
+// returns the size of the new shards and the manifest in bytes.
+func (r *rig) writeObject(ctx context.Context, w blockWrite) (int, error) {
 	bytes := len(w.split.Manifest)
-	named := map[string]bool{}
+	current := map[string]bool{}
 	for _, shard := range w.split.Shards {
-		named[shard.Name] = true
+		current[shard.Name] = true
 		if r.shards[w.name][shard.Name] {
 			continue
 		}
@@ -199,21 +200,21 @@
 		}
 		bytes += len(shard.Value)
 	}
-	if err := r.storeManifest(ctx, w); err != nil {
+	if err := r.writeManifest(ctx, w); err != nil {
 		return 0, err
 	}
 	for name := range r.shards[w.name] {
-		if !named[name] {
-			if err := r.removeShard(ctx, name); err != nil {
+		if !current[name] {
+			if err := r.deleteShard(ctx, name); err != nil {
 				return 0, err
 			}
 		}
 	}
-	r.shards[w.name] = named
+	r.shards[w.name] = current
 	return bytes, nil
 }
 
-func (r *rig) storeManifest(ctx context.Context, w blockWrite) error {
+func (r *rig) writeManifest(ctx context.Context, w blockWrite) error {
 	var stored objects.Object
 	var err error
 	if version := r.version[w.name]; version == 0 {
@@ -225,7 +226,7 @@
 	return err
 }
 
-func (r *rig) removeShard(ctx context.Context, name string) error {
+func (r *rig) deleteShard(ctx context.Context, name string) error {
 	shard, err := r.api.Get(ctx, dynamic.KindShard, name)
 	if err != nil {
 		return err
@@ -234,13 +235,14 @@
 	return err
 }
 
-// await waits until answers are made from the version.
-func (r *rig) await(ctx context.Context, version int64) error {
+// waitForVersion waits until lookups use the given version or a later one, for at most
+// changeTimeout.
+func (r *rig) waitForVersion(ctx context.Context, version int64) error {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	for {
-		answer, err := r.lookups.Lookup(r.world.clients[0], services[0])
-		if err == nil && answer.Version >= version {
+		result, err := r.lookups.Lookup(r.deployment.clients[0], services[0])
+		if err == nil && result.Version >= version {
 			return nil
 		}
 		select {
@@ -260,49 +262,49 @@
 	return newest
 }
 
-// node measures the whole path in one entry VM. Times are taken in a first run
-// of each step and memory in a second, under a bound.
-func (w *world) node(ctx context.Context) (NodeResult, *rig, error) {
+// measureNode measures the lookup subsystem of one entry VM. The first run of each step measures
+// time, and a second run under a memory limit measures memory. The caller closes the returned rig.
+func (d *deployment) measureNode(ctx context.Context) (NodeResult, *rig, error) {
 	var out NodeResult
-	r, err := newRig(ctx, w)
+	r, err := newRig(ctx, d)
 	if err != nil {
 		return out, nil, err
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	if err := r.start(ctx); err != nil {
 		return out, nil, err
 	}
-	out.StartMs = milliseconds(time.Since(begun))
+	out.StartMs = milliseconds(time.Since(startedAt))
 	r.close()
 	r.stop = nil
 	base := liveBytes()
-	peak := bounded(boundMB)
+	peak := limitMemory(memoryLimitMB)
 	if err := r.start(ctx); err != nil {
 		return out, nil, err
 	}
 	out.StartPeakMB = peak()
 	out.StoredMB = megabytes(r.storedBytes())
-	// The node shares the stored values with the stand-in in this process; in
-	// a process of its own it holds them itself.
+	// In this process the node shares the stored values with the simulated platform, so they are
+	// not part of the growth. In a process of its own the node holds a copy of them.
 	out.LiveMB = megabytes(liveBytes()-base) + out.StoredMB
-	out.NsPerLookup, out.AllocsPerLookup = r.timeChoices()
+	out.NsPerLookup, out.AllocsPerLookup = r.timeFullLookups()
 	out.LookupsPerSecond = 1e9 / out.NsPerLookup
-	if out.SmallChangeMs, err = r.smallChange(ctx); err != nil {
+	if out.SmallChangeMs, err = r.measureSmallChange(ctx); err != nil {
 		return out, nil, err
 	}
-	if out.OneBlock, err = r.change(ctx, out.LiveMB, r.oneBlock); err != nil {
+	if out.OneBlock, err = r.measureChange(ctx, out.LiveMB, r.changeOneBlock); err != nil {
 		return out, nil, err
 	}
-	out.AllBlocks, err = r.change(ctx, out.LiveMB, r.allBlocks)
+	out.AllBlocks, err = r.measureChange(ctx, out.LiveMB, r.moveAllBlocks)
 	return out, r, err
 }
 
-// storedBytes sums the values that the node keeps in order to pass them on.
+// storedBytes returns the total size of the shards that the node keeps to send them to its peers.
 func (r *rig) storedBytes() uint64 {
 	var sum uint64
 	for _, shards := range r.shards {
 		for name := range shards {
-			if o, ok := r.spread.Object(dynamic.KindShard, name); ok {
+			if o, ok := r.configs.Object(dynamic.KindShard, name); ok {
 				sum += uint64(len(o.Value))
 			}
 		}
@@ -310,43 +312,44 @@
 	return sum
 }
 
-// timeChoices runs whole look-ups on one core for a round.
-func (r *rig) timeChoices() (nsEach, allocsEach float64) {
+// timeFullLookups runs complete lookups on one core for one round. It returns the time and the number
+// of allocations per lookup.
+func (r *rig) timeFullLookups() (nsEach, allocsEach float64) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	done := 0
-	begun := time.Now()
-	for time.Since(begun) < r.world.options.Round {
-		for i, client := range r.world.clients {
+	startedAt := time.Now()
+	for time.Since(startedAt) < r.deployment.options.Round {
+		for i, client := range r.deployment.clients {
 			_, _ = r.lookups.Lookup(client, services[i%len(services)])
 		}
-		done += len(r.world.clients)
+		done += len(r.deployment.clients)
 	}
-	took := time.Since(begun)
+	elapsed := time.Since(startedAt)
 	runtime.ReadMemStats(&after)
-	return float64(took.Nanoseconds()) / float64(done), float64(after.Mallocs-before.Mallocs) / float64(done)
+	return float64(elapsed.Nanoseconds()) / float64(done), float64(after.Mallocs-before.Mallocs) / float64(done)
 }
 
-// oneBlock adds a block, or takes it out again in the second run.
-func (r *rig) oneBlock(run int) ([]blockWrite, error) {
-	blocks := r.world.blocks
+// changeOneBlock adds a block in the first run and removes it in the second.
+func (r *rig) changeOneBlock(run int) ([]blockWrite, error) {
+	blocks := r.deployment.blocks
 	if run == 0 {
-		added := routing.Block{Prefix: netip.MustParsePrefix("223.255.255.0/25"), Place: r.world.place(0)}
+		added := routing.Block{Prefix: netip.MustParsePrefix("223.255.255.0/25"), Place: r.deployment.place(0)}
 		blocks = append(blocks[:len(blocks):len(blocks)], added)
 	}
-	w, err := r.prepare(len(r.world.blocks)%objectsOfBlocks, blocks)
+	w, err := r.buildObject(len(r.deployment.blocks)%blockObjects, blocks)
 	return []blockWrite{w}, err
 }
 
-// allBlocks gives every block another place.
-func (r *rig) allBlocks(run int) ([]blockWrite, error) {
-	moved := make([]routing.Block, len(r.world.blocks))
-	for i, block := range r.world.blocks {
-		moved[i] = routing.Block{Prefix: block.Prefix, Place: r.world.place((i + run) % r.world.options.Places)}
+// moveAllBlocks assigns the blocks to places anew, shifted by one place between the runs.
+func (r *rig) moveAllBlocks(run int) ([]blockWrite, error) {
+	moved := make([]routing.Block, len(r.deployment.blocks))
+	for i, block := range r.deployment.blocks {
+		moved[i] = routing.Block{Prefix: block.Prefix, Place: r.deployment.place((i + run) % r.deployment.options.Places)}
 	}
 	var writes []blockWrite
-	for part := range objectsOfBlocks {
-		w, err := r.prepare(part, moved)
+	for index := range blockObjects {
+		w, err := r.buildObject(index, moved)
 		if err != nil {
 			return nil, err
 		}
@@ -355,23 +358,24 @@
 	return writes, nil
 }
 
-func (r *rig) storeAll(ctx context.Context, writes []blockWrite) (int, error) {
+func (r *rig) writeAll(ctx context.Context, writes []blockWrite) (int, error) {
 	total := 0
 	for _, w := range writes {
-		bytes, err := r.store(ctx, w)
+		bytes, err := r.writeObject(ctx, w)
 		if err != nil {
 			return 0, err
 		}
 		total += bytes
 	}
-	return total, r.await(ctx, r.newest())
+	return total, r.waitForVersion(ctx, r.newest())
 }
 
-// smallChanges is the number of changes that the median is taken of.
+// smallChanges is the number of changes that [NodeResult.SmallChangeMs] is the median of.
 const smallChanges = 11
 
-// smallChange changes a Service again and again.
-func (r *rig) smallChange(ctx context.Context) (float64, error) {
+// measureSmallChange updates a Service object smallChanges times and returns the median time in
+// milliseconds until lookups use the update.
+func (r *rig) measureSmallChange(ctx context.Context) (float64, error) {
 	var times []float64
 	for i := range smallChanges {
 		stored, err := r.api.Get(ctx, dynamic.KindService, string(services[0]))
@@ -379,60 +383,61 @@
 			return 0, err
 		}
 		value := fmt.Sprintf(`{"kind":"Service","metadata":{"name":%q},"spec":{"timeoutMs":%d}}`, services[0], 1000+i)
-		begun := time.Now()
+		startedAt := time.Now()
 		stored, err = r.api.Update(ctx, stored.Kind, stored.Name, stored.Version, json.RawMessage(value))
 		if err == nil {
-			err = r.await(ctx, stored.Version)
+			err = r.waitForVersion(ctx, stored.Version)
 		}
 		if err != nil {
 			return 0, err
 		}
-		times = append(times, milliseconds(time.Since(begun)))
+		times = append(times, milliseconds(time.Since(startedAt)))
 	}
 	slices.Sort(times)
 	return times[len(times)/2], nil
 }
 
-// change makes a change twice: once timed while look-ups go on, once for its
-// memory. kept is what the node holds between changes, in megabytes.
-func (r *rig) change(ctx context.Context, kept float64, prepare func(run int) ([]blockWrite, error)) (ChangeResult, error) {
+// measureChange makes a change twice: first during lookups to measure time, then under a memory
+// limit to measure memory. liveMB is the memory that the node holds between changes in megabytes.
+func (r *rig) measureChange(ctx context.Context, liveMB float64, prepare func(run int) ([]blockWrite, error)) (ChangeResult, error) {
 	var out ChangeResult
 	writes, err := prepare(0)
 	if err != nil {
 		return out, err
 	}
-	times := r.lookUpMeanwhile()
-	begun := time.Now()
-	if out.Bytes, err = r.storeAll(ctx, writes); err != nil {
+	stopLookups := r.lookUpInBackground()
+	startedAt := time.Now()
+	if out.Bytes, err = r.writeAll(ctx, writes); err != nil {
 		return out, err
 	}
-	out.Ms = milliseconds(time.Since(begun))
-	h := times()
+	out.Ms = milliseconds(time.Since(startedAt))
+	h := stopLookups()
 	out.LookupP50Us = float64(h.ValueAtQuantile(50)) / 1e3
 	out.LookupP999Us = float64(h.ValueAtQuantile(99.9)) / 1e3
 	out.LookupMaxUs = float64(h.Max()) / 1e3
 	if writes, err = prepare(1); err != nil {
 		return out, err
 	}
-	peak := bounded(boundMB - kept)
-	begun = time.Now()
-	_, err = r.storeAll(ctx, writes)
-	out.BoundedMs = milliseconds(time.Since(begun))
-	out.PeakMB = kept + peak()
+	peak := limitMemory(memoryLimitMB - liveMB)
+	startedAt = time.Now()
+	_, err = r.writeAll(ctx, writes)
+	out.BoundedMs = milliseconds(time.Since(startedAt))
+	out.PeakMB = liveMB + peak()
 	return out, err
 }
 
-// lookUpMeanwhile times single look-ups until the function it returns is called.
-func (r *rig) lookUpMeanwhile() func() *hdrhistogram.Histogram {
+// lookUpInBackground measures single lookups in the background until the returned function is called,
+// which returns their latencies in nanoseconds.
+func (r *rig) lookUpInBackground() func() *hdrhistogram.Histogram {
 	h := hdrhistogram.New(1, int64(time.Minute), 3)
 	var stop atomic.Bool
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for i := 0; !stop.Load(); i++ {
-			begun := time.Now()
-			_, _ = r.lookups.Lookup(r.world.clients[i%len(r.world.clients)], services[i%len(services)])
-			_ = h.RecordValue(time.Since(begun).Nanoseconds())
+			startedAt := time.Now()
+			_, _ = r.lookups.Lookup(r.deployment.clients[i%len(r.deployment.clients)], services[i%len(services)])
+			_ = h.RecordValue(time.Since(startedAt).Nanoseconds())
 		}
 	}()
 	return func() *hdrhistogram.Histogram {
--- a/cmd/internal/benchlookup/report.go
+++ b/cmd/internal/benchlookup/report.go
@@ -12,7 +12,7 @@
 	"heatherlock/cmd/internal/command"
 )
 
-// Report is the outcome of a run.
+// Report is the result of a run.
 type Report struct {
 	Blocks int           `json:"blocks"`
 	Places int           `json:"places"`
@@ -25,41 +25,41 @@
 	HTTP   HTTPResult    `json:"http"`
 }
 
-// Run measures everything, one after the other.
+// Run performs all measurements one after another.
 func Run(ctx context.Context, o Options) (*Report, error) {
-	w := newWorld(o)
+	d := newDeployment(o)
 	report := &Report{Blocks: o.Blocks, Places: o.Places, Zones: o.Zones, VMs: o.VMs, Seed: o.Seed, Go: runtime.Version()}
-	report.Tables = w.tables()
+	report.Tables = d.tables()
 	var r *rig
 	var err error
-	if report.Node, r, err = w.node(ctx); err != nil {
+	if report.Node, r, err = d.measureNode(ctx); err != nil {
 		return nil, errors.Wrap(err, "measure the node")
 	}
 	defer r.close()
-	if report.HTTP, err = r.overHTTP(ctx, runtime.GOMAXPROCS(0)); err != nil {
+	if report.HTTP, err = r.measureHTTP(ctx, runtime.GOMAXPROCS(0)); err != nil {
 		return nil, errors.Wrap(err, "measure look-ups over HTTP")
 	}
 	return report, nil
 }
 
-// WriteJSON writes the report as one object.
+// WriteJSON writes the report to file as one JSON object.
 func (r *Report) WriteJSON(file string) error {
 	return command.WriteReport(file, r)
 }
 
-// WriteText writes the report for reading.
+// WriteText writes the report as text tables.
 func (r *Report) WriteText(out io.Writer) {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "%d blocks, %d places, %d zones, %d entry VMs, seed %d\n\n", r.Blocks, r.Places, r.Zones, r.VMs, r.Seed)
 	fmt.Fprintln(t, "TABLE\tBUILD ms\tMB\tns/LOOK-UP\tLOOK-UPS/s/CORE")
-	for _, way := range r.Tables {
-		fmt.Fprintf(t, "%s\t%.0f\t%.1f\t%.0f\t%.0f\n", way.Way, way.BuildMs, way.MB, way.NsPerLookup, way.LookupsPerSecond)
+	for _, result := range r.Tables {
+		fmt.Fprintf(t, "%s\t%.0f\t%.1f\t%.0f\t%.0f\n", result.Way, result.BuildMs, result.MB, result.NsPerLookup, result.LookupsPerSecond)
 	}
 	n := r.Node
 	fmt.Fprintln(t, "\nONE ENTRY VM\t")
 	fmt.Fprintf(t, "whole look-up\t%.0f ns, %.0f a second a core, %.3f allocations\n", n.NsPerLookup, n.LookupsPerSecond, n.AllocsPerLookup)
 	fmt.Fprintf(t, "memory kept\t%.1f MB, of it stored objects %.1f MB\n", n.LiveMB, n.StoredMB)
-	fmt.Fprintf(t, "start\t%.0f ms, under a bound of %d MB up to %.0f MB\n", n.StartMs, boundMB, n.StartPeakMB)
+	fmt.Fprintf(t, "start\t%.0f ms, under a bound of %d MB up to %.0f MB\n", n.StartMs, memoryLimitMB, n.StartPeakMB)
 	fmt.Fprintf(t, "small change\tin force after %.1f ms\n", n.SmallChangeMs)
 	writeChange(t, "one block changed", n.OneBlock)
 	writeChange(t, "all blocks changed", n.AllBlocks)
--- a/cmd/internal/benchlookup/tables.go
+++ b/cmd/internal/benchlookup/tables.go
@@ -12,7 +12,7 @@
 	"heatherlock/steering/routing"
 )
 
-// TableResult is one way to keep the blocks.
+// TableResult is the result for one data structure that stores the client blocks.
 type TableResult struct {
 	Way              string  `json:"way"`
 	BuildMs          float64 `json:"buildMs"`
@@ -22,43 +22,44 @@
 	Missed           int     `json:"missed"`
 }
 
-// finder is what the ways have in common.
-type finder func(netip.Addr) bool
+// lookupFunc reports whether a block contains the address.
+type lookupFunc func(netip.Addr) bool
 
-// tables measures the table in use against other ways to keep the blocks.
-func (w *world) tables() []TableResult {
+// tables measures the table that heatherlock uses and alternative data structures.
+func (d *deployment) tables() []TableResult {
 	return []TableResult{
-		w.table("in use: ranges, and the bart.Table they come from", func() finder {
-			table, _ := lookup.NewTable(slices.Values(w.blocks))
+		d.table("in use: ranges, and the bart.Table they come from", func() lookupFunc {
+			table, _ := lookup.NewTable(slices.Values(d.blocks))
 			return func(a netip.Addr) bool { _, ok := table.Lookup(a); return ok }
 		}),
-		w.table("bart.Table, place numbers of two bytes", func() finder {
+		d.table("bart.Table, place numbers of two bytes", func() lookupFunc {
 			table := new(bart.Table[uint16])
-			for i, block := range w.blocks {
-				table.Insert(block.Prefix, uint16(i%w.options.Places))
+			for i, block := range d.blocks {
+				table.Insert(block.Prefix, uint16(i%d.options.Places))
 			}
 			return func(a netip.Addr) bool { _, ok := table.Lookup(a); return ok }
 		}),
-		w.table("bart.Fast, place numbers of two bytes", func() finder {
+		d.table("bart.Fast, place numbers of two bytes", func() lookupFunc {
 			table := new(bart.Fast[uint16])
-			for i, block := range w.blocks {
-				table.Insert(block.Prefix, uint16(i%w.options.Places))
+			for i, block := range d.blocks {
+				table.Insert(block.Prefix, uint16(i%d.options.Places))
 			}
 			return func(a netip.Addr) bool { _, ok := table.Lookup(a); return ok }
 		}),
-		w.table("bart.Table, place names", func() finder {
+		d.table("bart.Table, place names", func() lookupFunc {
 			table := new(bart.Table[string])
-			for _, block := range w.blocks {
+			for _, block := range d.blocks {
 				table.Insert(block.Prefix, string(block.Place))
 			}
 			return func(a netip.Addr) bool { _, ok := table.Lookup(a); return ok }
 		}),
-		w.table("Go map per prefix, longest first", func() finder { return mapTable(w.blocks) }),
+		d.table("Go map per prefix, longest first", func() lookupFunc { return mapTable(d.blocks) }),
 	}
 }
 
-// mapTable asks a map for every prefix length in use, longest first.
-func mapTable(blocks []routing.Block) finder {
+// mapTable returns a lookup function that probes a map once for each prefix length in use, longest
+// first.
+func mapTable(blocks []routing.Block) lookupFunc {
 	byPrefix := make(map[netip.Prefix]uint16, len(blocks))
 	lengths := map[bool][]int{}
 	for _, block := range blocks {
@@ -83,34 +84,35 @@
 	}
 }
 
-func (w *world) table(way string, build func() finder) TableResult {
+func (d *deployment) table(label string, build func() lookupFunc) TableResult {
 	before := liveBytes()
-	begun := time.Now()
-	find := build()
-	r := TableResult{Way: way, BuildMs: milliseconds(time.Since(begun))}
+	startedAt := time.Now()
+	lookUp := build()
+	r := TableResult{Way: label, BuildMs: milliseconds(time.Since(startedAt))}
 	r.MB = megabytes(liveBytes() - before)
-	r.NsPerLookup, r.Missed = w.timeLookups(find)
+	r.NsPerLookup, r.Missed = d.timeLookups(lookUp)
 	r.LookupsPerSecond = 1e9 / r.NsPerLookup
-	runtime.KeepAlive(find)
+	runtime.KeepAlive(lookUp)
 	return r
 }
 
-// timeLookups runs look-ups of the drawn clients on one core for a round.
-func (w *world) timeLookups(find finder) (nsEach float64, missed int) {
+// timeLookups looks up the sampled clients again and again on one core for one round. It returns the
+// time per lookup and the number of lookups that found no block.
+func (d *deployment) timeLookups(lookUp lookupFunc) (nsEach float64, missed int) {
 	done := 0
-	begun := time.Now()
-	for time.Since(begun) < w.options.Round {
-		for _, client := range w.clients {
-			if !find(client) {
+	startedAt := time.Now()
+	for time.Since(startedAt) < d.options.Round {
+		for _, client := range d.clients {
+			if !lookUp(client) {
 				missed++
 			}
 		}
-		done += len(w.clients)
+		done += len(d.clients)
 	}
-	return float64(time.Since(begun).Nanoseconds()) / float64(done), missed
+	return float64(time.Since(startedAt).Nanoseconds()) / float64(done), missed
 }
 
-// liveBytes returns the heap in use after a collection.
+// liveBytes returns the size of the heap in bytes after two garbage collections.
 func liveBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
