--- a/cmd/internal/benchcapacity/capacity_test.go
+++ b/cmd/internal/benchcapacity/capacity_test.go
@@ -17,7 +17,7 @@
 	for _, n := range []int{50, 100, 200} {
 		rows = append(rows, Row{Size: Size{Nodes: n, Fitted: true}, BytesPerSecond: 1000 + 2*float64(n)})
 	}
-	line := fit(figures[0], rows)
+	line := fit(metrics[0], rows)
 	assert.Assert(t, line.Slope > 1.999 && line.Slope < 2.001, "%v", line)
 	assert.Assert(t, line.At > 2299 && line.At < 2301, "%v", line)
 	assert.Assert(t, line.Residual < 1e-6)
--- a/cmd/internal/benchcapacity/measure_internal_test.go
+++ b/cmd/internal/benchcapacity/measure_internal_test.go
@@ -7,12 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Symptom: the capacity bench fails for ten hours of each day ("invalid character
-// '0' after object key:value pair").
-// Sequence: a change of configuration sets a timeout; the bench reads the time of
-// day as hours, minutes and seconds, and writes the digits into the JSON.
-// Cause: before ten o'clock the digits begin with a zero, which no JSON number may.
-// What a change sets now depends on its number alone.
+// Guards against changes with invalid JSON ("invalid character '0' after object key:value pair").
+// The timeout used to be the digits of the time of day, which begin with a zero before ten o'clock,
+// and a JSON number must not. It now depends only on the number of the change.
 func TestEachChangeIsValidAndDiffersWhateverTheTime(t *testing.T) {
 	seen := map[string]bool{}
 	for number := range 100 {
--- a/cmd/internal/benchcapacity/options.go
+++ b/cmd/internal/benchcapacity/options.go
@@ -12,33 +12,35 @@
 	"heatherlock/cmd/internal/command"
 )
 
-// Size is one fleet to measure.
+// Size is the size of one fleet to measure.
 type Size struct {
 	Nodes int `json:"nodes"`
 	Zones int `json:"zones"`
-	// Fitted says whether the lines go through it.
+	// Fitted reports whether the lines are fitted to the values of this size.
 	Fitted bool `json:"fitted"`
 }
 
-// Options says what to measure.
+// Options configures a run.
 type Options struct {
 	Sizes []Size
-	// Warm, Steady, Outage and After are the lengths of the phases.
+	// Warm, Steady, Outage and After are the durations of the warm-up, the steady state, the
+	// platform outage and the time after the outage.
 	Warm, Steady, Outage, After time.Duration
-	Changes                     int  // changes of configuration per size
-	Plain                       bool // leave out TLS between members
+	Changes                     int  // configuration changes per size
+	Plain                       bool // plain TCP instead of TLS between members
 	JSONFile                    string
 	SVGFile                     string
 }
 
-// The size that the system is designed for.
+// Fleet size that the system is designed for.
 const (
 	designNodes = 650
 	designZones = 30
 )
 
-// Defaults measures today's shape and four sizes with as many entry VMs per
-// zone as the design size has, so that only the number of zones grows.
+// Defaults returns options that measure the size of the current deployment, which is not fitted, and
+// four sizes with 22 entry VMs per zone. The design size has about as many per zone, so that only
+// the number of zones grows.
 func Defaults() Options {
 	return Options{
 		Sizes: []Size{
@@ -51,7 +53,7 @@
 	}
 }
 
-// Command returns `bench capacity`.
+// Command returns the `bench capacity` command.
 func Command() command.Command {
 	return command.Command{
 		Name:    "capacity",
@@ -81,7 +83,7 @@
 	}
 }
 
-// maxNodes keeps a fleet within one process's files and memory.
+// maxNodes keeps a fleet within the open files and the memory of one process.
 const maxNodes = 400
 
 func parseSizes(text string) ([]Size, error) {
--- a/cmd/internal/benchcapacity/plot.go
+++ b/cmd/internal/benchcapacity/plot.go
@@ -16,15 +16,16 @@
 	plotHeight = 4.5 * vg.Inch
 )
 
-// shades tell the series apart.
-var shades = []color.RGBA{{R: 0x1f, G: 0x77, B: 0xb4, A: 255}, {R: 0xd6, G: 0x27, B: 0x28, A: 255}, {R: 0x2c, G: 0xa0, B: 0x2c, A: 255},
+// seriesColors are the colors of the series.
+var seriesColors = []color.RGBA{{R: 0x1f, G: 0x77, B: 0xb4, A: 255}, {R: 0xd6, G: 0x27, B: 0x28, A: 255}, {R: 0x2c, G: 0xa0, B: 0x2c, A: 255},
 	{R: 0x94, G: 0x67, B: 0xbd, A: 255}}
 
-// plotted are the figures with limits of control, by their place in figures.
-var plotted = []int{0, 2, 3, 4}
+// plottedMetrics are the indexes in metrics of the metrics to plot. These have limits that apply to
+// one entry VM or to a configuration change, not to the platform.
+var plottedMetrics = []int{0, 2, 3, 4}
 
-// writeSVG plots each figure as a share of its limit, with its line out to the
-// design size.
+// writeSVG plots each metric as a percentage of its limit, with its fitted line extended to the
+// design size. It does nothing if file is empty.
 func writeSVG(file string, r Report) error {
 	if file == "" {
 		return nil
@@ -35,8 +36,8 @@
 	p.Y.Label.Text = "% of the limit"
 	p.X.Min, p.X.Max, p.Y.Min = 0, designNodes, 0
 	p.Legend.Top, p.Legend.Left = true, true
-	for i, index := range plotted {
-		if err := addSeries(p, figures[index], r.Fits[index], r.Rows, shades[i]); err != nil {
+	for i, index := range plottedMetrics {
+		if err := addSeries(p, metrics[index], r.Fits[index], r.Rows, seriesColors[i]); err != nil {
 			return errors.Wrap(err, "benchcapacity: plot")
 		}
 	}
@@ -46,11 +47,11 @@
 	return nil
 }
 
-func addSeries(p *plot.Plot, f figure, line Fit, rows []Row, shade color.Color) error {
+func addSeries(p *plot.Plot, f metric, line Fit, rows []Row, seriesColor color.Color) error {
 	share := func(v float64) float64 { return 100 * v / f.limit }
 	var points plotter.XYs
 	for _, row := range rows {
-		points = append(points, plotter.XY{X: float64(row.Nodes), Y: share(f.of(row))})
+		points = append(points, plotter.XY{X: float64(row.Nodes), Y: share(f.value(row))})
 	}
 	scatter, err := plotter.NewScatter(points)
 	if err != nil {
@@ -60,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	scatter.Color, fitted.Color = shade, shade
+	scatter.Color, fitted.Color = seriesColor, seriesColor
 	p.Add(scatter, fitted)
 	p.Legend.Add(fmt.Sprintf("%s: %.3g of %.3g", f.name, line.At, f.limit), scatter)
 	p.Y.Max = math.Max(p.Y.Max, share(line.At))
--- a/cmd/internal/benchcapacity/report.go
+++ b/cmd/internal/benchcapacity/report.go
@@ -13,18 +13,18 @@
 	"heatherlock/cmd/internal/command"
 )
 
-// Fit is a line through one figure over fleet sizes.
+// Fit is a line fitted to one metric over the fleet sizes.
 type Fit struct {
 	Figure    string  `json:"figure"`
 	Slope     float64 `json:"slopePerNode"`
 	Intercept float64 `json:"intercept"`
-	// Residual is the standard deviation of the points from the line.
+	// Residual is the root mean square deviation of the points from the line.
 	Residual float64 `json:"residual"`
 	At       float64 `json:"atDesignSize"`
 	Limit    float64 `json:"limit"`
 }
 
-// Report is the whole measurement.
+// Report is the result of a run.
 type Report struct {
 	Rows  []Row `json:"rows"`
 	Fits  []Fit `json:"fits"`
@@ -32,14 +32,16 @@
 	Zones int   `json:"designZones"`
 }
 
-// figure reads one fitted figure from a row.
-type figure struct {
+// metric is a value measured for each fleet size, with its limit and the function that reads it from
+// a row.
+type metric struct {
 	name  string
 	limit float64
-	of    func(Row) float64
+	value    func(Row) float64
 }
 
-// Limits of control at the design size.
+// Limits of the control plane at the design size: bytes per second, percent of a core and bytes of
+// memory per entry VM, seconds until a change is in force, and platform calls per second.
 const (
 	limitBytes    = 5000
 	limitCPU      = 2.3
@@ -48,7 +50,7 @@
 	limitPlatform = 2000
 )
 
-var figures = []figure{
+var metrics = []metric{
 	{"bytes/s per node", limitBytes, func(r Row) float64 { return r.BytesPerSecond }},
 	{"calls/s per node", math.Inf(1), func(r Row) float64 { return r.CallsPerSecond }},
 	{"CPU % of a core per node", limitCPU, func(r Row) float64 { return r.CPUPercent }},
@@ -60,12 +62,13 @@
 	{"platform peak calls/s after an outage, fleet", limitPlatform, func(r Row) float64 { return float64(r.PlatformPeak.After) }},
 }
 
-// fit draws the line of a figure through the fitted rows.
-func fit(f figure, rows []Row) Fit {
+// fit fits a line to the values of a metric in the rows whose size is marked as fitted. It needs at
+// least two of them and returns a line of zeros otherwise.
+func fit(f metric, rows []Row) Fit {
 	var x, y []float64
 	for _, r := range rows {
 		if r.Fitted {
-			x, y = append(x, float64(r.Nodes)), append(y, f.of(r))
+			x, y = append(x, float64(r.Nodes)), append(y, f.value(r))
 		}
 	}
 	result := Fit{Figure: f.name, Limit: f.limit}
@@ -83,7 +86,7 @@
 	return result
 }
 
-// Run measures every size, prints the report and writes the files asked for.
+// Run measures every size, writes the report to w and writes the files that o names.
 func Run(w io.Writer, o Options) error { return run(context.Background(), w, o) }
 
 func run(ctx context.Context, w io.Writer, o Options) error {
@@ -95,7 +98,7 @@
 		}
 		report.Rows = append(report.Rows, row)
 	}
-	for _, f := range figures {
+	for _, f := range metrics {
 		report.Fits = append(report.Fits, fit(f, report.Rows))
 	}
 	report.WriteText(w)
@@ -105,7 +108,7 @@
 	return writeSVG(o.SVGFile, report)
 }
 
-// WriteText writes the report as tables.
+// WriteText writes the report as text tables.
 func (r Report) WriteText(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "nodes\tzones\tB/s\tcalls/s\tCPU %\tKB\tsee all\tchange s\tchange B\tplatform/s\tpeak start\tsteady\toutage\tafter\t")
--- a/cmd/internal/benchcapacity/rig.go
+++ b/cmd/internal/benchcapacity/rig.go
@@ -25,23 +25,23 @@
 	"heatherlock/steering"
 )
 
-// rig is a fleet of members in this process.
+// rig is a fleet of entry VMs in this process with their simulated platform.
 type rig struct {
-	// authority signs the members' certificates; nil means plain TCP.
+	// authority signs the certificates of the members. Members use plain TCP if it is nil.
 	authority *tlsconf.Authority
 	store     *standin.Store
 	vms       []*vm
-	bytes     atomic.Int64 // in and out, counted where they are served
+	bytes     atomic.Int64 // received and sent, counted at the server side of connections
 	calls     atomic.Int64
-	// payload counts the messages' own bytes per method.
-	payload [methods]atomic.Int64
+	// payload counts the bytes of encoded messages by method.
+	payload [methodCount]atomic.Int64
 	cancel  context.CancelFunc
 	wg      sync.WaitGroup
 }
 
-// vm is one entry VM's membership and configuration.
+// vm runs the membership and configuration subsystems of one entry VM.
 type vm struct {
-	peerpb.Peer // answers the calls that are not measured here
+	peerpb.Peer // provides the methods that are not overridden here; nil, so calling them panics
 	rig         *rig
 	members     *member.Members
 	configs     *dynamic.Spread
@@ -49,18 +49,19 @@
 	clients     *peer.Clients
 }
 
-// Sites and services of the configuration that is spread.
+// Numbers of sites, services and targets in the configuration that the fleet distributes.
 const (
 	sites          = 120
 	services       = 4
 	targetsPerSite = 4
 )
 
-// certificateLife outlasts a run.
-const certificateLife = 24 * time.Hour
+// certificateLifetime is longer than any run.
+const certificateLifetime = 24 * time.Hour
 
-// secure returns the TLS configurations of one member's client and server.
-func (r *rig) secure(name string) (client, server *tls.Config, err error) {
+// tlsConfigs returns the TLS configurations of the client and server of one member, or nil for plain
+// TCP.
+func (r *rig) tlsConfigs(name string) (client, server *tls.Config, err error) {
 	if r.authority == nil {
 		return nil, nil, nil
 	}
@@ -75,7 +76,7 @@
 	return source.Client(), source.Server(), nil
 }
 
-// serve answers peers until the server is closed.
+// serve serves peer requests until the server is closed.
 func (v *vm) serve(listener net.Listener) {
 	if v.server.TLSConfig != nil {
 		_ = v.server.ServeTLS(listener, "", "")
@@ -84,19 +85,20 @@
 	_ = v.server.Serve(listener)
 }
 
-// startGap spreads the starts of the members.
-const startGap = 5 * time.Millisecond
+// startInterval is the delay between the starts of two members, so that they do not all start at
+// once.
+const startInterval = 5 * time.Millisecond
 
 func newRig(ctx context.Context, size Size, plain bool) (*rig, error) {
 	r := &rig{store: standin.NewStore(standin.Options{})}
 	ctx, r.cancel = context.WithCancel(ctx)
 	if !plain {
 		var err error
-		if r.authority, err = tlsconf.NewAuthority(certificateLife); err != nil {
+		if r.authority, err = tlsconf.NewAuthority(certificateLifetime); err != nil {
 			return r, err
 		}
 	}
-	if err := r.declare(ctx, size.Zones); err != nil {
+	if err := r.createConfiguration(ctx, size.Zones); err != nil {
 		return r, err
 	}
 	seeds := map[int]string{}
@@ -109,13 +111,14 @@
 		if seeds[zone] == "" {
 			seeds[zone] = address
 		}
-		time.Sleep(startGap)
+		time.Sleep(startInterval)
 	}
 	return r, nil
 }
 
-// declare stores the configuration of a deployment with the design's sites.
-func (r *rig) declare(ctx context.Context, zones int) error {
+// createConfiguration stores the configuration of a deployment with as many sites as the design
+// size has.
+func (r *rig) createConfiguration(ctx context.Context, zones int) error {
 	api := r.store.As("operator", "elsewhere")
 	for s := range services {
 		if err := create(ctx, api, "Service", fmt.Sprint("service-", s), `{"hosts":["s%d.example"],"timeoutMs":2000}`, s); err != nil {
@@ -127,7 +130,7 @@
 		for t := range targets {
 			targets[t] = fmt.Sprintf(`{"name":"t-%d-%d","service":"service-%d","address":"10.%d.%d.1:80","slots":4}`, p, t, t%services, p, t)
 		}
-		list, _ := json.Marshal(rawList(targets))
+		list, _ := json.Marshal(rawMessages(targets))
 		if err := create(ctx, api, "Place", fmt.Sprint("place-", p), `{"region":"region-0","zone":"zone-%d","targets":%s}`, p%zones, list); err != nil {
 			return err
 		}
@@ -135,7 +138,7 @@
 	return nil
 }
 
-func rawList(texts []string) []json.RawMessage {
+func rawMessages(texts []string) []json.RawMessage {
 	list := make([]json.RawMessage, len(texts))
 	for i, text := range texts {
 		list[i] = json.RawMessage(text)
@@ -143,14 +146,15 @@
 	return list
 }
 
-// create retries while the stand-in's write rate holds it back.
+// create stores one object whose spec is formatted from format and values.
 func create(ctx context.Context, api objects.API, kind, name, format string, values ...any) error {
 	value := fmt.Sprintf(`{"kind":%q,"metadata":{"name":%q},"spec":%s}`, kind, name, fmt.Sprintf(format, values...))
 	_, err := api.Create(ctx, kind, name, json.RawMessage(value))
 	return err
 }
 
-// start starts one entry VM and returns its peer address.
+// start starts the entry VM with index i and returns its peer address. The VM joins through seed,
+// unless seed is empty.
 func (r *rig) start(ctx context.Context, i, zone int, seed string) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -162,7 +166,7 @@
 	if seed != "" {
 		seeds = []string{seed}
 	}
-	clientTLS, serverTLS, err := r.secure(name)
+	clientTLS, serverTLS, err := r.tlsConfigs(name)
 	if err != nil {
 		return "", errors.Wrap(err, "benchcapacity")
 	}
@@ -176,7 +180,7 @@
 		Hooks: member.Hooks{
 			ConfigVersion:   func() int64 { return v.configs.Version() },
 			OnConfigVersion: func(address string, version int64) { v.configs.OnConfigVersion(address, version) },
-			Pools:           func() []*peerpb.PoolFact { return pools(i) },
+			Pools:           func() []*peerpb.PoolFact { return poolFacts(i) },
 		},
 	})
 	v.configs, err = dynamic.New(dynamic.Config{Platform: api, Members: v.members, Peer: v.clients.To, Seeds: seeds})
@@ -185,16 +189,17 @@
 	}
 	r.store.SetVM(objects.VM{Name: name, Zone: zoneName, Region: fmt.Sprint("region-", zone/4), PeerAddress: address,
 		CallerAddress: address, OperatorAddress: address, State: objects.VMLive})
-	v.server = &http.Server{Handler: r.counted(peerpb.NewPeerServer(v)), Protocols: peer.ServerProtocols(), TLSConfig: serverTLS}
+	v.server = &http.Server{Handler: r.countCalls(peerpb.NewPeerServer(v)), Protocols: peer.ServerProtocols(), TLSConfig: serverTLS}
 	r.vms = append(r.vms, v)
-	r.wg.Go(func() { v.serve(countedListener{Listener: listener, bytes: &r.bytes}) })
+	r.wg.Go(func() { v.serve(countingListener{Listener: listener, bytes: &r.bytes}) })
 	r.wg.Go(func() { _ = v.members.Run(ctx) })
 	r.wg.Go(func() { _ = v.configs.Run(ctx) })
 	return address, nil
 }
 
-// pools is the headroom of the pools that an entry VM owns: one in a few.
-func pools(i int) []*peerpb.PoolFact {
+// poolFacts returns the free capacity of the pools that the entry VM with index i owns. Every second
+// VM owns one pool and the others own none.
+func poolFacts(i int) []*peerpb.PoolFact {
 	const ownersPerPool = 2
 	if i%ownersPerPool != 0 {
 		return nil
@@ -202,16 +207,16 @@
 	return []*peerpb.PoolFact{{Place: fmt.Sprint("place-", i%sites), Service: fmt.Sprint("service-", i%services), Free: 3, Slots: 12, InFlight: 9}}
 }
 
-// Methods whose payload is counted apart.
+// Methods whose payload is counted separately.
 const (
-	beatMethod = iota
-	syncMethod // a beat that asks for whole facts
+	heartbeatMethod = iota
+	syncMethod // a heartbeat with digests, which requests the facts of each bucket that differs
 	fetchMethod
 	announceMethod
-	methods
+	methodCount
 )
 
-var methodNames = [methods]string{"beat", "sync", "fetch", "announce"}
+var methodNames = [methodCount]string{"beat", "sync", "fetch", "announce"}
 
 func (r *rig) count(method int, messages ...proto.Message) {
 	for _, m := range messages {
@@ -222,7 +227,7 @@
 // Beat implements peerpb.Peer.
 func (v *vm) Beat(ctx context.Context, in *peerpb.BeatRequest) (*peerpb.BeatReply, error) {
 	out, err := v.members.Beat(ctx, in)
-	method := beatMethod
+	method := heartbeatMethod
 	if len(in.Buckets) > 0 {
 		method = syncMethod
 	}
@@ -244,7 +249,7 @@
 	return out, err
 }
 
-// stop ends every member.
+// stop stops all members and waits until they have ended.
 func (r *rig) stop() {
 	r.cancel()
 	for _, v := range r.vms {
@@ -254,42 +259,42 @@
 	r.wg.Wait()
 }
 
-func (r *rig) counted(next http.Handler) http.Handler {
+func (r *rig) countCalls(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		r.calls.Add(1)
 		next.ServeHTTP(w, request)
 	})
 }
 
-// countedListener counts the bytes of its connections.
-type countedListener struct {
+// countingListener counts the bytes that its connections receive and send.
+type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
 }
 
 // Accept implements net.Listener.
-func (l countedListener) Accept() (net.Conn, error) {
+func (l countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{Conn: c, bytes: l.bytes}, nil
+	return countingConn{Conn: c, bytes: l.bytes}, nil
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
 // Read implements net.Conn.
-func (c countedConn) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c countedConn) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
