--- a/cmd/internal/benchcapacity/capacity_test.go
+++ b/cmd/internal/benchcapacity/capacity_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestFitsALineThroughFittedSizesOnly(t *testing.T) {
+func TestFitUsesOnlyFittedSizes(t *testing.T) {
 	rows := []Row{{Size: Size{Nodes: 12}, BytesPerSecond: 9999}}
 	for _, n := range []int{50, 100, 200} {
 		rows = append(rows, Row{Size: Size{Nodes: n, Fitted: true}, BytesPerSecond: 1000 + 2*float64(n)})
--- a/cmd/internal/benchcapacity/report.go
+++ b/cmd/internal/benchcapacity/report.go
@@ -37,7 +37,7 @@
 type metric struct {
 	name  string
 	limit float64
-	value    func(Row) float64
+	value func(Row) float64
 }
 
 // Limits of the control plane at the design size: bytes per second, percent of a core and bytes of
--- a/cmd/internal/benchcapacity/rig.go
+++ b/cmd/internal/benchcapacity/rig.go
@@ -210,7 +210,7 @@
 // Methods whose payload is counted separately.
 const (
 	heartbeatMethod = iota
-	syncMethod // a heartbeat with digests, which requests the facts of each bucket that differs
+	syncMethod      // a heartbeat with digests, which requests the facts of each bucket that differs
 	fetchMethod
 	announceMethod
 	methodCount
--- a/cmd/internal/benchlookup/bench_test.go
+++ b/cmd/internal/benchlookup/bench_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestSmallRunIsWhole(t *testing.T) {
+func TestSmallRunReportsAllMeasurements(t *testing.T) {
 	o := Defaults()
 	o.Blocks, o.Places, o.Zones, o.VMs = 20000, 12, 6, 24
 	o.Round, o.Clients = 20*time.Millisecond, 4
--- a/cmd/internal/benchlookup/node.go
+++ b/cmd/internal/benchlookup/node.go
@@ -115,7 +115,7 @@
 	go func() { done <- r.configs.Run(runCtx) }()
 	go func() { done <- r.lookups.Run(runCtx) }()
 	r.stop, r.done = stop, done
-	return r.waitForVersion(ctx, r.newest())
+	return r.waitForVersion(ctx, r.newestVersion())
 }
 
 func (r *rig) close() {
@@ -253,13 +253,13 @@
 	}
 }
 
-// newest returns the highest version of the ClientBlocks objects.
-func (r *rig) newest() int64 {
-	var newest int64
+// newestVersion returns the highest version of the ClientBlocks objects.
+func (r *rig) newestVersion() int64 {
+	var newestVersion int64
 	for _, version := range r.version {
-		newest = max(newest, version)
+		newestVersion = max(newestVersion, version)
 	}
-	return newest
+	return newestVersion
 }
 
 // measureNode measures the lookup subsystem of one entry VM. The first run of each step measures
@@ -367,7 +367,7 @@
 		}
 		total += bytes
 	}
-	return total, r.waitForVersion(ctx, r.newest())
+	return total, r.waitForVersion(ctx, r.newestVersion())
 }
 
 // smallChanges is the number of changes that [NodeResult.SmallChangeMs] is the median of.
