--- a/cmd/internal/benchlookup/bench_test.go
+++ b/cmd/internal/benchlookup/bench_test.go
@@ -7,16 +7,16 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestSmallRunIsWhole(t *testing.T) {
+func TestSmallRunReportsAllMeasurements(t *testing.T) {
 	o := Defaults()
 	o.Blocks, o.Places, o.Zones, o.VMs = 20000, 12, 6, 24
 	o.Round, o.Clients = 20*time.Millisecond, 4
 	assert.NilError(t, o.Check())
 	report, err := Run(t.Context(), o)
 	assert.NilError(t, err)
-	for _, way := range report.Tables {
-		assert.Equal(t, way.Missed, 0, way.Way)
-		assert.Assert(t, way.LookupsPerSecond > 0 && way.MB > 0, way.Way)
+	for _, result := range report.Tables {
+		assert.Equal(t, result.Missed, 0, result.Way)
+		assert.Assert(t, result.LookupsPerSecond > 0 && result.MB > 0, result.Way)
 	}
 	assert.Equal(t, report.Node.AllocsPerLookup < 0.01, true)
 	assert.Assert(t, report.Node.OneBlock.Bytes < report.Node.AllBlocks.Bytes)
