--- a/cmd/internal/benchplacement/bench.go
+++ b/cmd/internal/benchplacement/bench.go
@@ -9,34 +9,34 @@
 	"heatherlock/cmd/internal/command"
 )
 
-// Options are the choices of a run.
+// Options holds the seed, the simulated time and the output files of a run.
 type Options = command.SimOptions
 
-// Row is what callers got in one run.
+// Row holds the results of one policy in one scenario, as the callers saw them. Shares are of
+// the requests that arrived in the measured time, a retry not counted as a request of its own.
 type Row struct {
 	Scenario Scenario `json:"scenario"`
 	Way      string   `json:"way"`
-	// Worth is 1 for an answer within its aim, 0.2 for a later one and -0.3 for a
-	// caller that came back after a refusal and was refused again, as a share of
-	// what was asked.
+	// Worth is the mean score of a request: 1 for an answer within the latency objective, 0.2 for
+	// a later one, and -0.3 for a request that was refused, retried once and refused again.
 	Worth   float64 `json:"worth"`
 	InAim   float64 `json:"in_aim"`
 	Refused float64 `json:"refused"`
 	Failed  float64 `json:"failed"`
-	// Warm is the share of runs that found their key warm.
+	// Warm is the share of the answered requests whose target had their key warm.
 	Warm  float64 `json:"warm"`
 	P50Ms float64 `json:"p50_ms"`
 	P99Ms float64 `json:"p99_ms"`
 }
 
-// Report holds all rows.
+// Report holds the results of a run, one row for each pair of a scenario and a policy.
 type Report struct {
 	Seed    uint64  `json:"seed"`
 	Seconds float64 `json:"seconds"`
 	Rows    []Row   `json:"rows"`
 }
 
-// scenarios are the loads that are played.
+// scenarios lists the simulated loads and faults.
 var scenarios = []Scenario{
 	{Name: "usual load", Load: 0.4},
 	{Name: "full", Load: 0.8},
@@ -45,40 +45,41 @@
 	{Name: "a fifth of the targets silent for 5 s", Load: 0.5, Dead: 0.2},
 }
 
-// ways are the choices that are compared, the product's first.
-var ways = []struct {
+// policies lists the placement policies compared, the product's own first.
+var policies = []struct {
 	name string
 	make func(*sim) way
 }{
-	{"heatherlock", newProduct},
-	{"least loaded of a key's first 3", func(m *sim) way { return simple{m, 3} }},
-	{"a key's first, never refusing", func(m *sim) way { return simple{m, 1} }},
-	{"random in the region", func(m *sim) way { return simple{m, 0} }},
+	{"heatherlock", newProductPolicy},
+	{"least loaded of a key's first 3", func(m *sim) way { return simplePolicy{m, 3} }},
+	{"a key's first, never refusing", func(m *sim) way { return simplePolicy{m, 1} }},
+	{"random in the region", func(m *sim) way { return simplePolicy{m, 0} }},
 }
 
-// Run plays every scenario with every way.
+// Run simulates every scenario with every policy.
 func Run(o Options) Report {
 	report := Report{Seed: o.Seed, Seconds: o.For.Seconds()}
 	for _, s := range scenarios {
-		for _, w := range ways {
+		for _, w := range policies {
 			got := newSim(s, o.Seed, o.For, w.make).run()
-			report.Rows = append(report.Rows, rowOf(s, w.name, got))
+			report.Rows = append(report.Rows, newRow(s, w.name, got))
 		}
 	}
 	return report
 }
 
-func rowOf(s Scenario, name string, t tally) Row {
-	asked, ran := float64(max(t.asked, 1)), float64(max(t.ran, 1))
-	return Row{Scenario: s, Way: name, Worth: (float64(t.inAim) + lateWorth*float64(t.late) - againPrice*float64(t.refused)) / asked, InAim: float64(t.inAim) / asked,
-		Refused: float64(t.refused) / asked, Failed: float64(t.failed) / asked, Warm: float64(t.warm) / ran,
+// newRow computes the shares and quantiles of one run.
+func newRow(s Scenario, name string, t results) Row {
+	total, served := float64(max(t.total, 1)), float64(max(t.served, 1))
+	return Row{Scenario: s, Way: name, Worth: (float64(t.withinObjective) + lateValue*float64(t.late) - refusalPenalty*float64(t.refused)) / total, InAim: float64(t.withinObjective) / total,
+		Refused: float64(t.refused) / total, Failed: float64(t.failed) / total, Warm: float64(t.warm) / served,
 		P50Ms: t.quantile(0.5), P99Ms: t.quantile(0.99)}
 }
 
 // WriteText writes the report as a table.
 func (r Report) WriteText(w io.Writer) {
 	fmt.Fprintf(w, "seed %d, %.0f s simulated per line; %d regions, %d targets of %d slots each, %d keys a region, %s cold, %s warm, aim %s\n",
-		r.Seed, r.Seconds, regionCount, regularTargets, targetSlots, keysPerRegion, coldWork, time.Duration(warmShare*float64(coldWork)), aim)
+		r.Seed, r.Seconds, regionCount, targetsPerRegion, targetSlots, keysPerRegion, coldRunTime, time.Duration(warmRunFraction*float64(coldRunTime)), latencyObjective)
 	scenario := ""
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	for _, row := range r.Rows {
--- a/cmd/internal/benchplacement/bench_test.go
+++ b/cmd/internal/benchplacement/bench_test.go
@@ -11,13 +11,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// Symptom: on the busiest days a third of what fits is served, all of it late.
-// Sequence: more is asked than fits; keys spread over targets that keep few of
-// them warm, and queues grow until every answer is late. Cause: choosing by
-// momentary load, and admitting what cannot be in time. Each bound below was met
-// by the way in use and by none of the simpler ones, with refused callers coming
-// back once and 0.3 taken off for each that is refused again.
-func TestHeavyDaysAreServedInTime(t *testing.T) {
+// Guards against throughput falling to a third of capacity, with every answer late, when demand
+// exceeds capacity. It comes about when targets are chosen by momentary load, which spreads keys
+// over targets that keep few of them warm, and when requests are admitted that can't be answered
+// in time, so that queues grow. The product's policy meets each bound below and none of the simpler
+// policies does; a refused caller retries once, and a second refusal costs 0.3.
+func TestProductServesOverloadInTime(t *testing.T) {
 	report := Run(Options{Seed: 1, For: 10 * time.Second})
 	best := map[string]Row{}
 	for _, row := range report.Rows {
@@ -30,20 +29,21 @@
 		row, found := best[name]
 		assert.Assert(t, found, name)
 		assert.Assert(t, row.Worth >= least, "%s: worth %.3f, want %.2f", name, row.Worth, least)
-		assert.Assert(t, row.Warm > 0.95, "%s: %.3f of the runs were warm", name, row.Warm)
+		assert.Assert(t, row.Warm > 0.95, "%s: share of warm runs is %.3f, want over 0.95", name, row.Warm)
 	}
 	for _, row := range report.Rows {
 		if row.Way != "heatherlock" && row.Scenario.Name != "usual load" {
-			assert.Assert(t, row.Worth < best[row.Scenario.Name].Worth, "%s is worth more with %s", row.Scenario.Name, row.Way)
+			assert.Assert(t, row.Worth < best[row.Scenario.Name].Worth, "%s: policy %q has at least the worth of the product's policy", row.Scenario.Name, row.Way)
 		}
 	}
 }
 
-func TestReportNamesEveryWay(t *testing.T) {
+// The table and the plot contain every scenario and every policy.
+func TestReportNamesEveryPolicy(t *testing.T) {
 	var out bytes.Buffer
 	report := Run(Options{Seed: 2, For: time.Second})
 	report.WriteText(&out)
-	for _, w := range ways {
+	for _, w := range policies {
 		assert.Equal(t, strings.Count(out.String(), "  "+w.name), len(scenarios))
 	}
 	assert.ErrorContains(t, Options{For: time.Millisecond}.Check(), "--for")
@@ -55,8 +55,8 @@
 	for _, s := range scenarios {
 		assert.Assert(t, strings.Contains(string(drawn), s.Name))
 	}
-	for _, w := range ways {
-		assert.Equal(t, len(report.worths(w.name)), len(scenarios))
+	for _, w := range policies {
+		assert.Equal(t, len(report.worthValues(w.name)), len(scenarios))
 	}
 	assert.ErrorContains(t, report.WritePlot(filepath.Join(t.TempDir(), "plot.nonsense")), "--plot")
 }
--- a/cmd/internal/benchplacement/plot.go
+++ b/cmd/internal/benchplacement/plot.go
@@ -16,20 +16,21 @@
 	barWidth   = 14 * vg.Length(1)
 )
 
-// WritePlot draws the worth of each way, a group of bars a scenario.
+// WritePlot draws the worth of each policy as a bar chart, with one group of bars for each scenario.
+// The extension of path selects the image format.
 func (r Report) WritePlot(path string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("Worth of simulated days by way of placement, seed %d", r.Seed)
 	p.Y.Label.Text = "worth, as a share of what was asked"
 	p.Legend.Top = true
-	for i, w := range ways {
-		bars, err := plotter.NewBarChart(r.worths(w.name), barWidth)
+	for i, w := range policies {
+		bars, err := plotter.NewBarChart(r.worthValues(w.name), barWidth)
 		if err != nil {
 			return errors.Wrap(err, "bench placement: draw")
 		}
 		bars.Color = plotutil.Color(i)
 		bars.LineStyle.Width = 0
-		bars.Offset = barWidth * vg.Length(2*i-len(ways)+1) / 2
+		bars.Offset = barWidth * vg.Length(2*i-len(policies)+1) / 2
 		p.Add(bars)
 		p.Legend.Add(w.name, bars)
 	}
@@ -44,13 +45,13 @@
 	return nil
 }
 
-// worths returns a way's worth in each scenario.
-func (r Report) worths(way string) plotter.Values {
-	var worths plotter.Values
+// worthValues returns the worth of a policy in each scenario, in the order of scenarios.
+func (r Report) worthValues(policyName string) plotter.Values {
+	var worthValues plotter.Values
 	for _, row := range r.Rows {
-		if row.Way == way {
-			worths = append(worths, row.Worth)
+		if row.Way == policyName {
+			worthValues = append(worthValues, row.Worth)
 		}
 	}
-	return worths
+	return worthValues
 }
--- a/cmd/internal/benchplacement/sim.go
+++ b/cmd/internal/benchplacement/sim.go
@@ -12,85 +12,86 @@
 	"heatherlock/steering/placement"
 )
 
-// service is the one service that is played.
+// service is the only service in the simulation.
 const service = steering.Service("tickets")
 
-// Figures of a simulated deployment. They are of the size of a small one: what
-// matters is that a cold run takes three times as long as a warm one and that a
-// target keeps only a few times as many keys warm as it has to serve.
+// Parameters of the simulated deployment, which is a small one. What matters is that a cold run
+// takes about three times as long as a warm one, and that a target keeps only a few times as many
+// keys warm as its share of the keys.
 const (
-	regionCount    = 3
-	vmsPerRegion   = 4
-	targetSlots    = 4
-	targetQueue    = 12
-	keysPerRegion  = 130
-	keysKept       = 36
-	coldWork       = 480 * time.Millisecond
-	warmShare      = 0.3
-	aim            = 400 * time.Millisecond
-	deadline       = 2500 * time.Millisecond
-	lateWorth      = 0.2
-	againPrice     = 0.3 // of a caller that came back and was refused again
-	callerWay      = 3 * time.Millisecond
-	shedRetry      = 200 * time.Millisecond
-	longWay        = 40 * time.Millisecond // there and back between regions
-	silentAfter    = 800 * time.Millisecond
-	lendEvery      = time.Second
-	warmUp         = 8 * time.Second // of a run, not measured
-	workSpread     = 0.15
-	shiftBound     = 0.15
-	unevenTargets  = 2
-	regularTargets = 10
+	regionCount        = 3
+	vmsPerRegion       = 4
+	targetSlots        = 4
+	targetQueueLimit   = 12
+	keysPerRegion      = 130
+	warmKeysPerTarget  = 36
+	coldRunTime        = 480 * time.Millisecond
+	warmRunFraction    = 0.3
+	latencyObjective   = 400 * time.Millisecond
+	deadline           = 2500 * time.Millisecond
+	lateValue          = 0.2
+	refusalPenalty     = 0.3 // for a request that was refused, retried and refused again
+	callerOneWay       = 3 * time.Millisecond
+	shedRetryAfter     = 200 * time.Millisecond
+	crossRegionRTT     = 40 * time.Millisecond // round trip between regions
+	responseTimeout    = 800 * time.Millisecond
+	lendingInterval    = time.Second
+	warmUpTime         = 8 * time.Second // start of a run, excluded from the results
+	runTimeDeviation   = 0.15
+	maxShiftShare      = 0.15
+	shortRegionTargets = 2
+	targetsPerRegion   = 10
 )
 
-// Scenario is a load and what goes wrong.
+// Scenario is a load and the faults that occur under it.
 type Scenario struct {
 	Name string `json:"name"`
-	// Load is what is asked, as a share of what warm targets bear together.
+	// Load is the offered load as a share of the capacity of all targets when every run is warm.
 	Load float64 `json:"load"`
-	// Uneven gives the first region a fifth of the targets of the others.
+	// Uneven gives the first region a fifth of the targets that each other region has.
 	Uneven bool `json:"uneven"`
-	// Dead is the share of targets that fall silent for 5 s in the middle.
+	// Dead is the share of targets that stop responding for 5 s in the middle of the measured time.
 	Dead float64 `json:"dead"`
 }
 
-// target is a simulated target.
+// target is a simulated target: a number of slots, a bounded FIFO queue and a cache of warm keys.
 type target struct {
 	placement.Target
 	running, waiting int
-	queue            []*call
-	warm             map[string]time.Time
-	dead             bool
+	queue            []*request
+	warm             map[string]time.Time // last use of each key that is warm
+	silent           bool                 // executes nothing and sends no response
 }
 
-// call is one request.
-type call struct {
+// request is one attempt of a caller; a retry is a new request with the same firstArrived.
+type request struct {
 	key    string
 	region int
 	vm     int
-	// began is when the caller first asked, arrived when this request came.
-	began      time.Time
-	arrived    time.Time
-	again      bool
-	retryAfter time.Duration
-	sent       time.Time
-	pick       placement.Pick
-	target     *target
-	warm       bool
+	// firstArrived is the arrival time of the caller's first attempt, arrived that of this one.
+	firstArrived time.Time
+	arrived      time.Time
+	isRetry      bool
+	retryAfter   time.Duration
+	sent         time.Time
+	pick         placement.Pick
+	target       *target
+	warm         bool // whether the target had the key warm
 }
 
-// event is something that happens at a time.
+// event is a function to run at a simulated time. Events of equal times run in the order of seq.
 type event struct {
-	at    time.Time
-	order int
-	do    func()
+	at  time.Time
+	seq int
+	fn  func()
 }
 
+// events is a heap ordered by time.
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at.Before(e[j].at) || e[i].at.Equal(e[j].at) && e[i].order < e[j].order
+	return e[i].at.Before(e[j].at) || e[i].at.Equal(e[j].at) && e[i].seq < e[j].seq
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
@@ -101,72 +102,75 @@
 	return last
 }
 
-// sim is one run.
+// sim is the state of one run: a discrete-event simulation of a scenario with one policy.
 type sim struct {
-	random   *rand.Rand
-	scenario Scenario
-	way      way
-	now      time.Time
-	start    time.Time
-	end      time.Time
-	pending  events
-	order    int
-	targets  []*target
-	byName   map[steering.Target]*target
-	result   tally
+	random        *rand.Rand
+	scenario      Scenario
+	way           way
+	now           time.Time
+	start         time.Time
+	end           time.Time
+	pending       events
+	seq           int
+	targets       []*target
+	targetsByName map[steering.Target]*target
+	result        results
 }
 
-// tally counts what callers got.
-type tally struct {
-	asked, inAim, late, refused, failed, warm, ran int
-	took                                           []float64 // ms
+// results counts the outcomes of the requests that were measured.
+type results struct {
+	total, withinObjective, late, refused, failed, warm, served int
+	latency                                                     []float64 // of answered requests, in ms
 }
 
 func regionName(n int) steering.Region { return steering.Region(fmt.Sprint("region-", n)) }
 
-func newSim(s Scenario, seed uint64, length time.Duration, w func(*sim) way) *sim {
-	m := &sim{random: rand.New(rand.NewPCG(seed, 1)), scenario: s, start: time.Unix(0, 0), byName: make(map[steering.Target]*target)}
+// newSim returns a simulation whose measured time, after the warm-up, is duration.
+func newSim(s Scenario, seed uint64, duration time.Duration, newPolicy func(*sim) way) *sim {
+	m := &sim{random: rand.New(rand.NewPCG(seed, 1)), scenario: s, start: time.Unix(0, 0), targetsByName: make(map[steering.Target]*target)}
 	m.now = m.start
-	m.end = m.start.Add(warmUp + length)
+	m.end = m.start.Add(warmUpTime + duration)
 	for region := range regionCount {
-		count := regularTargets
+		count := targetsPerRegion
 		if s.Uneven && region == 0 {
-			count = unevenTargets
+			count = shortRegionTargets
 		}
 		for n := range count {
 			t := &target{Target: placement.Target{Name: steering.Target(fmt.Sprintf("t-%d-%d", region, n)), Service: service,
 				Region: regionName(region), Zone: steering.Zone(fmt.Sprint("zone-", region)), Slots: targetSlots}, warm: make(map[string]time.Time)}
 			m.targets = append(m.targets, t)
-			m.byName[t.Name] = t
+			m.targetsByName[t.Name] = t
 		}
 	}
-	m.way = w(m)
+	m.way = newPolicy(m)
 	return m
 }
 
+// at schedules do.
 func (m *sim) at(when time.Time, do func()) {
-	m.order++
-	heap.Push(&m.pending, event{when, m.order, do})
+	m.seq++
+	heap.Push(&m.pending, event{when, m.seq, do})
 }
 
-// run plays the scenario and returns what callers got.
-func (m *sim) run() tally {
+// run simulates the scenario and returns the results.
+func (m *sim) run() results {
 	slots := float64(len(m.targets) * targetSlots)
-	perSecond := m.scenario.Load * slots / (warmShare * coldWork.Seconds())
+	perSecond := m.scenario.Load * slots / (warmRunFraction * coldRunTime.Seconds())
 	m.scheduleArrival(perSecond)
-	m.scheduleLending()
-	m.scheduleDeaths()
+	m.scheduleLendingUpdate()
+	m.scheduleOutages()
 	for len(m.pending) > 0 {
 		next := heap.Pop(&m.pending).(event)
 		if next.at.After(m.end.Add(deadline)) {
 			break
 		}
 		m.now = next.at
-		next.do()
+		next.fn()
 	}
 	return m.result
 }
 
+// scheduleArrival makes requests arrive as a Poisson process until the end of the run.
 func (m *sim) scheduleArrival(perSecond float64) {
 	gap := time.Duration(m.random.ExpFloat64() / perSecond * float64(time.Second))
 	m.at(m.now.Add(gap), func() {
@@ -178,110 +182,118 @@
 	})
 }
 
-func (m *sim) scheduleLending() {
-	m.at(m.now.Add(lendEvery), func() {
-		m.way.lend(m.now)
+// scheduleLendingUpdate makes the policy recompute the lending between regions at a fixed interval.
+func (m *sim) scheduleLendingUpdate() {
+	m.at(m.now.Add(lendingInterval), func() {
+		m.way.updateLending(m.now)
 		if m.now.Before(m.end) {
-			m.scheduleLending()
+			m.scheduleLendingUpdate()
 		}
 	})
 }
 
-// scheduleDeaths lets some targets fall silent in the middle of the measured
-// time.
-func (m *sim) scheduleDeaths() {
-	middle := m.start.Add(warmUp + m.end.Sub(m.start.Add(warmUp))/2)
+// scheduleOutages makes some targets stop responding for 5 s in the middle of the measured time.
+// They restart with empty queues and no warm keys.
+func (m *sim) scheduleOutages() {
+	middle := m.start.Add(warmUpTime + m.end.Sub(m.start.Add(warmUpTime))/2)
 	for i, t := range m.targets {
-		if float64(i%regularTargets) >= m.scenario.Dead*regularTargets {
+		if float64(i%targetsPerRegion) >= m.scenario.Dead*targetsPerRegion {
 			continue
 		}
-		m.at(middle, func() { t.dead = true })
+		m.at(middle, func() { t.silent = true })
 		m.at(middle.Add(5*time.Second), func() {
-			t.dead, t.running, t.waiting, t.queue, t.warm = false, 0, 0, nil, make(map[string]time.Time)
+			t.silent, t.running, t.waiting, t.queue, t.warm = false, 0, 0, nil, make(map[string]time.Time)
 		})
 	}
 }
 
-func (m *sim) measured(c *call) bool { return c.began.Sub(m.start) >= warmUp }
+// measured reports whether the caller's first attempt arrived after the warm-up.
+func (m *sim) measured(c *request) bool { return c.firstArrived.Sub(m.start) >= warmUpTime }
 
+// arrive creates a request in a random region, at a random entry VM of it.
 func (m *sim) arrive() {
 	region := m.random.IntN(regionCount)
-	c := &call{region: region, vm: region*vmsPerRegion + m.random.IntN(vmsPerRegion), began: m.now, arrived: m.now,
+	c := &request{region: region, vm: region*vmsPerRegion + m.random.IntN(vmsPerRegion), firstArrived: m.now, arrived: m.now,
 		key: fmt.Sprintf("%d-%d", region, m.random.IntN(keysPerRegion))}
 	if m.measured(c) {
-		m.result.asked++
+		m.result.total++
 	}
 	m.place(c)
 }
 
-// place sends a request to a target, or refuses it; its caller comes back once.
-func (m *sim) place(c *call) {
+// place sends a request to the target that the policy chooses, or refuses it if there is none.
+func (m *sim) place(c *request) {
 	name, ok := m.way.choose(m.now, c)
 	if !ok {
 		m.refuse(c)
 		return
 	}
-	c.target, c.sent = m.byName[name], m.now
-	way := m.wayTo(c)
-	m.at(m.now.Add(way/2), func() { m.reach(c) })
+	c.target, c.sent = m.targetsByName[name], m.now
+	// way is a round-trip time.
+	way := m.roundTrip(c)
+	m.at(m.now.Add(way/2), func() { m.arriveAtTarget(c) })
 }
 
-// refuse lets a caller come back once, when it was told to, after at most a third
-// of the time it has left.
-func (m *sim) refuse(c *call) {
-	if c.again {
+// refuse schedules the caller's only retry, or counts the request as refused if it is the retry.
+// The caller waits for the retry delay that it was given, but at most for a third of the time left
+// before its deadline.
+func (m *sim) refuse(c *request) {
+	if c.isRetry {
 		if m.measured(c) {
 			m.result.refused++
 		}
 		return
 	}
-	left := deadline - m.now.Sub(c.began)
-	back := m.now.Add(min(c.retryAfter, left/3) + 2*callerWay)
-	m.at(back, func() {
-		next := &call{region: c.region, vm: c.region*vmsPerRegion + m.random.IntN(vmsPerRegion), began: c.began, arrived: m.now, again: true, key: c.key}
+	left := deadline - m.now.Sub(c.firstArrived)
+	retryAt := m.now.Add(min(c.retryAfter, left/3) + 2*callerOneWay)
+	m.at(retryAt, func() {
+		next := &request{region: c.region, vm: c.region*vmsPerRegion + m.random.IntN(vmsPerRegion), firstArrived: c.firstArrived, arrived: m.now, isRetry: true, key: c.key}
 		m.place(next)
 	})
 }
 
-// wayTo is the time there and back.
-func (m *sim) wayTo(c *call) time.Duration {
+// roundTrip returns the network round-trip time between the request's entry VM and its target.
+func (m *sim) roundTrip(c *request) time.Duration {
 	if c.target.Region != regionName(c.region) {
-		return longWay
+		return crossRegionRTT
 	}
 	return 2 * time.Millisecond
 }
 
-func (m *sim) reach(c *call) {
+// arriveAtTarget executes or queues a request. A target whose queue is full sheds it. One that has
+// stopped responding lets it time out.
+func (m *sim) arriveAtTarget(c *request) {
 	t := c.target
-	if t.dead {
-		m.at(c.sent.Add(silentAfter), func() { m.finish(c, placement.Silent) })
+	if t.silent {
+		m.at(c.sent.Add(responseTimeout), func() { m.finish(c, placement.Silent) })
 		return
 	}
 	if t.running >= t.Slots {
-		if t.waiting >= targetQueue {
-			m.at(m.now.Add(m.wayTo(c)/2), func() { m.finish(c, placement.Shed) })
+		if t.waiting >= targetQueueLimit {
+			m.at(m.now.Add(m.roundTrip(c)/2), func() { m.finish(c, placement.Shed) })
 			return
 		}
 		t.waiting++
 		t.queue = append(t.queue, c)
 		return
 	}
-	m.begin(c)
+	m.execute(c)
 }
 
-// begin runs a request; it takes longer if the key is cold.
-func (m *sim) begin(c *call) {
+// execute runs a request in a slot, then starts the next one of the queue. A run takes longer if the
+// key is cold.
+func (m *sim) execute(c *request) {
 	t := c.target
 	t.running++
 	_, c.warm = t.warm[c.key]
-	t.keep(c.key, m.now)
-	work := float64(coldWork) * math.Max(0.3, 1+workSpread*m.random.NormFloat64())
+	t.markWarm(c.key, m.now)
+	work := float64(coldRunTime) * math.Max(0.3, 1+runTimeDeviation*m.random.NormFloat64())
 	if c.warm {
-		work *= warmShare
+		work *= warmRunFraction
 	}
 	m.at(m.now.Add(time.Duration(work)), func() {
-		if t.dead {
-			m.at(c.sent.Add(silentAfter), func() { m.finish(c, placement.Silent) })
+		if t.silent {
+			m.at(c.sent.Add(responseTimeout), func() { m.finish(c, placement.Silent) })
 			return
 		}
 		t.running = max(t.running-1, 0)
@@ -289,16 +301,16 @@
 			next := t.queue[0]
 			t.queue = t.queue[1:]
 			t.waiting--
-			m.begin(next)
+			m.execute(next)
 		}
-		m.at(m.now.Add(m.wayTo(c)/2), func() { m.finish(c, placement.Served) })
+		m.at(m.now.Add(m.roundTrip(c)/2), func() { m.finish(c, placement.Served) })
 	})
 }
 
-// keep remembers a key and forgets the one used longest ago.
-func (t *target) keep(key string, now time.Time) {
+// markWarm records the use of a key and evicts the least recently used one if there are too many.
+func (t *target) markWarm(key string, now time.Time) {
 	t.warm[key] = now
-	if len(t.warm) <= keysKept {
+	if len(t.warm) <= warmKeysPerTarget {
 		return
 	}
 	oldest, at := "", now
@@ -310,39 +322,40 @@
 	delete(t.warm, oldest)
 }
 
-func (m *sim) finish(c *call, o placement.Outcome) {
-	m.way.ended(m.now, c, o)
+// finish reports the outcome to the policy and counts it. The caller of a shed request may retry.
+func (m *sim) finish(c *request, o placement.Outcome) {
+	m.way.finished(m.now, c, o)
 	if o == placement.Shed {
-		c.retryAfter = shedRetry
+		c.retryAfter = shedRetryAfter
 		m.refuse(c)
 		return
 	}
 	if !m.measured(c) {
 		return
 	}
-	took := m.now.Sub(c.began)
+	latency := m.now.Sub(c.firstArrived)
 	switch {
 	case o != placement.Served:
 		m.result.failed++
-	case took <= aim:
-		m.result.inAim++
+	case latency <= latencyObjective:
+		m.result.withinObjective++
 	default:
 		m.result.late++
 	}
 	if o == placement.Served {
-		m.result.ran++
-		m.result.took = append(m.result.took, took.Seconds()*1000)
+		m.result.served++
+		m.result.latency = append(m.result.latency, latency.Seconds()*1000)
 		if c.warm {
 			m.result.warm++
 		}
 	}
 }
 
-// quantile returns the q-quantile of times in ms, 0 without any.
-func (t *tally) quantile(q float64) float64 {
-	if len(t.took) == 0 {
+// quantile returns the q-quantile of the latencies in ms, or 0 if there are none.
+func (t *results) quantile(q float64) float64 {
+	if len(t.latency) == 0 {
 		return 0
 	}
-	sort.Float64s(t.took)
-	return t.took[int(q*float64(len(t.took)-1))]
+	sort.Float64s(t.latency)
+	return t.latency[int(q*float64(len(t.latency)-1))]
 }
