--- a/cmd/internal/benchbalance/bench.go
+++ b/cmd/internal/benchbalance/bench.go
@@ -8,10 +8,10 @@
 	"heatherlock/cmd/internal/command"
 )
 
-// Options are the choices of a run.
+// Options holds the seed, the simulated time and the output file of a run.
 type Options = command.SimOptions
 
-// Report holds the figures of all experiments.
+// Report holds the results of all experiments.
 type Report struct {
 	Seed     uint64     `json:"seed"`
 	Seconds  float64    `json:"seconds"`
@@ -27,18 +27,18 @@
 	Zones    []ZonesRow `json:"zones"`
 }
 
-// Run runs all experiments.
+// Run simulates all experiments. Equal options give equal reports.
 func Run(o Options) Report {
 	return Report{
 		Seed: o.Seed, Seconds: o.For.Seconds(),
-		Ways:     compareWays(o),
+		Ways:     compareStrategies(o),
 		Uneven:   compareUneven(o),
 		Faults:   compareFaults(o),
 		Choice:   compareChoice(o),
 		Waits:    compareWaits(o),
 		Bursts:   compareBursts(o),
-		Holding:  compareHolding(o),
-		Dividing: compareDividing(o),
+		Holding:  compareLoanHold(o),
+		Dividing: compareDivision(o),
 		Spill:    compareSpill(o),
 		Zones:    compareZones(o),
 	}
@@ -52,7 +52,7 @@
 	writeRows(w, "Faults: the 5 s after one", r.Faults)
 	writeRows(w, "Choice among targets with a free slot", r.Choice)
 	writeRows(w, "How long a request may wait, one zone alone", r.Waits)
-	writeRows(w, fmt.Sprintf("How long a request may wait when %d more arrive at once every %s", burstSize, burstEvery), r.Bursts)
+	writeRows(w, fmt.Sprintf("How long a request may wait when %d more arrive at once every %s", burstSize, burstInterval), r.Bursts)
 	writeRows(w, "How long a borrowed slot is kept", r.Holding)
 	writeRows(w, "Dividing at fixed times or at once, half of all requests at one of 22 entry VMs", r.Dividing)
 	writeSpills(w, r.Spill)
@@ -85,7 +85,7 @@
 }
 
 func writeZones(w io.Writer, rows []ZonesRow) {
-	fmt.Fprintf(w, "\nSix zones in three regions: where refused work goes (36 slots a zone, hints told every %s)\n", beatEvery)
+	fmt.Fprintf(w, "\nSix zones in three regions: where refused work goes (36 slots a zone, hints told every %s)\n", headroomInterval)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "answered %\tspilled %\tp50 ms\tp99 ms\twasted trips /1000\tswitches/min\tovershoot %\trecovery s\t  way\t  scenario\t")
 	for _, r := range rows {
--- a/cmd/internal/benchbalance/owner.go
+++ b/cmd/internal/benchbalance/owner.go
@@ -7,139 +7,149 @@
 	"heatherlock/steering/pool"
 )
 
-// owner counts the pool at one entry VM. Others ask it for a grant and send to
-// the target themselves, or, when hop is set, hand it the whole request.
-type owner struct {
-	z    *zone
-	hop  bool
-	vm   int
-	c    *counted
-	held [][]*holding // by holder
-	// second is a second owner for some entry VMs, while views differ.
-	second *owner
-	names  func(vm int) bool // which entry VMs take second for the owner
+// ownerStrategy keeps the pool at one entry VM, the owner. Other entry VMs ask the owner for a grant
+// and send the request to the target themselves or, with forwardsRequests, forward the whole request
+// to the owner.
+type ownerStrategy struct {
+	z                *zone
+	forwardsRequests bool
+	vm               int
+	c                *localPool
+	held             [][]*holding // slots in use, by the index of the entry VM
+	// secondOwner acts as the owner for some entry VMs while their member lists differ from those of
+	// the others. It is nil otherwise.
+	secondOwner     *ownerStrategy
+	usesSecondOwner func(vm int) bool // reports whether an entry VM uses secondOwner
 }
 
 // holding is a slot in use.
 type holding struct {
-	c      *counted // that counts it now
+	c      *localPool // the pool that counts the slot now
 	id     pool.GrantID
 	target int
 }
 
-func newOwner(z *zone, vm int, hop bool) *owner {
-	return &owner{z: z, hop: hop, vm: vm, c: newCounted(z, z.allSlots), held: make([][]*holding, z.EntryVM)}
+func newOwnerStrategy(z *zone, vm int, forwardsRequests bool) *ownerStrategy {
+	return &ownerStrategy{z: z, forwardsRequests: forwardsRequests, vm: vm, c: newLocalPool(z, z.allSlots), held: make([][]*holding, z.EntryVM)}
 }
 
-func (w *owner) arrive(r *request) {
-	if w.second != nil && w.names(r.vm) {
-		w.second.arrive(r)
+// arrive asks the owner for a slot. If the owner has crashed, it fails over after OwnerTimeout and asks
+// the next one.
+func (w *ownerStrategy) arrive(r *request) {
+	if w.secondOwner != nil && w.usesSecondOwner(r.vm) {
+		w.secondOwner.arrive(r)
 		return
 	}
 	if r.vm == w.vm {
-		w.ask(r)
+		w.requestGrant(r)
 		return
 	}
 	asked := w.vm
 	answered := false
-	w.z.message(asked, func() {
+	w.z.sendMessage(asked, func() {
 		answered = true
-		w.ask(r)
+		w.requestGrant(r)
 	})
-	if w.z.dead[asked] {
-		w.z.after(w.z.AskTimeout, func() {
+	if w.z.crashed[asked] {
+		w.z.after(w.z.OwnerTimeout, func() {
 			if !answered {
-				w.passOver(asked)
+				w.failOver(asked)
 				w.arrive(r)
 			}
 		})
 	}
 }
 
-// probeTime is what a look at a target's load costs.
+// probeTime is the time that a new owner needs to query the targets for their load.
 const probeTime = 6 * time.Millisecond
 
-// ask asks for a slot at the owner on behalf of the request's entry VM.
-func (w *owner) ask(r *request) {
+// requestGrant asks the owner's pool for a slot on behalf of the request's entry VM.
+func (w *ownerStrategy) requestGrant(r *request) {
 	c := w.c
 	c.acquire(r, func(id pool.GrantID, target int) { w.granted(r, c, id, target) }, func() {
-		w.reply(r, func() { w.z.refuse(r) })
+		w.reply(r, func() { w.z.recordRefused(r) })
 	})
 }
 
-// reply passes an answer of the owner to the request's entry VM.
-func (w *owner) reply(r *request, f func()) {
+// reply runs f at the request's entry VM, after a message from the owner if that is another one.
+func (w *ownerStrategy) reply(r *request, f func()) {
 	if r.vm == w.vm {
 		f()
 		return
 	}
-	w.z.message(r.vm, f)
+	w.z.sendMessage(r.vm, f)
 }
 
-func (w *owner) granted(r *request, c *counted, id pool.GrantID, target int) {
+// granted sends a request to its target, from the owner or from the request's entry VM. The slot is
+// released at the pool that granted it; after a failover the new owner's pool counts it, and a release
+// for the old pool that arrives later is ignored.
+func (w *ownerStrategy) granted(r *request, c *localPool, id pool.GrantID, target int) {
 	h := &holding{c: c, id: id, target: target}
 	at := w.vm
-	if w.hop || r.vm == w.vm {
-		w.hold(at, h)
-		w.z.send(r, target, func(ran bool, reported int) {
-			if w.z.dead[at] {
-				w.z.lose(r)
+	if w.forwardsRequests || r.vm == w.vm {
+		w.addHolding(at, h)
+		w.z.sendToTarget(r, target, func(ran bool, reported int) {
+			if w.z.crashed[at] {
+				w.z.recordLost(r)
 				return
 			}
-			w.unhold(at, h)
+			w.removeHolding(at, h)
 			h.c.release(h.id, ran, reported)
-			w.reply(r, func() { w.z.answered(r, ran) })
+			w.reply(r, func() { w.z.handleReply(r, ran) })
 		})
 		return
 	}
-	w.z.message(r.vm, func() {
-		w.hold(r.vm, h)
-		w.z.send(r, target, func(ran bool, reported int) {
-			w.unhold(r.vm, h)
+	w.z.sendMessage(r.vm, func() {
+		w.addHolding(r.vm, h)
+		w.z.sendToTarget(r, target, func(ran bool, reported int) {
+			w.removeHolding(r.vm, h)
 			counting := h.c
-			w.z.message(w.vm, func() {
+			w.z.sendMessage(w.vm, func() {
 				if h.c == counting {
 					h.c.release(h.id, ran, reported)
 				}
 			})
-			w.z.answered(r, ran)
+			w.z.handleReply(r, ran)
 		})
 	})
 }
 
-func (w *owner) hold(vm int, h *holding) { w.held[vm] = append(w.held[vm], h) }
+func (w *ownerStrategy) addHolding(vm int, h *holding) { w.held[vm] = append(w.held[vm], h) }
 
-func (w *owner) unhold(vm int, h *holding) {
+func (w *ownerStrategy) removeHolding(vm int, h *holding) {
 	w.held[vm] = slices.DeleteFunc(w.held[vm], func(other *holding) bool { return other == h })
 }
 
-// passOver makes the next entry VM the owner. It learns what others hold and
-// what the targets run before it grants.
-func (w *owner) passOver(dead int) {
-	if w.vm != dead {
+// failOver makes the next live entry VM the owner. It collects the slots that other entry VMs hold and
+// the load of the targets before it grants slots. The requests that waited at the old owner are sent
+// to the new one; those that arrived at the old owner itself are lost.
+func (w *ownerStrategy) failOver(crashed int) {
+	if w.vm != crashed {
 		return
 	}
-	for w.z.dead[w.vm] {
+	for w.z.crashed[w.vm] {
 		w.vm = (w.vm + 1) % w.z.EntryVM
 	}
 	old := w.c
-	w.c = newCounted(w.z, func(int) int { return 0 })
-	w.z.after(2*w.z.OneWay+probeTime, func() { w.takeOver(dead) })
-	for _, p := range old.inOrder() {
+	w.c = newLocalPool(w.z, func(int) int { return 0 })
+	w.z.after(2*w.z.OneWay+probeTime, func() { w.takeOver(crashed) })
+	for _, p := range old.queuedByAge() {
 		w.z.unqueue(p.r)
-		if p.r.vm == dead {
-			w.z.lose(p.r)
+		if p.r.vm == crashed {
+			w.z.recordLost(p.r)
 			continue
 		}
 		w.z.after(0, func() { w.arrive(p.r) })
 	}
 }
 
-func (w *owner) takeOver(dead int) {
+// takeOver fills the owner's pool with all targets, the slots held by entry VMs other than the crashed
+// one, and the load that the targets report. A negative index means that none has crashed.
+func (w *ownerStrategy) takeOver(crashed int) {
 	now := w.z.clock()
-	w.c.pool.SetTargets(now, w.z.declared(w.z.allSlots), nil)
+	w.c.pool.SetTargets(now, w.z.poolTargets(w.z.allSlots), nil)
 	for vm, held := range w.held {
-		if vm == dead {
+		if vm == crashed {
 			continue
 		}
 		for _, h := range held {
@@ -149,6 +159,6 @@
 		}
 	}
 	for i, t := range w.z.targets {
-		w.c.settle(w.c.pool.Report(now, targetName(i), t.inFlight, pool.NoReport))
+		w.c.applyEffects(w.c.pool.Report(now, targetName(i), t.inFlight, pool.NoReport))
 	}
 }
--- a/cmd/internal/benchbalance/zones.go
+++ b/cmd/internal/benchbalance/zones.go
@@ -12,99 +12,102 @@
 	"heatherlock/steering/spill"
 )
 
-// ZonesRow is one run of six zones in three regions.
+// ZonesRow holds the results of one run with six zones in three regions.
 type ZonesRow struct {
 	Scenario string `json:"scenario"`
 	Way      string `json:"way"`
-	// Of all requests after the fault or the overload began.
+	// The shares and latencies are those of the requests that arrived from faultAt on.
 	AnsweredPercent float64 `json:"answered_percent"`
 	SpilledPercent  float64 `json:"spilled_percent"`
 	P50Ms           float64 `json:"p50_ms"`
 	P99Ms           float64 `json:"p99_ms"`
-	// WastedTrips is refused trips to another zone per 1,000 requests.
+	// WastedTrips is the number of spilled requests that another zone refused, per 1,000 requests.
 	WastedTrips float64 `json:"wasted_trips_per_1000"`
-	// SwitchesPerMinute is how often the place that got most of a sender's
-	// spilled work changed from one second to the next, for one sender.
+	// SwitchesPerMinute is how often, from one second to the next, another zone received the most
+	// spilled requests of an entry VM. It is that of the entry VM with the most such changes.
 	SwitchesPerMinute float64 `json:"switches_per_minute"`
-	// OvershootPercent is by how much the trips to a place in 100 ms were more
-	// than it took of them, at the 99th percentile, as a part of its slots.
+	// OvershootPercent is the number of spilled requests that a zone received in 100 ms and didn't
+	// accept, as a share of its slots, at the 99th percentile.
 	OvershootPercent float64 `json:"overshoot_percent"`
-	// RecoverySeconds is how long after the zone's return the last second lay
-	// in which more than 1 % of requests were refused; -1 where nothing
-	// returns.
+	// RecoverySeconds is the time from the recovery of the failed zone to the end of the last second
+	// in which more than 1 % of the requests were refused. It is -1 if no zone recovers.
 	RecoverySeconds float64 `json:"recovery_s"`
 }
 
 const (
-	zonesCount     = 6
+	zoneCount      = 6
 	zonesPerRegion = 2
-	// sendersPerZone is the entry VMs of a zone; each has hints of its own.
-	sendersPerZone = 2
-	sameRegion     = time.Millisecond
-	otherRegion    = 20 * time.Millisecond
-	// beatEvery is how often a zone's headroom is told; it arrives beatLag
-	// later.
-	beatEvery = time.Second
-	beatLag   = 50 * time.Millisecond
-	// deadTimeout is what a trip to a dead zone costs.
-	deadTimeout = 300 * time.Millisecond
-	// returnTime is the look-ups' time to live: callers come back within it.
-	returnTime = 5 * time.Second
+	// vmsPerZone is the number of entry VMs in a zone. Each has a spill table of its own.
+	vmsPerZone        = 2
+	sameRegionOneWay  = time.Millisecond
+	otherRegionOneWay = 20 * time.Millisecond
+	// headroomInterval is how often a zone reports its headroom. A report arrives headroomDelay later.
+	headroomInterval = time.Second
+	headroomDelay    = 50 * time.Millisecond
+	// unreachableTimeout is the time after which a request sent to a failed zone is given up.
+	unreachableTimeout = 300 * time.Millisecond
+	// lookupTTL is the time to live of look-up answers. Callers return to a recovered zone within it.
+	lookupTTL = 5 * time.Second
 
-	zonesFault  = 10 * time.Second
-	zonesReturn = 40 * time.Second
-	zonesEnd    = 70 * time.Second
+	// faultAt and recoverAt are when the first zone fails and recovers, in the scenarios in which it
+	// does. The measured time is from faultAt to zonesRunTime.
+	faultAt      = 10 * time.Second
+	recoverAt    = 40 * time.Second
+	zonesRunTime = 70 * time.Second
 
-	zonesMaxSpills = 2
-	zonesSlice     = 100 * time.Millisecond
+	// maxSpillAttempts is the number of other zones that a request is sent to.
+	maxSpillAttempts = 2
+	// sliceDuration is the interval over which the overshoot is measured.
+	sliceDuration = 100 * time.Millisecond
 )
 
 const zonesService = steering.Service("tickets")
 
-// place is one zone's pool and callers.
-type place struct {
-	z         *zone
-	c         *counted
-	name      steering.Place
-	region    int
-	senders   []*sender
-	dead      bool
-	rng       *rand.Rand
-	got, took int       // spilled work in this slice: arrived, and taken of it
-	excess    []float64 // by slice, as a part of the slots
-	told      int       // free slots by the last beat that arrived
+// simZone is one zone: its pool, entry VMs and callers.
+type simZone struct {
+	z                              *zone
+	c                              *localPool
+	name                           steering.Place
+	region                         int
+	vms                            []*entryVM
+	down                           bool
+	rng                            *rand.Rand
+	spillsReceived, spillsAccepted int       // spilled requests in this slice, and how many of them were accepted
+	overshoots                     []float64 // spilled requests not accepted in each slice, as a share of the slots
+	reportedFree                   int       // free slots by the last headroom report that arrived
 }
 
-// sender is one entry VM with its hints.
-type sender struct {
-	home  *place
-	table *spill.Table
-	sent  map[steering.Place]int // in this second
-	last  steering.Place
-	moves int
+// entryVM is an entry VM with its spill table, which holds the headroom hints of other zones.
+type entryVM struct {
+	home        *simZone
+	table       *spill.Table
+	spillsSent  map[steering.Place]int // by zone, in this second
+	lastBusiest steering.Place
+	switches    int
 }
 
-type world struct {
+// multiZone is the simulation of all zones, with its results.
+type multiZone struct {
 	*sim
-	places   []*place
-	order    order
-	arrived  int
-	answered int
-	refused  int
-	spilled  int
-	wasted   int
-	lat      []time.Duration
-	from     time.Duration
-	bad      time.Duration // end of the last second with refusals
-	inSecond [2]int        // arrived, refused
-	fails    bool
+	zones         []*simZone
+	spillOrder    spillOrder
+	arrived       int
+	answered      int
+	refused       int
+	spilled       int
+	refusedSpills int
+	latencies     []time.Duration
+	measureFrom   time.Duration
+	lastBadSecond time.Duration // end of the last second in which over 1 % of the requests were refused
+	inSecond      [2]int        // requests that arrived and were refused in this second
+	zoneFails     bool
 }
 
 type zonesScenario struct {
-	name    string
-	load    func(zone int) float64
-	fails   bool
-	returns bool
+	name        string
+	load        func(zone int) float64
+	zoneFails   bool
+	zoneReturns bool
 }
 
 func zonesScenarios() []zonesScenario {
@@ -123,99 +126,102 @@
 
 func compareZones(o Options) (rows []ZonesRow) {
 	for _, sc := range zonesScenarios() {
-		for _, way := range zonesOrders() {
-			w := newWorld(o, sc, way.order)
-			w.run(zonesEnd)
+		for _, way := range spillOrders() {
+			w := newMultiZone(o, sc, way.spillOrder)
+			w.run(zonesRunTime)
 			rows = append(rows, w.row(sc, way.name))
 		}
 	}
 	return rows
 }
 
-func newWorld(o Options, sc zonesScenario, by order) *world {
-	w := &world{sim: &sim{rng: seeded(o.Seed, 10)}, order: by, from: zonesFault, fails: sc.fails}
-	for i := range zonesCount {
-		p := base(o)
+func newMultiZone(o Options, sc zonesScenario, by spillOrder) *multiZone {
+	w := &multiZone{sim: &sim{rng: seeded(o.Seed, 10)}, spillOrder: by, measureFrom: faultAt, zoneFails: sc.zoneFails}
+	for i := range zoneCount {
+		p := baseParams(o)
 		p.Targets, p.Slots, p.Load, p.Seed = 12, 3, sc.load(i), o.Seed+uint64(100*i)
 		p.WaitPart = 1
 		z := newZoneIn(w.sim, p)
-		at := &place{
-			z: z, c: newCounted(z, z.allSlots), region: i / zonesPerRegion,
+		at := &simZone{
+			z: z, c: newLocalPool(z, z.allSlots), region: i / zonesPerRegion,
 			name: steering.Place(rune('a' + i)), rng: seeded(p.Seed, 11),
 		}
-		for range sendersPerZone {
-			at.senders = append(at.senders, &sender{home: at, table: spill.NewTable(spill.Params{}), sent: map[steering.Place]int{}})
+		for range vmsPerZone {
+			at.vms = append(at.vms, &entryVM{home: at, table: spill.NewTable(spill.Params{}), spillsSent: map[steering.Place]int{}})
 		}
-		w.places = append(w.places, at)
+		w.zones = append(w.zones, at)
 	}
-	for i := range w.places {
-		w.arrivals(i)
+	for i := range w.zones {
+		w.startArrivals(i)
 	}
-	w.after(beatEvery, w.beat)
-	w.after(time.Second, w.second)
-	w.after(zonesSlice, w.slice)
-	if sc.fails {
-		w.after(zonesFault, func() { w.places[0].dead = true })
+	w.after(headroomInterval, w.publishHeadroom)
+	w.after(time.Second, w.recordSecond)
+	w.after(sliceDuration, w.recordSlice)
+	if sc.zoneFails {
+		w.after(faultAt, func() { w.zones[0].down = true })
 	}
-	if sc.returns {
-		w.after(zonesReturn, func() { w.places[0].dead = false })
+	if sc.zoneReturns {
+		w.after(recoverAt, func() { w.zones[0].down = false })
 	}
 	return w
 }
 
-// arrivals lets a zone's callers send. Those of a dead zone go to the other
-// zone of the region, and come back one by one after its return.
-func (w *world) arrivals(i int) {
-	at := w.places[i]
+// startArrivals makes the requests of a zone's callers arrive. The callers of the failed zone use the
+// other zone of the region, and return gradually, within lookupTTL, after the zone has recovered.
+func (w *multiZone) startArrivals(i int) {
+	at := w.zones[i]
 	rate := at.z.rate()
 	var next func()
 	next = func() {
 		to := at
-		back := float64(w.now-zonesReturn) / float64(returnTime)
-		away := at.dead || w.now >= zonesReturn && at.rng.Float64() > back
-		if i == 0 && w.fails && w.now >= zonesFault && away {
-			to = w.places[1]
+		back := float64(w.now-recoverAt) / float64(lookupTTL)
+		away := at.down || w.now >= recoverAt && at.rng.Float64() > back
+		if i == 0 && w.zoneFails && w.now >= faultAt && away {
+			to = w.zones[1]
 		}
-		r := &request{arrived: w.now, deadline: w.now + at.z.Deadline, work: at.rng.ExpFloat64()}
+		r := &request{arrived: w.now, deadline: w.now + at.z.Deadline, workFactor: at.rng.ExpFloat64()}
 		w.arrive(to, r)
 		w.after(time.Duration(at.rng.ExpFloat64()/rate*float64(time.Second)), next)
 	}
 	w.after(0, next)
 }
 
-func (w *world) measured(r *request) bool { return r.arrived >= w.from }
+// measured reports whether a request arrived in the measured time.
+func (w *multiZone) measured(r *request) bool { return r.arrived >= w.measureFrom }
 
-func (w *world) arrive(at *place, r *request) {
+// arrive serves a request in its zone, or spills it if the zone refuses it.
+func (w *multiZone) arrive(at *simZone, r *request) {
 	if w.measured(r) {
 		w.arrived++
 	}
 	w.inSecond[0]++
-	s := at.senders[at.rng.IntN(len(at.senders))]
-	w.serve(at, r, false, func() { w.finish(r) }, func() { w.spill(s, r, w.order(w, s), 0) })
+	s := at.vms[at.rng.IntN(len(at.vms))]
+	w.serve(at, r, false, func() { w.recordAnswered(r) }, func() { w.spill(s, r, w.spillOrder(w, s), 0) })
 }
 
-// serve runs a request at a place.
-func (w *world) serve(at *place, r *request, patient bool, done, refused func()) {
-	at.c.ask(r, patient, func(id pool.GrantID, target int) {
-		at.z.send(r, target, func(ran bool, reported int) {
+// serve runs a request in a zone, and calls done or refused.
+func (w *multiZone) serve(at *simZone, r *request, patient bool, done, refused func()) {
+	at.c.acquirePatient(r, patient, func(id pool.GrantID, target int) {
+		at.z.sendToTarget(r, target, func(ran bool, reported int) {
 			at.c.release(id, ran, reported)
 			done()
 		})
 	}, refused)
 }
 
-func (w *world) finish(r *request) {
+func (w *multiZone) recordAnswered(r *request) {
 	if w.measured(r) {
 		w.answered++
-		w.lat = append(w.lat, w.now-r.arrived)
+		w.latencies = append(w.latencies, w.now-r.arrived)
 	}
 }
 
-// spill tries other places in order, and in the end waits at home.
-func (w *world) spill(s *sender, r *request, to []*place, tried int) {
-	if tried == zonesMaxSpills || tried == len(to) {
+// spill tries other zones in order. After maxSpillAttempts, or when all zones refused the request, the
+// request waits in its own zone.
+func (w *multiZone) spill(s *entryVM, r *request, to []*simZone, tried int) {
+	if tried == maxSpillAttempts || tried == len(to) {
 		r.foreign = false
-		w.serve(s.home, r, true, func() { w.finish(r) }, func() { w.refuse(r) })
+		w.serve(s.home, r, true, func() { w.recordAnswered(r) }, func() { w.recordRefused(r) })
 		return
 	}
 	if tried == 0 && w.measured(r) {
@@ -224,10 +230,10 @@
 	at := to[tried]
 	key := spill.Pool{Place: at.name, Service: zonesService}
 	s.table.Sent(key)
-	s.sent[at.name]++
+	s.spillsSent[at.name]++
 	away := distance(s.home, at)
-	if at.dead {
-		w.after(deadTimeout, func() {
+	if at.down {
+		w.after(unreachableTimeout, func() {
 			s.table.Refused(key, steering.ReasonPeerDown, time.Second, w.clock())
 			w.spill(s, r, to, tried+1)
 		})
@@ -235,20 +241,20 @@
 	}
 	r.foreign = true
 	w.after(away, func() {
-		at.got++
-		at.took++
+		at.spillsReceived++
+		at.spillsAccepted++
 		w.serve(at, r, false, func() {
 			free, when := at.c.pool.Free(), w.clock()
 			w.after(away, func() {
-				s.table.Learn(key, free, when) // replies carry the headroom
-				w.finish(r)
+				s.table.Learn(key, free, when) // replies report the headroom
+				w.recordAnswered(r)
 			})
 		}, func() {
-			at.took--
+			at.spillsAccepted--
 			after := at.c.retryAfter
 			w.after(away, func() {
 				if w.measured(r) {
-					w.wasted++
+					w.refusedSpills++
 				}
 				s.table.Refused(key, steering.ReasonNoSlot, after, w.clock())
 				w.spill(s, r, to, tried+1)
@@ -257,25 +263,25 @@
 	})
 }
 
-func (w *world) refuse(r *request) {
+func (w *multiZone) recordRefused(r *request) {
 	w.inSecond[1]++
 	if w.measured(r) {
 		w.refused++
 	}
 }
 
-// beat tells every sender every place's headroom.
-func (w *world) beat() {
-	w.after(beatEvery, w.beat)
-	for _, at := range w.places {
-		if at.dead {
+// publishHeadroom sends the headroom of every live zone to all entry VMs.
+func (w *multiZone) publishHeadroom() {
+	w.after(headroomInterval, w.publishHeadroom)
+	for _, at := range w.zones {
+		if at.down {
 			continue
 		}
 		free, when := at.c.pool.Free(), w.clock()
-		w.after(beatLag, func() {
-			at.told = free
-			for _, other := range w.places {
-				for _, s := range other.senders {
+		w.after(headroomDelay, func() {
+			at.reportedFree = free
+			for _, other := range w.zones {
+				for _, s := range other.vms {
 					s.table.Learn(spill.Pool{Place: at.name, Service: zonesService}, free, when)
 				}
 			}
@@ -283,82 +289,86 @@
 	}
 }
 
-// second looks at what each sender did in the second before.
-func (w *world) second() {
-	w.after(time.Second, w.second)
+// recordSecond evaluates the past second: the share of refused requests, and whether each entry VM's
+// busiest zone changed.
+func (w *multiZone) recordSecond() {
+	w.after(time.Second, w.recordSecond)
 	if w.inSecond[1]*100 > w.inSecond[0] {
-		w.bad = w.now
+		w.lastBadSecond = w.now
 	}
 	w.inSecond = [2]int{}
-	for _, at := range w.places {
-		for _, s := range at.senders {
-			most := s.busiest()
-			if most != "" && s.last != "" && most != s.last && w.now > w.from {
-				s.moves++
+	for _, at := range w.zones {
+		for _, s := range at.vms {
+			most := s.busiestZone()
+			if most != "" && s.lastBusiest != "" && most != s.lastBusiest && w.now > w.measureFrom {
+				s.switches++
 			}
 			if most != "" {
-				s.last = most
+				s.lastBusiest = most
 			}
-			clear(s.sent)
+			clear(s.spillsSent)
 		}
 	}
 }
 
-// leastSent is the spilled work in a second below which no place counts as
-// the one that got most.
-const leastSent = 5
+// minSpillsPerSecond is the number of spilled requests of an entry VM in a second below which no zone
+// counts as its busiest.
+const minSpillsPerSecond = 5
 
-func (s *sender) busiest() steering.Place {
+// busiestZone returns the zone that received the most spilled requests in this second, or "" if there
+// were too few.
+func (s *entryVM) busiestZone() steering.Place {
 	var best steering.Place
 	total := 0
-	for _, name := range slices.Sorted(maps.Keys(s.sent)) {
-		total += s.sent[name]
-		if best == "" || s.sent[name] > s.sent[best] {
+	for _, name := range slices.Sorted(maps.Keys(s.spillsSent)) {
+		total += s.spillsSent[name]
+		if best == "" || s.spillsSent[name] > s.spillsSent[best] {
 			best = name
 		}
 	}
-	if total < leastSent {
+	if total < minSpillsPerSecond {
 		return ""
 	}
 	return best
 }
 
-func (w *world) slice() {
-	w.after(zonesSlice, w.slice)
-	for _, at := range w.places {
-		if w.now > w.from && at.got > 0 {
-			at.excess = append(at.excess, float64(at.got-at.took)/float64(at.z.Targets*at.z.Slots))
+// recordSlice records the overshoot of each zone in the past slice.
+func (w *multiZone) recordSlice() {
+	w.after(sliceDuration, w.recordSlice)
+	for _, at := range w.zones {
+		if w.now > w.measureFrom && at.spillsReceived > 0 {
+			at.overshoots = append(at.overshoots, float64(at.spillsReceived-at.spillsAccepted)/float64(at.z.Targets*at.z.Slots))
 		}
-		at.got, at.took = 0, 0
+		at.spillsReceived, at.spillsAccepted = 0, 0
 	}
 }
 
-func (w *world) row(sc zonesScenario, way string) ZonesRow {
-	slices.Sort(w.lat)
-	var excess []float64
+func (w *multiZone) row(sc zonesScenario, way string) ZonesRow {
+	slices.Sort(w.latencies)
+	var overshoots []float64
 	most := 0.0
-	for _, at := range w.places {
-		excess = append(excess, at.excess...)
-		for _, s := range at.senders {
-			most = max(most, float64(s.moves))
+	for _, at := range w.zones {
+		overshoots = append(overshoots, at.overshoots...)
+		for _, s := range at.vms {
+			most = max(most, float64(s.switches))
 		}
 	}
-	slices.Sort(excess)
+	slices.Sort(overshoots)
 	over := 0.0
-	if len(excess) > 0 {
-		over = excess[int(0.99*float64(len(excess)-1))]
+	if len(overshoots) > 0 {
+		over = overshoots[int(0.99*float64(len(overshoots)-1))]
 	}
 	recovery := -1.0
-	if sc.returns {
-		recovery = math.Max(0, (w.bad - zonesReturn).Seconds())
+	if sc.zoneReturns {
+		recovery = math.Max(0, (w.lastBadSecond - recoverAt).Seconds())
 	}
 	return ZonesRow{
 		Scenario: sc.name, Way: way,
 		AnsweredPercent: percent(w.answered, w.answered+w.refused),
 		SpilledPercent:  percent(w.spilled, w.arrived),
-		P50Ms:           ms(percentile(w.lat, 0.5)), P99Ms: ms(percentile(w.lat, 0.99)),
-		WastedTrips:       1000 * float64(w.wasted) / float64(max(1, w.arrived)),
-		SwitchesPerMinute: most / (zonesEnd - w.from).Minutes(),
+		P50Ms:           ms(percentile(w.latencies, 0.5)), P99Ms: ms(percentile(w.latencies, 0.99)),
+		WastedTrips:       1000 * float64(w.refusedSpills) / float64(max(1, w.arrived)),
+		SwitchesPerMinute: most / (zonesRunTime - w.measureFrom).Minutes(),
 		OvershootPercent:  100 * over,
 		RecoverySeconds:   recovery,
 	}
