--- a/node/forward/identify.go
+++ b/node/forward/identify.go
@@ -231,7 +231,7 @@
 	return parsed.Addr().Unmap()
 }
 
-// firstValue returns the firstValue value of a field, or "". Unlike Header.Get it expects the name in
+// firstValue returns the first value of a field, or "". Unlike Header.Get it expects the name in
 // canonical form and therefore needs no allocation.
 func firstValue(h http.Header, name string) string {
 	if values := h[name]; len(values) > 0 {
