--- a/cmd/internal/benchplacement/ways.go
+++ b/cmd/internal/benchplacement/ways.go
@@ -21,11 +21,11 @@
 type product struct {
 	sim       *sim
 	balancers []*placement.Balancer
-	lending   placement.Lending
+	lending   placement.RegionSplit
 }
 
 func newProduct(m *sim) way {
-	p := &product{sim: m, lending: placement.Lending{}}
+	p := &product{sim: m, lending: placement.RegionSplit{}}
 	peers := make(map[steering.Region][]steering.VM)
 	for n := range regionCount * vmsPerRegion {
 		region := regionName(n / vmsPerRegion)
@@ -46,24 +46,24 @@
 
 func (p *product) choose(now time.Time, c *call) (steering.Target, bool) {
 	b := p.balancers[c.vm]
-	b.Arrived(now, service, "")
+	b.CountRequest(now, service, "")
 	pick, refusal := b.Choose(now, placement.Request{Service: service, Key: c.key, ID: c.key, Region: regionName(c.region),
-		Aim: aim, Left: deadline - now.Sub(c.began), Repeatable: true})
+		Aim: aim, TimeLeft: deadline - now.Sub(c.began), Retryable: true})
 	if refusal != nil {
 		c.retryAfter = refusal.RetryAfter
 		return "", false
 	}
-	b.Began(now, pick.Target, c.key, pick.Trial)
+	b.RequestPlaced(now, pick.Target, c.key, pick.Trial)
 	c.pick = pick
 	return pick.Target.Name, true
 }
 
 func (p *product) ended(now time.Time, c *call, o placement.Outcome) {
-	r := placement.Report{Outcome: o, Took: now.Sub(c.sent)}
+	r := placement.Report{Outcome: o, Latency: now.Sub(c.sent)}
 	if o == placement.Served || o == placement.Shed {
 		r.LoadKnown, r.Running, r.Waiting = true, c.target.running, c.target.waiting
 	}
-	p.balancers[c.vm].Ended(now, c.pick.Target, r, c.pick.Trial, c.pick.Wait > 0)
+	p.balancers[c.vm].RequestEnded(now, c.pick.Target, r, c.pick.Trial, c.pick.Wait > 0)
 }
 
 // lend is what entry VMs tell each other of their demand.
@@ -76,10 +76,10 @@
 		}
 		demand[region].AddAll(b.Demand(now))
 	}
-	p.lending = placement.NextLending(p.lending, placement.Situation{Demand: demand, Slots: p.balancers[0].Slots(), Regions: regionCount, ShiftShare: shiftBound})
+	p.lending = placement.NextRegionSplit(p.lending, placement.SplitInput{Demand: demand, Slots: p.balancers[0].Slots(), Regions: regionCount, MaxRegionShift: shiftBound})
 	for _, b := range p.balancers {
-		b.SetLending(p.lending)
-		b.Learn(placement.Runs(demand))
+		b.SetRegionSplit(p.lending)
+		b.SetServiceTimes(placement.Runs(demand))
 	}
 }
 
--- a/node/gateway/fleet/replaced_test.go
+++ b/node/gateway/fleet/replaced_test.go
@@ -51,12 +51,12 @@
 				Own: func(b *Beat) {
 					k.mu.Lock()
 					defer k.mu.Unlock()
-					b.Serving, b.Replaced = true, k.balancer.ReplacedToTell(time.Now())
+					b.Serving, b.Replaced = true, k.balancer.ReplacedToReport(time.Now())
 				},
 				Heard: func(b Beat) {
 					k.mu.Lock()
 					defer k.mu.Unlock()
-					k.balancer.LearnReplaced(time.Now(), b.Replaced)
+					k.balancer.MarkReplaced(time.Now(), b.Replaced)
 				}}, w.listen(self.Peer))
 			k.fleet.Add(records)
 			records = append(records, self)
@@ -68,8 +68,8 @@
 		}
 		time.Sleep(5 * time.Second)
 		all[17].mu.Lock()
-		all[17].balancer.Began(time.Now(), target, "", false)
-		all[17].balancer.Ended(time.Now(), target, placement.Report{Outcome: placement.Replaced}, false, false)
+		all[17].balancer.RequestPlaced(time.Now(), target, "", false)
+		all[17].balancer.RequestEnded(time.Now(), target, placement.Report{Outcome: placement.Replaced}, false, false)
 		all[17].mu.Unlock()
 		began := time.Now()
 		known := 0
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -65,7 +65,7 @@
 	leaving     atomic.Bool
 	// announced is set once a heartbeat was requested to announce that this VM takes requests.
 	announced        atomic.Bool
-	regionSplit      placement.Lending
+	regionSplit      placement.RegionSplit
 	meter            *volume.Meter
 	allowanceService *allowances.Service
 	servers          []*http.Server
@@ -89,7 +89,7 @@
 // serves nothing until Run is called.
 func New(settings *platform.Settings, logger log.Logger) (*Gateway, error) {
 	g := &Gateway{settings: settings, currentSettings: settings, log: logger, metrics: telemetry.New(string(settings.VM), string(settings.Zone)),
-		store: platform.NewStore(settings.Store), regionSplit: placement.Lending{}, peaks: make(map[steering.Zone]peak),
+		store: platform.NewStore(settings.Store), regionSplit: placement.RegionSplit{}, peaks: make(map[steering.Zone]peak),
 		meter: volume.NewMeter(volume.Place{Zone: settings.Zone, Region: settings.Region})}
 	scope := g.metrics.Scope
 	if err := g.newAllowances(); err != nil {
@@ -164,7 +164,7 @@
 	now := time.Now()
 	g.relay.WithBalancer(func(balancer *placement.Balancer, _ *retry.SharedBudget) {
 		b.Demand = balancer.Demand(now)
-		b.Replaced = balancer.ReplacedToTell(now)
+		b.Replaced = balancer.ReplacedToReport(now)
 	})
 	b.Tight = g.allowanceService.TightToTell()
 }
@@ -180,7 +180,7 @@
 	g.updateAllowancePeers()
 	g.relay.WithBalancer(func(balancer *placement.Balancer, budget *retry.SharedBudget) {
 		balancer.SetPeers(peers)
-		balancer.SetDark(dark)
+		balancer.SetUnreachableZones(dark)
 		budget.SetMembers(known)
 	})
 }
@@ -280,9 +280,9 @@
 	demand := g.fleet.Demand()
 	g.relay.WithBalancer(func(balancer *placement.Balancer, _ *retry.SharedBudget) {
 		demand[g.settings.Region].AddAll(balancer.Demand(time.Now()))
-		balancer.Learn(placement.Runs(demand))
-		g.regionSplit = placement.NextLending(g.regionSplit, placement.Situation{Demand: demand, Slots: balancer.Slots(), Regions: g.regionCount(), ShiftShare: g.bounds.Load().ShiftShare})
-		balancer.SetLending(g.regionSplit)
+		balancer.SetServiceTimes(placement.Runs(demand))
+		g.regionSplit = placement.NextRegionSplit(g.regionSplit, placement.SplitInput{Demand: demand, Slots: balancer.Slots(), Regions: g.regionCount(), MaxRegionShift: g.bounds.Load().MaxRegionShift})
+		balancer.SetRegionSplit(g.regionSplit)
 	})
 }
 
@@ -321,7 +321,7 @@
 		ejected, replaced = balancer.Ejected(), balancer.Replaced()
 		tries = budget.Left(time.Now())
 		for service := range g.regionSplit {
-			kept[service] = g.regionSplit.Kept(service, g.settings.Region)
+			kept[service] = g.regionSplit.LocalShare(service, g.settings.Region)
 		}
 	})
 	g.logEjected(ejected)
--- a/node/gateway/peersync.go
+++ b/node/gateway/peersync.go
@@ -77,7 +77,7 @@
 	}
 	if len(b.Replaced) > 0 {
 		g.relay.WithBalancer(func(balancer *placement.Balancer, _ *retry.SharedBudget) {
-			balancer.LearnReplaced(time.Now(), b.Replaced)
+			balancer.MarkReplaced(time.Now(), b.Replaced)
 		})
 	}
 	newest, _, _ := g.reader.Behind()
--- a/node/gateway/relay/attempts.go
+++ b/node/gateway/relay/attempts.go
@@ -80,16 +80,16 @@
 func (x *exchange) startAttempt(ctx context.Context) *placement.Refusal {
 	pick, refusal := x.f.choose(x.placementRequest())
 	if refusal != nil {
-		x.noCapacity, x.warmTime = refusal, refusal.Warm
+		x.noCapacity, x.warmTime = refusal, refusal.WarmRunTime
 		return refusal
 	}
-	x.lastPick, x.warmTime = pick, pick.Warm
+	x.lastPick, x.warmTime = pick, pick.WarmRunTime
 	x.attempts++
 	x.running++
 	x.tried = append(x.tried, pick.Target.Name)
 	x.history = append(x.history, tried{Target: pick.Target.Name, Zone: pick.Target.Zone, Rank: pick.Rank, Trial: pick.Trial,
 		ExpectedMs: pick.Expected.Milliseconds(), WaitMs: pick.Wait.Milliseconds(), AtMs: time.Since(x.r.Received).Milliseconds(),
-		slots: pick.Target.Slots, crossRegion: pick.Away})
+		slots: pick.Target.Slots, crossRegion: pick.OtherRegion})
 	go x.attempt(ctx, pick)
 	return nil
 }
@@ -97,7 +97,7 @@
 func (x *exchange) placementRequest() placement.Request {
 	now := time.Now()
 	r := placement.Request{Service: x.service, ID: x.call.ID, Region: x.f.cfg.Region, Allowed: x.mayRunIn,
-		Left: x.deadline.Sub(now), Rank: x.workspace.RankOr(x.route.Rank), Repeatable: x.route.Kind.Repeatable(), Tried: x.tried}
+		TimeLeft: x.deadline.Sub(now), Rank: x.workspace.RankOr(x.route.Rank), Retryable: x.route.Kind.Retryable(), Tried: x.tried}
 	if x.route.KeyAffinity {
 		r.Key = x.call.Key
 	}
@@ -188,7 +188,7 @@
 // mayRetry reports whether the request may be sent once more. If not, it sets noRetryReason.
 func (x *exchange) mayRetry(e attemptResult) bool {
 	switch {
-	case x.maybeRan && !x.route.Kind.Repeatable() && planted.Defect != planted.Twice:
+	case x.maybeRan && !x.route.Kind.Retryable() && planted.Defect != planted.Twice:
 		x.noRetryReason = noRetryMayHaveRun
 	case x.r.Rest != nil && !e.unsent:
 		x.noRetryReason = noRetryBodySent
@@ -251,7 +251,7 @@
 
 // hedge sends an overdue idempotent request to a second target, if the retry budget allows.
 func (x *exchange) hedge(ctx context.Context) {
-	if !x.route.Kind.Repeatable() || x.r.Rest != nil || x.running != 1 || !x.attemptsLeft() {
+	if !x.route.Kind.Retryable() || x.r.Rest != nil || x.running != 1 || !x.attemptsLeft() {
 		return
 	}
 	if !x.f.takeRetry(x.service) {
--- a/node/gateway/relay/exchange.go
+++ b/node/gateway/relay/exchange.go
@@ -118,7 +118,7 @@
 // its caller leaves. A request that must run at most once is left to finish, since cancelling it
 // would leave its outcome unknown.
 func (x *exchange) workContext(ctx context.Context) (context.Context, context.CancelFunc) {
-	if x.route.Kind.Repeatable() {
+	if x.route.Kind.Retryable() {
 		return context.WithDeadline(ctx, x.deadline)
 	}
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), x.deadline.Add(timeoutGrace))
--- a/node/gateway/relay/outcomes.go
+++ b/node/gateway/relay/outcomes.go
@@ -35,7 +35,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r.Used = s.tally.Used(k, r.Deadline)
-	if r.Outcome == losses.InAim && r.Aim > 0 && r.Used+r.Took > r.Aim {
+	if r.Outcome == losses.InAim && r.Aim > 0 && r.Used+r.Latency > r.Aim {
 		r.Outcome = losses.Late
 	}
 	cause := losses.Cause("")
@@ -76,7 +76,7 @@
 
 func (x *exchange) recordEnd(o losses.Outcome, reason steering.Reason, ready time.Duration) {
 	r := losses.Request{Outcome: o, Reason: reason, Aim: x.route.Aim, Deadline: x.call.Deadline,
-		Ready: ready, Took: time.Since(x.r.Received), Warm: x.warmTime}
+		Ready: ready, Latency: time.Since(x.r.Received), Warm: x.warmTime}
 	for _, t := range x.history {
 		if t.End == "" && reason == "" {
 			continue // lost the race against the other attempt of a hedged request
@@ -89,13 +89,13 @@
 // summary returns what an attempt showed about its target. An attempt that has not ended counts as
 // silent.
 func (t tried) summary(received time.Time) losses.Try {
-	summary := losses.Try{Outcome: t.report.Outcome, Took: t.report.Took, Spoiled: t.unusable, Wait: time.Duration(t.WaitMs) * time.Millisecond, Away: t.crossRegion}
+	summary := losses.Try{Outcome: t.report.Outcome, Latency: t.report.Latency, Spoiled: t.unusable, Wait: time.Duration(t.WaitMs) * time.Millisecond, Away: t.crossRegion}
 	if t.End == "" {
 		summary.Outcome = placement.Silent
-		summary.Took = time.Since(received) - time.Duration(t.AtMs)*time.Millisecond
+		summary.Latency = time.Since(received) - time.Duration(t.AtMs)*time.Millisecond
 		return summary
 	}
-	summary.Crowded = t.report.Crowded(t.slots)
+	summary.Saturated = t.report.Saturated(t.slots)
 	return summary
 }
 
--- a/node/gateway/relay/placement.go
+++ b/node/gateway/relay/placement.go
@@ -17,7 +17,7 @@
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cfg.Balancer.Arrived(now, service, bound)
+	f.cfg.Balancer.CountRequest(now, service, bound)
 	f.cfg.Retry.First(now, service)
 }
 
@@ -27,7 +27,7 @@
 	now := time.Now()
 	pick, refusal := f.cfg.Balancer.Choose(now, r)
 	if refusal == nil {
-		f.cfg.Balancer.Began(now, pick.Target, r.Key, pick.Trial)
+		f.cfg.Balancer.RequestPlaced(now, pick.Target, r.Key, pick.Trial)
 	}
 	return pick, refusal
 }
@@ -56,7 +56,7 @@
 	report := placement.Report{Outcome: outcomeOf(ctx, e, sentAt, now)}
 	f.poisonFilter.attemptEnded(now, x.fingerprints, x.verdict, e.pick.Target, sentAt, report.Outcome)
 	if !sentAt.IsZero() {
-		report.Took = now.Sub(sentAt)
+		report.Latency = now.Sub(sentAt)
 	}
 	if load := e.info.Load; load.Known {
 		report.LoadKnown, report.Running, report.Waiting = true, load.Running, load.Waiting
@@ -68,7 +68,7 @@
 		f.cfg.Balancer.NotSent(now, e.pick.Target, report.Outcome, e.pick.Trial)
 		return report
 	}
-	f.cfg.Balancer.Ended(now, e.pick.Target, report, e.pick.Trial, e.pick.Wait > 0)
+	f.cfg.Balancer.RequestEnded(now, e.pick.Target, report, e.pick.Trial, e.pick.Wait > 0)
 	return report
 }
 
--- a/node/gateway/showstatus.go
+++ b/node/gateway/showstatus.go
@@ -98,12 +98,12 @@
 	return peers
 }
 
-func serviceRows(now time.Time, b *placement.Balancer, budget *retry.SharedBudget, lending placement.Lending, region steering.Region) []status.Service {
+func serviceRows(now time.Time, b *placement.Balancer, budget *retry.SharedBudget, lending placement.RegionSplit, region steering.Region) []status.Service {
 	demand, left := b.Demand(now), budget.Left(now)
 	services := []status.Service{}
 	for _, c := range b.Counts(now) {
 		services = append(services, status.Service{Name: c.Service, Targets: c.Targets, Closed: c.Closed, Cold: c.Cold, Ejected: c.Ejected,
-			KeysKept: lending.Kept(c.Service, region), TriesLeft: left[c.Service],
+			KeysKept: lending.LocalShare(c.Service, region), TriesLeft: left[c.Service],
 			RequestsPerSecond: float64(demand[c.Service].Rate), RunMs: float64(demand[c.Service].RunMs)})
 	}
 	return services
--- a/steering/losses/losses.go
+++ b/steering/losses/losses.go
@@ -116,12 +116,13 @@
 // Try is the result of one try to run a request on a target.
 type Try struct {
 	Outcome placement.Outcome
-	// Took is the time from the start of the try to its end.
-	Took time.Duration
+	// Latency is the time from the start of the try to its end.
+	Latency time.Duration
 	// Spoiled is set if the response was complete but could not be forwarded.
 	Spoiled bool
-	// Crowded is set if the target reported with its response that all its slots were taken.
-	Crowded bool
+	// Saturated is set if the target reported with its response that all its slots were
+	// taken.
+	Saturated bool
 	// Wait is the predicted wait for a slot.
 	Wait time.Duration
 	// Away is set if the target is in another region.
@@ -138,9 +139,9 @@
 	Aim  time.Duration
 	Used time.Duration
 	// Ready is the time from the arrival of the request until its response was ready, and
-	// Took the time until the response could be written.
-	Ready time.Duration
-	Took  time.Duration
+	// Latency the time until the response could be written.
+	Ready   time.Duration
+	Latency time.Duration
 	// Deadline is the time left for the caller on arrival; 0 if the caller sent none.
 	Deadline time.Duration
 	// Warm is the duration of a warm run of the service; 0 if it is not known.
@@ -238,13 +239,13 @@
 	switch {
 	case r.Aim > 0 && r.Used+r.Warm > r.Aim:
 		return CallerLate
-	case t.Crowded || t.Wait > r.Warm/2 && t.Wait > 0:
+	case t.Saturated || t.Wait > r.Warm/2 && t.Wait > 0:
 		return Waited
 	case r.Warm <= 0:
 		return Cold // no request of the service has run yet
-	case float64(t.Took) > coldFactor*float64(r.Warm):
+	case float64(t.Latency) > coldFactor*float64(r.Warm):
 		return TargetSlow
-	case float64(t.Took) > warmFactor*float64(r.Warm):
+	case float64(t.Latency) > warmFactor*float64(r.Warm):
 		return Cold
 	case t.Away:
 		return Away
--- a/steering/losses/losses_test.go
+++ b/steering/losses/losses_test.go
@@ -17,8 +17,8 @@
 )
 
 func lateRequest(took time.Duration, change func(*Request, *Try)) Request {
-	r := Request{Outcome: Late, Aim: aim, Deadline: 2 * time.Second, Warm: warm, Ready: took, Took: took}
-	t := Try{Outcome: placement.Served, Took: took}
+	r := Request{Outcome: Late, Aim: aim, Deadline: 2 * time.Second, Warm: warm, Ready: took, Latency: took}
+	t := Try{Outcome: placement.Served, Latency: took}
 	if change != nil {
 		change(&r, &t)
 	}
@@ -44,12 +44,12 @@
 		"cold run":              {lateRequest(late, nil), Cold},
 		"no warm run yet":       {lateRequest(late, func(r *Request, _ *Try) { r.Warm = 0 }), Cold},
 		"slow target":           {lateRequest(coldFactor*warm+time.Millisecond, nil), TargetSlow},
-		"full target":           {lateRequest(late, func(_ *Request, t *Try) { t.Crowded = true }), Waited},
+		"full target":           {lateRequest(late, func(_ *Request, t *Try) { t.Saturated = true }), Waited},
 		"predicted wait":        {lateRequest(late, func(_ *Request, t *Try) { t.Wait = warm }), Waited},
-		"other region":          {lateRequest(late, func(_ *Request, t *Try) { t.Took, t.Away = warm, true }), Away},
+		"other region":          {lateRequest(late, func(_ *Request, t *Try) { t.Latency, t.Away = warm, true }), Away},
 		"caller late":           {lateRequest(late, func(r *Request, _ *Try) { r.Used = 350 * time.Millisecond }), CallerLate},
 		"head-of-line blocked":  {lateRequest(late, func(r *Request, _ *Try) { r.Ready = warm }), HeadOfLineBlocked},
-		"no other cause":        {lateRequest(late, func(_ *Request, t *Try) { t.Took = warm }), Other},
+		"no other cause":        {lateRequest(late, func(_ *Request, t *Try) { t.Latency = warm }), Other},
 		"no slot":               {refusedOrFailed(Refused, steering.ReasonNoSlot), Predicted},
 		"no target":             {refusedOrFailed(Refused, steering.ReasonNoTarget), NoTarget},
 		"no retry budget":       {refusedOrFailed(Refused, steering.ReasonRetryBudget), RetryBudgetSpent},
@@ -86,10 +86,10 @@
 			return time.Duration(rapid.IntRange(0, 5000).Draw(t, name)) * time.Millisecond
 		}
 		r := Request{Outcome: Outcome(rapid.IntRange(1, 3).Draw(t, "outcome")), Aim: span("aim"), Used: span("used"), Deadline: span("deadline"),
-			Warm: span("warm"), Ready: span("ready"), Took: span("took"),
+			Warm: span("warm"), Ready: span("ready"), Latency: span("took"),
 			Reason: steering.Reason(rapid.SampledFrom([]string{"", "no_slot", "not_ready", "deadline", "shed"}).Draw(t, "reason"))}
 		for range rapid.IntRange(0, 3).Draw(t, "tries") {
-			r.Tries = append(r.Tries, Try{Outcome: placement.Outcome(rapid.IntRange(0, 7).Draw(t, "try")), Took: span("try took"), Wait: span("wait")})
+			r.Tries = append(r.Tries, Try{Outcome: placement.Outcome(rapid.IntRange(0, 7).Draw(t, "try")), Latency: span("try took"), Wait: span("wait")})
 		}
 		assert.Assert(t, CauseOf(r) != "")
 	})
--- a/steering/placement/balancer.go
+++ b/steering/placement/balancer.go
@@ -19,7 +19,7 @@
 	unreachable map[steering.Zone]bool
 	// peers are the live entry VMs by region, including this one.
 	peers   map[steering.Region][]steering.VM
-	lending Lending
+	lending RegionSplit
 	// coldSenders is how many entry VMs may send requests to one cold target.
 	coldSenders int
 	replaced    replacements
@@ -30,7 +30,7 @@
 	return &Balancer{vm: vm, region: region,
 		byName: make(map[steering.Target]*targetState), services: make(map[steering.Service]*serviceState),
 		unreachable: make(map[steering.Zone]bool), peers: make(map[steering.Region][]steering.VM),
-		lending: Lending{}, coldSenders: maxColdSenders, replaced: newReplacements()}
+		lending: RegionSplit{}, coldSenders: maxColdSenders, replaced: newReplacements()}
 }
 
 // SetColdSlack sets how many requests per second all entry VMs together may send to a cold target
@@ -94,11 +94,13 @@
 // SetPeers sets the live entry VMs by region, including this one.
 func (b *Balancer) SetPeers(peers map[steering.Region][]steering.VM) { b.peers = peers }
 
-// SetDark sets the zones that cannot be reached from this entry VM.
-func (b *Balancer) SetDark(unreachable map[steering.Zone]bool) { b.unreachable = unreachable }
+// SetUnreachableZones sets the zones that cannot be reached from this entry VM.
+func (b *Balancer) SetUnreachableZones(unreachable map[steering.Zone]bool) {
+	b.unreachable = unreachable
+}
 
-// SetLending sets how the keys of each region are divided between regions.
-func (b *Balancer) SetLending(l Lending) { b.lending = l }
+// SetRegionSplit sets how the keys of each region are divided between regions.
+func (b *Balancer) SetRegionSplit(l RegionSplit) { b.lending = l }
 
 func (b *Balancer) service(name steering.Service) *serviceState {
 	v := b.services[name]
@@ -109,9 +111,9 @@
 	return v
 }
 
-// Arrived counts a request from a caller for the demand that is reported to peers. If the request
-// may run in one region only, bound is that region; otherwise it is empty.
-func (b *Balancer) Arrived(now time.Time, service steering.Service, bound steering.Region) {
+// CountRequest counts a request from a caller for the demand that is reported to peers. If the
+// request may run in one region only, bound is that region; otherwise it is empty.
+func (b *Balancer) CountRequest(now time.Time, service steering.Service, bound steering.Region) {
 	v := b.service(service)
 	v.arrivals.add(now, 1)
 	if bound != "" {
@@ -131,9 +133,9 @@
 	return demand
 }
 
-// Learn sets the service times to those observed by all entry VMs, for services of which this entry
-// VM has too few samples of its own.
-func (b *Balancer) Learn(runs DemandOf) {
+// SetServiceTimes sets the service times to those observed by all entry VMs, for services of which
+// this entry VM has too few samples of its own.
+func (b *Balancer) SetServiceTimes(runs DemandOf) {
 	for name, reported := range runs {
 		if v := b.service(name); v.samples < minSamples && reported.Runs >= minSamples {
 			v.setTimes(float64(reported.RunMs) / 1000)
@@ -157,8 +159,9 @@
 	return slots
 }
 
-// Began records that a request was placed on a target. A call of Ended or NotSent must follow.
-func (b *Balancer) Began(now time.Time, t Target, key string, probe bool) {
+// RequestPlaced records that a request was placed on a target. A call of RequestEnded or NotSent
+// must follow.
+func (b *Balancer) RequestPlaced(now time.Time, t Target, key string, probe bool) {
 	if s := b.stateOf(t); s != nil {
 		s.inFlight++
 		s.probing = s.probing || probe
@@ -166,9 +169,9 @@
 	}
 }
 
-// Ended records the result of an exchange; queued says that the request was expected to wait at the
-// target. Results of an earlier start of the target are ignored.
-func (b *Balancer) Ended(now time.Time, t Target, r Report, probe bool, queued bool) {
+// RequestEnded records the result of an exchange; queued says that the request was expected to wait
+// at the target. Results of an earlier start of the target are ignored.
+func (b *Balancer) RequestEnded(now time.Time, t Target, r Report, probe bool, queued bool) {
 	s := b.stateOf(t)
 	if s == nil {
 		return
@@ -178,8 +181,8 @@
 	switch r.Outcome {
 	case Served:
 		s.recordSuccess()
-		if !queued && !r.Crowded(s.Slots) {
-			b.observe(s, r.Took.Seconds())
+		if !queued && !r.Saturated(s.Slots) {
+			b.observe(s, r.Latency.Seconds())
 		}
 	case Failed:
 		s.recordFailure(now, false)
@@ -198,9 +201,9 @@
 	}
 }
 
-// Crowded reports whether requests waited at the target or all its slots were taken when it
+// Saturated reports whether requests waited at the target or all its slots were taken when it
 // answered. Then the request has most likely waited as well.
-func (r Report) Crowded(slots int) bool {
+func (r Report) Saturated(slots int) bool {
 	return r.LoadKnown && (r.Waiting > 0 || r.Running >= slots)
 }
 
@@ -276,7 +279,7 @@
 	}
 }
 
-// release undoes what Began recorded about the request in flight.
+// release undoes what RequestPlaced recorded about the request in flight.
 func (s *targetState) release(probe bool) {
 	s.inFlight = max(s.inFlight-1, 0)
 	if probe {
--- a/steering/placement/choose.go
+++ b/steering/placement/choose.go
@@ -67,7 +67,7 @@
 		if ok {
 			return pick, nil
 		}
-		return Pick{}, &Refusal{Reason: steering.ReasonNoSlot, RetryAfter: b.retryAfter(v, r, wait, keyHash), Wait: span(wait), Warm: v.warmEstimate()}
+		return Pick{}, &Refusal{Reason: steering.ReasonNoSlot, RetryAfter: b.retryAfter(v, r, wait, keyHash), Wait: span(wait), WarmRunTime: v.warmEstimate()}
 	}
 	return Pick{}, &Refusal{Reason: steering.ReasonNoTarget, RetryAfter: minRetryAfter}
 }
@@ -107,7 +107,7 @@
 
 // probeDue reports whether an ejected target may be probed with this request.
 func (b *Balancer) probeDue(now time.Time, s *targetState, r Request) bool {
-	return r.Repeatable && s.ejected && !s.probing && !now.Before(s.probeAt) && !b.unreachable[s.Zone]
+	return r.Retryable && s.ejected && !s.probing && !now.Before(s.probeAt) && !b.unreachable[s.Zone]
 }
 
 // best returns the first target of the order that accepts the request. Cold targets to which this
@@ -148,7 +148,7 @@
 }
 
 func (c *candidate) pick(v *serviceState) Pick {
-	return Pick{Target: c.targetState.Target, Expected: span(c.cost), Wait: span(c.wait), Warm: v.warmEstimate(), Rank: c.rank, Trial: c.targetState.ejected, Away: c.crossRegion}
+	return Pick{Target: c.targetState.Target, Expected: span(c.cost), Wait: span(c.wait), WarmRunTime: v.warmEstimate(), Rank: c.rank, Trial: c.targetState.ejected, OtherRegion: c.crossRegion}
 }
 
 // predict sets the predicted wait and time until the answer of a candidate.
@@ -167,7 +167,7 @@
 // latency objective, not the run itself: the first request for a key runs cold and misses the
 // objective anyway, and refusing it would keep the target cold forever.
 func (b *Balancer) fits(v *serviceState, r Request, c *candidate) bool {
-	if r.Left > 0 && span(c.wait+v.warmTime) > r.Left {
+	if r.TimeLeft > 0 && span(c.wait+v.warmTime) > r.TimeLeft {
 		return false
 	}
 	if r.Aim <= 0 {
--- a/steering/placement/count.go
+++ b/steering/placement/count.go
@@ -7,8 +7,8 @@
 	"heatherlock/steering"
 )
 
-// Count is the number of targets of a service by state.
-type Count struct {
+// TargetCounts is the number of targets of a service by state.
+type TargetCounts struct {
 	Service steering.Service
 	// Targets is the number of all targets, Closed of those that get no new requests, Cold of those
 	// that get few requests because they have just started.
@@ -18,10 +18,10 @@
 }
 
 // Counts returns the number of targets by state for each service, sorted by service name.
-func (b *Balancer) Counts(now time.Time) []Count {
-	var all []Count
+func (b *Balancer) Counts(now time.Time) []TargetCounts {
+	var all []TargetCounts
 	for name, v := range b.services {
-		c := Count{Service: name, Targets: len(v.targets), Ejected: []steering.Target{}}
+		c := TargetCounts{Service: name, Targets: len(v.targets), Ejected: []steering.Target{}}
 		for _, s := range v.targets {
 			if s.Closed {
 				c.Closed++
--- a/steering/placement/doc.go
+++ b/steering/placement/doc.go
@@ -11,7 +11,7 @@
 // The package handles these situations:
 //
 //   - Uneven regions: a region with fewer targets than its callers need offloads a share of its
-//     keys to the regions with the most free capacity (see Lending). The shares change in small
+//     keys to the regions with the most free capacity (see RegionSplit). The shares change in small
 //     steps, because a key that changes region starts cold there, and because the operator limits
 //     how fast traffic may change region.
 //   - Overload: the wait at a target is predicted from the load that the target reports and from
--- a/steering/placement/generation_test.go
+++ b/steering/placement/generation_test.go
@@ -19,17 +19,17 @@
 	all[0].Generation = 1
 	b := newBalancer("vm", all...)
 	for range 4 {
-		b.Began(start, all[0], "k", false)
-		b.Ended(start, all[0], placement.Report{Outcome: placement.Broken}, false, false)
+		b.RequestPlaced(start, all[0], "k", false)
+		b.RequestEnded(start, all[0], placement.Report{Outcome: placement.Broken}, false, false)
 	}
 	assert.DeepEqual(t, b.Ejected(), []steering.Target{all[0].Name})
 	former := all[0]
-	b.Began(start, former, "k", false)
+	b.RequestPlaced(start, former, "k", false)
 	all[0].Generation = 2
 	assert.DeepEqual(t, b.SetTargets(all), []steering.Target{all[0].Name})
 	assert.Equal(t, len(b.Ejected()), 0)
 	for range 4 {
-		b.Ended(start, former, placement.Report{Outcome: placement.Broken}, false, false)
+		b.RequestEnded(start, former, placement.Report{Outcome: placement.Broken}, false, false)
 	}
 	assert.Equal(t, len(b.Ejected()), 0, "reports for the old process must not count")
 	assert.Equal(t, len(b.SetTargets(all)), 0, "no target has restarted since the last call")
@@ -43,7 +43,7 @@
 	all[0].Generation = 1
 	b := newBalancer("vm", all...)
 	for range 40 {
-		b.Began(start, all[0], "k", false)
+		b.RequestPlaced(start, all[0], "k", false)
 	}
 	_, refusal := b.Choose(start, request("k"))
 	assert.Assert(t, refusal != nil)
--- a/steering/placement/offload.go
+++ b/steering/placement/offload.go
@@ -10,17 +10,17 @@
 // shares sum to 1.
 type Shares map[steering.Region]float64
 
-// Lending holds the shares of each service's keys by the region of the callers. A region without an
-// entry serves all its keys itself.
-type Lending map[steering.Service]map[steering.Region]Shares
+// RegionSplit holds the shares of each service's keys by the region of the callers. A region
+// without an entry serves all its keys itself.
+type RegionSplit map[steering.Service]map[steering.Region]Shares
 
-// Kept returns the share of its keys that a region serves itself.
-func (l Lending) Kept(service steering.Service, region steering.Region) float64 {
+// LocalShare returns the share of its keys that a region serves itself.
+func (l RegionSplit) LocalShare(service steering.Service, region steering.Region) float64 {
 	return l.sharesOf(service, region)[region]
 }
 
 // sharesOf returns the shares of a region's keys.
-func (l Lending) sharesOf(service steering.Service, region steering.Region) Shares {
+func (l RegionSplit) sharesOf(service steering.Service, region steering.Region) Shares {
 	if shares, found := l[service][region]; found {
 		return shares
 	}
@@ -31,9 +31,9 @@
 	// maxUtilization is the part of a region's slots that requests with warm keys may occupy before
 	// the region offloads keys. Above it, a queue of a few service times forms.
 	maxUtilization = 0.65
-	// shiftBudgetUse is the part of ShiftShare, which limits region changes within 2 s, that one
-	// step per second may use. It is a third, because changes made by the callers themselves move
-	// traffic between regions as well.
+	// shiftBudgetUse is the part of MaxRegionShift, which limits region changes within 2 s, that
+	// one step per second may use. It is a third, because changes made by the callers themselves
+	// move traffic between regions as well.
 	shiftBudgetUse = 1.0 / 3
 	// maxStep limits the share of a service's keys that changes region in one second. These keys
 	// start cold in the new region, whose targets can take only few of them at once.
@@ -47,19 +47,19 @@
 // Slots holds the number of open slots of each service by region.
 type Slots map[steering.Service]map[steering.Region]float64
 
-// Situation is the input of NextLending.
-type Situation struct {
+// SplitInput is the input of NextRegionSplit.
+type SplitInput struct {
 	// Demand is the demand of each region's callers.
 	Demand map[steering.Region]DemandOf
 	// Slots are the slots that are open now.
 	Slots Slots
 	// Regions is the number of regions of the deployment.
 	Regions int
-	// ShiftShare is the largest share of a region's requests that may change region within 2 s.
-	ShiftShare float64
+	// MaxRegionShift is the largest share of a region's requests that may change region within 2 s.
+	MaxRegionShift float64
 }
 
-// NextLending moves the shares of each region's keys one step towards a goal that fits the open
+// NextRegionSplit moves the shares of each region's keys one step towards a goal that fits the open
 // slots. It must be called once a second.
 //
 // In the goal, each region serves its own keys as far as its slots can take them. The rest is
@@ -73,14 +73,14 @@
 //
 // All services of a region together stay within the limit on region changes. What one service does
 // not use of it, another may use.
-func NextLending(now Lending, s Situation) Lending {
+func NextRegionSplit(now RegionSplit, s SplitInput) RegionSplit {
 	plans := make(map[steering.Service]*plan, len(s.Slots))
 	runs := Runs(s.Demand)
 	for service, capacity := range s.Slots {
 		load, pinned := loadOf(service, s.Demand, runs[service])
 		plans[service] = newPlan(service, now, load, pinned, capacity, s.Regions)
 	}
-	next := make(Lending, len(plans))
+	next := make(RegionSplit, len(plans))
 	factors := stepFactors(plans, s)
 	for service, p := range plans {
 		next[service] = make(map[steering.Region]Shares, len(p.current))
@@ -110,7 +110,7 @@
 
 // stepFactors returns for each region the factor by which its moves of keys are shortened, so that
 // all its services together stay within the limit on region changes.
-func stepFactors(plans map[steering.Service]*plan, s Situation) map[steering.Region]float64 {
+func stepFactors(plans map[steering.Service]*plan, s SplitInput) map[steering.Region]float64 {
 	factors := make(map[steering.Region]float64)
 	wanted := make(map[steering.Region]float64)
 	for service, p := range plans {
@@ -119,7 +119,7 @@
 		}
 	}
 	for region, sum := range wanted {
-		factors[region] = math.Min(1, shiftBudgetUse*s.ShiftShare/math.Max(sum, math.SmallestNonzeroFloat64))
+		factors[region] = math.Min(1, shiftBudgetUse*s.MaxRegionShift/math.Max(sum, math.SmallestNonzeroFloat64))
 	}
 	return factors
 }
--- a/steering/placement/offload_test.go
+++ b/steering/placement/offload_test.go
@@ -14,8 +14,8 @@
 
 // situation returns the input of a step with one region per entry of demand and the default limit
 // on region changes.
-func situation(demand map[steering.Region]placement.DemandOf, slots placement.Slots) placement.Situation {
-	return placement.Situation{Demand: demand, Slots: slots, Regions: len(demand), ShiftShare: 0.15}
+func situation(demand map[steering.Region]placement.DemandOf, slots placement.Slots) placement.SplitInput {
+	return placement.SplitInput{Demand: demand, Slots: slots, Regions: len(demand), MaxRegionShift: 0.15}
 }
 
 // demandFor returns a demand for one service that occupies the given number of slots.
@@ -41,16 +41,16 @@
 		return placement.Slots{service: {"centro": centro, "sur": sur}}
 	}
 	none := map[steering.Region]placement.DemandOf{"centro": {}, "sur": {}}
-	lending := placement.NextLending(placement.Lending{}, situation(none, slots(6, 30)))
-	assert.Assert(t, lending.Kept(service, "centro") < 0.5)
-	lending = placement.NextLending(lending, situation(none, slots(84, 60)))
-	assert.Equal(t, lending.Kept(service, "centro"), 1.0)
-	assert.Assert(t, lending.Kept(service, "sur") < 1)
+	lending := placement.NextRegionSplit(placement.RegionSplit{}, situation(none, slots(6, 30)))
+	assert.Assert(t, lending.LocalShare(service, "centro") < 0.5)
+	lending = placement.NextRegionSplit(lending, situation(none, slots(84, 60)))
+	assert.Equal(t, lending.LocalShare(service, "centro"), 1.0)
+	assert.Assert(t, lending.LocalShare(service, "sur") < 1)
 
 	perRegion := placement.DemandOf{service: {Rate: 100, RunMs: 150, Runs: 50}}
 	demand := map[steering.Region]placement.DemandOf{"centro": perRegion, "sur": perRegion}
-	lending = placement.NextLending(lending, situation(demand, slots(84, 60)))
-	assert.Equal(t, lending.Kept(service, "centro"), 1.0, "there is capacity for all keys, and nothing was offloaded")
+	lending = placement.NextRegionSplit(lending, situation(demand, slots(84, 60)))
+	assert.Equal(t, lending.LocalShare(service, "centro"), 1.0, "there is capacity for all keys, and nothing was offloaded")
 }
 
 // Guards against traffic that swings between regions. Each step must be small, over all services of
@@ -64,7 +64,7 @@
 		demand := make(map[steering.Region]placement.DemandOf)
 		slots := make(placement.Slots)
 		demanded, capacity := map[steering.Service]float64{}, map[steering.Service]float64{}
-		now := placement.Lending{}
+		now := placement.RegionSplit{}
 		for _, s := range services {
 			slots[s], now[s] = make(map[steering.Region]float64), make(map[steering.Region]placement.Shares)
 			for _, r := range regions {
@@ -78,7 +78,7 @@
 			}
 		}
 		for range 150 {
-			next := placement.NextLending(now, situation(demand, slots))
+			next := placement.NextRegionSplit(now, situation(demand, slots))
 			for _, r := range regions {
 				var moved, rate float64
 				for _, s := range services {
@@ -108,7 +108,7 @@
 				}
 				full := math.Max(0.65, demanded[s]/capacity[s]) * slots[s][to]
 				assert.Assert(t, runs <= full+0.5, "%.1f of %s run in %s with %.0f slots", runs, s, to, slots[s][to])
-				kept := now.Kept(s, to) * float64(demand[to][s].Rate) * runMs / 1000
+				kept := now.LocalShare(s, to) * float64(demand[to][s].Rate) * runMs / 1000
 				assert.Assert(t, kept <= full+1e-3, "%s keeps %.1f of %s with %.0f slots", to, kept, s, slots[s][to])
 			}
 		}
@@ -121,8 +121,8 @@
 func TestOffloadedKeysGoToLeastUtilizedRegions(t *testing.T) {
 	demand := map[steering.Region]placement.DemandOf{"norte": demandFor(40), "centro": demandFor(15), "sur": demandFor(30)}
 	slots := placement.Slots{service: {"norte": 72, "centro": 84, "sur": 12}}
-	now := placement.Lending{service: {"sur": {"sur": 0.25, "norte": 0.35, "centro": 0.4}}}
-	load := func(l placement.Lending, to steering.Region) float64 {
+	now := placement.RegionSplit{service: {"sur": {"sur": 0.25, "norte": 0.35, "centro": 0.4}}}
+	load := func(l placement.RegionSplit, to steering.Region) float64 {
 		var all float64
 		for from, occupied := range map[steering.Region]float64{"norte": 40, "centro": 15, "sur": 30} {
 			shares, found := l[service][from]
@@ -135,7 +135,7 @@
 	}
 	assert.Assert(t, load(now, "norte") > 0.65 && load(now, "centro") < 0.35)
 	for range 60 {
-		now = placement.NextLending(now, situation(demand, slots))
+		now = placement.NextRegionSplit(now, situation(demand, slots))
 	}
 	assert.Assert(t, math.Abs(load(now, "norte")-40.0/72) < 0.01, "utilization of norte: %.2f", load(now, "norte"))
 	assert.Assert(t, load(now, "centro") < 0.47 && load(now, "sur") < 0.651)
@@ -148,7 +148,7 @@
 	b := newBalancer("vm", all...)
 	const keys = 3000
 	placed := func(shares placement.Shares) []steering.Region {
-		b.SetLending(placement.Lending{service: {"centro": shares}})
+		b.SetRegionSplit(placement.RegionSplit{service: {"centro": shares}})
 		regions := make([]steering.Region, keys)
 		for k := range regions {
 			pick, refusal := b.Choose(start, request(fmt.Sprint(k)))
@@ -179,10 +179,10 @@
 		"norte":  {service: {Rate: 100, RunMs: 100, Runs: 50}, "passes": {Rate: 100, RunMs: 10, Runs: 50}},
 		"centro": {service: {Rate: 100, RunMs: 100, Runs: 50}, "passes": {Rate: 100, RunMs: 10, Runs: 50}}}
 	slots := placement.Slots{service: {"norte": 4, "centro": 40}, "passes": {"norte": 20, "centro": 20}}
-	now := placement.Lending{service: {"norte": {"norte": 1}, "centro": {"centro": 1}}, "passes": {"norte": {"norte": 1}, "centro": {"centro": 1}}}
-	next := placement.NextLending(now, situation(demand, slots))
-	assert.Assert(t, math.Abs(1-next.Kept(service, "norte")-0.1) < 1e-6, "%v", next)
-	assert.Equal(t, next.Kept("passes", "norte"), 1.0)
+	now := placement.RegionSplit{service: {"norte": {"norte": 1}, "centro": {"centro": 1}}, "passes": {"norte": {"norte": 1}, "centro": {"centro": 1}}}
+	next := placement.NextRegionSplit(now, situation(demand, slots))
+	assert.Assert(t, math.Abs(1-next.LocalShare(service, "norte")-0.1) < 1e-6, "%v", next)
+	assert.Equal(t, next.LocalShare("passes", "norte"), 1.0)
 }
 
 // Guards against taking keys back as fast as they are offloaded. The callers of a region with few
@@ -194,15 +194,15 @@
 		return map[steering.Region]placement.DemandOf{"norte": {service: {Rate: rate, RunMs: 100, Runs: 50}}, "centro": {service: {Rate: 100, RunMs: 100, Runs: 50}}}
 	}
 	slots := placement.Slots{service: {"norte": 8, "centro": 40}}
-	l := placement.Lending{service: {"norte": {"norte": 0.4, "centro": 0.6}}}
+	l := placement.RegionSplit{service: {"norte": {"norte": 0.4, "centro": 0.6}}}
 	for range 8 {
-		l = placement.NextLending(l, situation(of(30), slots))
+		l = placement.NextRegionSplit(l, situation(of(30), slots))
 	}
-	assert.Assert(t, l.Kept(service, "norte") > 0.45 && l.Kept(service, "norte") < 0.55, "keeps %v", l)
+	assert.Assert(t, l.LocalShare(service, "norte") > 0.45 && l.LocalShare(service, "norte") < 0.55, "keeps %v", l)
 	for range 8 {
-		l = placement.NextLending(l, situation(of(200), slots))
+		l = placement.NextRegionSplit(l, situation(of(200), slots))
 	}
-	assert.Assert(t, l.Kept(service, "norte") < 0.3, "keeps %v", l)
+	assert.Assert(t, l.LocalShare(service, "norte") < 0.3, "keeps %v", l)
 }
 
 // Guards against starting from shares with which every region keeps all its keys. After a loss of
@@ -211,9 +211,9 @@
 func TestRegionWithFewTargetsOffloadsFromTheFirstStep(t *testing.T) {
 	demand := map[steering.Region]placement.DemandOf{"norte": demandFor(20), "centro": demandFor(20), "sur": demandFor(20)}
 	slots := placement.Slots{service: {"norte": 72, "centro": 84, "sur": 12}}
-	first := placement.NextLending(nil, situation(demand, slots))
-	assert.Assert(t, first.Kept(service, "sur") < 0.35, "keeps %v", first[service]["sur"])
-	assert.Assert(t, first.Kept(service, "norte") == 1)
+	first := placement.NextRegionSplit(nil, situation(demand, slots))
+	assert.Assert(t, first.LocalShare(service, "sur") < 0.35, "keeps %v", first[service]["sur"])
+	assert.Assert(t, first.LocalShare(service, "norte") == 1)
 }
 
 // Guards against an entry VM that keeps the keys of a region without open slots there, because a
@@ -222,8 +222,8 @@
 // ten seconds.
 func TestRegionWithoutSlotsOffloadsAllKeysAtTheFirstStep(t *testing.T) {
 	demand := map[steering.Region]placement.DemandOf{"norte": demandFor(20), "sur": demandFor(20)}
-	first := placement.NextLending(nil, situation(demand, placement.Slots{service: {"norte": 72}}))
-	assert.Assert(t, first.Kept(service, "sur") < 0.01, "keeps %v", first[service]["sur"])
+	first := placement.NextRegionSplit(nil, situation(demand, placement.Slots{service: {"norte": 72}}))
+	assert.Assert(t, first.LocalShare(service, "sur") < 0.01, "keeps %v", first[service]["sur"])
 }
 
 // Guards against a region that continues to take keys of others while requests that may run nowhere
@@ -234,19 +234,19 @@
 		return placement.DemandOf{service: {Rate: rate, RunMs: 100, Runs: 100, Bound: bound}}
 	}
 	slots := placement.Slots{service: {"norte": 30, "centro": 30, "sur": 30}}
-	sharesWith := func(bound map[steering.Region]float32) placement.Lending {
-		l := placement.Lending{}
+	sharesWith := func(bound map[steering.Region]float32) placement.RegionSplit {
+		l := placement.RegionSplit{}
 		for range 200 {
-			l = placement.NextLending(l, placement.Situation{Slots: slots, Regions: 3, ShiftShare: 0.15, Demand: map[steering.Region]placement.DemandOf{
+			l = placement.NextRegionSplit(l, placement.SplitInput{Slots: slots, Regions: 3, MaxRegionShift: 0.15, Demand: map[steering.Region]placement.DemandOf{
 				"norte": demand(200, bound), "centro": demand(150, nil), "sur": demand(50, nil)}})
 		}
 		return l
 	}
-	assert.Assert(t, sharesWith(nil).Kept(service, "centro") > 0.99)
+	assert.Assert(t, sharesWith(nil).LocalShare(service, "centro") > 0.99)
 	l := sharesWith(map[steering.Region]float32{"centro": 120}) // 12 of its 30 slots
-	assert.Assert(t, l.Kept(service, "centro") < 0.9, "%v", l)
-	assert.Assert(t, l.Kept(service, "norte") > 0.99, "norte has capacity beyond its own callers' demand: %v", l)
-	load := 12 + 15*l.Kept(service, "centro")
+	assert.Assert(t, l.LocalShare(service, "centro") < 0.9, "%v", l)
+	assert.Assert(t, l.LocalShare(service, "norte") > 0.99, "norte has capacity beyond its own callers' demand: %v", l)
+	load := 12 + 15*l.LocalShare(service, "centro")
 	assert.Assert(t, load < 0.75*30, "%.1f of its slots are busy", load)
 }
 
--- a/steering/placement/placement_test.go
+++ b/steering/placement/placement_test.go
@@ -35,15 +35,15 @@
 
 func request(key string) placement.Request {
 	return placement.Request{Service: service, Key: key, ID: key, Region: "centro", Aim: 400 * time.Millisecond,
-		Left: 2 * time.Second, Repeatable: true}
+		TimeLeft: 2 * time.Second, Retryable: true}
 }
 
 // serve places a request and immediately ends it with an outcome.
 func serve(b *placement.Balancer, now time.Time, r placement.Request, o placement.Outcome) (placement.Pick, *placement.Refusal) {
 	pick, refusal := b.Choose(now, r)
 	if refusal == nil {
-		b.Began(now, pick.Target, r.Key, pick.Trial)
-		b.Ended(now, pick.Target, placement.Report{Outcome: o, Took: 100 * time.Millisecond}, pick.Trial, false)
+		b.RequestPlaced(now, pick.Target, r.Key, pick.Trial)
+		b.RequestEnded(now, pick.Target, placement.Report{Outcome: o, Latency: 100 * time.Millisecond}, pick.Trial, false)
 	}
 	return pick, refusal
 }
@@ -85,13 +85,13 @@
 		now = now.Add(20 * time.Millisecond)
 		pick, refusal := b.Choose(now, r)
 		assert.Assert(t, refusal == nil)
-		b.Began(now, pick.Target, r.Key, pick.Trial)
+		b.RequestPlaced(now, pick.Target, r.Key, pick.Trial)
 		outcome := placement.Served
 		if pick.Target.Name == first.Target.Name {
 			outcome = placement.Silent
 			lost++
 		}
-		b.Ended(now, pick.Target, placement.Report{Outcome: outcome, Took: time.Millisecond}, pick.Trial, false)
+		b.RequestEnded(now, pick.Target, placement.Report{Outcome: outcome, Latency: time.Millisecond}, pick.Trial, false)
 	}
 	assert.Assert(t, lost <= 5, "%d of 100 requests in 2 s went to the dead target", lost)
 	now = now.Add(10 * time.Second)
@@ -131,7 +131,7 @@
 		assert.Assert(t, refusal == nil)
 		assert.Equal(t, pick.Target.Name, all[2].Name)
 	}
-	b.Ended(start, all[2], placement.Report{Outcome: placement.Replaced}, false, false)
+	b.RequestEnded(start, all[2], placement.Report{Outcome: placement.Replaced}, false, false)
 	r := request("x")
 	r.Tried = []steering.Target{all[1].Name}
 	_, refusal := b.Choose(start, r)
@@ -187,22 +187,22 @@
 func TestServiceTimeExcludesWaitsAndCrossRegionLatency(t *testing.T) {
 	const run, way, wait = 100 * time.Millisecond, 70 * time.Millisecond, 300 * time.Millisecond
 	b := newBalancer("vm", append(targets(2, "centro"), targets(4, "sur")...)...)
-	b.SetLending(placement.Lending{service: {"centro": {"centro": 0.5, "sur": 0.5}}})
+	b.SetRegionSplit(placement.RegionSplit{service: {"centro": {"centro": 0.5, "sur": 0.5}}})
 	now := start
 	for n := range 600 {
 		now = now.Add(20 * time.Millisecond)
-		b.Arrived(now, service, "")
+		b.CountRequest(now, service, "")
 		pick, refusal := b.Choose(now, request(fmt.Sprint("key-", n%40)))
 		assert.Assert(t, refusal == nil)
-		b.Began(now, pick.Target, "", pick.Trial)
-		report := placement.Report{Outcome: placement.Served, Took: run, LoadKnown: true, Running: 1}
-		if pick.Away {
-			report.Took += way
+		b.RequestPlaced(now, pick.Target, "", pick.Trial)
+		report := placement.Report{Outcome: placement.Served, Latency: run, LoadKnown: true, Running: 1}
+		if pick.OtherRegion {
+			report.Latency += way
 		}
 		if n%3 == 0 {
-			report.Took, report.Running, report.Waiting = report.Took+wait, 3, 2
+			report.Latency, report.Running, report.Waiting = report.Latency+wait, 3, 2
 		}
-		b.Ended(now, pick.Target, report, pick.Trial, false)
+		b.RequestEnded(now, pick.Target, report, pick.Trial, false)
 	}
 	got := b.Demand(now)[service]
 	assert.Assert(t, math.Abs(float64(got.RunMs)-100) < 15, "service time of %.0f ms", got.RunMs)
@@ -219,13 +219,13 @@
 	all := placement.Runs(demand)
 	assert.Assert(t, all[service].RunMs < 110, "%v", all)
 	slots := placement.Slots{service: {"norte": 16, "centro": 16}}
-	next := placement.NextLending(nil, situation(demand, slots))
-	assert.Equal(t, next.Kept(service, "norte"), 1.0, "9 of 16 slots are busy")
+	next := placement.NextRegionSplit(nil, situation(demand, slots))
+	assert.Equal(t, next.LocalShare(service, "norte"), 1.0, "9 of 16 slots are busy")
 
 	b := newBalancer("vm", targets(2, "centro")...)
 	b.Choose(start, request("key")) // sets the initial service times
-	b.Arrived(start, service, "")
-	b.Learn(all)
+	b.CountRequest(start, service, "")
+	b.SetServiceTimes(all)
 	assert.Assert(t, b.Demand(start)[service].RunMs < 110)
 }
 
@@ -234,8 +234,8 @@
 func TestKeysAreNotOffloadedToUnreachableRegions(t *testing.T) {
 	all := append(append(targets(2, "centro"), targets(2, "sur")...), targets(2, "norte")...)
 	b := newBalancer("vm", all...)
-	b.SetLending(placement.Lending{service: {"centro": {"centro": 0.1, "sur": 0.45, "norte": 0.45}}})
-	b.SetDark(map[steering.Zone]bool{"sur-a": true})
+	b.SetRegionSplit(placement.RegionSplit{service: {"centro": {"centro": 0.1, "sur": 0.45, "norte": 0.45}}})
+	b.SetUnreachableZones(map[steering.Zone]bool{"sur-a": true})
 	for k := range 100 {
 		pick, refusal := serve(b, start, request(fmt.Sprint(k)), placement.Served)
 		assert.Assert(t, refusal == nil)
@@ -248,7 +248,7 @@
 func TestOnlyAllowedRegionsAreChosen(t *testing.T) {
 	all := append(targets(2, "centro"), targets(2, "sur")...)
 	b := newBalancer("vm", all...)
-	b.SetLending(placement.Lending{service: {"centro": {"centro": 0.2, "sur": 0.8}}})
+	b.SetRegionSplit(placement.RegionSplit{service: {"centro": {"centro": 0.2, "sur": 0.8}}})
 	for k := range 100 {
 		r := request(fmt.Sprint(k))
 		r.Allowed = func(region steering.Region) bool { return region == "centro" }
--- a/steering/placement/plan.go
+++ b/steering/placement/plan.go
@@ -25,7 +25,7 @@
 	load map[steering.Region]float64
 }
 
-func newPlan(service steering.Service, now Lending, demand, pinned, capacity map[steering.Region]float64, regions int) *plan {
+func newPlan(service steering.Service, now RegionSplit, demand, pinned, capacity map[steering.Region]float64, regions int) *plan {
 	p := &plan{capacity: capacity, demand: demand, pinned: pinned, limit: utilizationLimit(sum(demand)+sum(pinned), sum(capacity)),
 		current: initialShares(capacity, demand, regions), goal: make(map[steering.Region]Shares), load: make(map[steering.Region]float64)}
 	if len(demand) == 0 {
--- a/steering/placement/replaced.go
+++ b/steering/placement/replaced.go
@@ -80,8 +80,8 @@
 	return names
 }
 
-// ReplacedToTell returns the targets to report to other entry VMs as replaced.
-func (b *Balancer) ReplacedToTell(now time.Time) []StartID {
+// ReplacedToReport returns the targets to report to other entry VMs as replaced.
+func (b *Balancer) ReplacedToReport(now time.Time) []StartID {
 	var starts []StartID
 	for start, at := range b.replaced.found {
 		if now.Sub(at) > replacedSharedFor {
@@ -95,9 +95,9 @@
 	return starts
 }
 
-// LearnReplaced closes targets that other entry VMs found to be replaced, and reports them to
+// MarkReplaced closes targets that other entry VMs found to be replaced, and reports them to
 // further VMs.
-func (b *Balancer) LearnReplaced(now time.Time, starts []StartID) {
+func (b *Balancer) MarkReplaced(now time.Time, starts []StartID) {
 	for _, start := range starts {
 		if s := b.replaced.declared[start]; s != nil {
 			b.replaced.add(now, s)
--- a/steering/placement/replaced_test.go
+++ b/steering/placement/replaced_test.go
@@ -28,8 +28,8 @@
 	b := NewBalancer("vm", "r")
 	all := []Target{declaredTarget(1), declaredTarget(2)}
 	b.SetTargets(all)
-	b.Began(now, all[0], "", false)
-	b.Ended(now, all[0], Report{Outcome: Replaced}, false, false)
+	b.RequestPlaced(now, all[0], "", false)
+	b.RequestEnded(now, all[0], Report{Outcome: Replaced}, false, false)
 	b.SetTargets(append(all, declaredTarget(3)))
 	assert.Equal(t, closedOf(b, now), 1, "a change of other targets must not open it")
 
@@ -38,7 +38,7 @@
 	b.SetTargets([]Target{moved, all[1]})
 	assert.Equal(t, closedOf(b, now), 0, "its address has changed")
 
-	b.LearnReplaced(now, []StartID{startIDOf(moved)})
+	b.MarkReplaced(now, []StartID{startIDOf(moved)})
 	assert.Equal(t, closedOf(b, now), 1)
 	moved.Generation = 2
 	b.SetTargets([]Target{moved, all[1]})
@@ -53,18 +53,18 @@
 	all := []Target{declaredTarget(1), declaredTarget(2)}
 	first.SetTargets(all)
 	second.SetTargets(all)
-	first.Began(now, all[1], "", false)
-	first.Ended(now, all[1], Report{Outcome: Replaced}, false, false)
-	reported := first.ReplacedToTell(now)
+	first.RequestPlaced(now, all[1], "", false)
+	first.RequestEnded(now, all[1], Report{Outcome: Replaced}, false, false)
+	reported := first.ReplacedToReport(now)
 	assert.DeepEqual(t, reported, []StartID{startIDOf(all[1])})
 
 	now = now.Add(time.Second)
-	second.LearnReplaced(now, append(reported, 17)) // one that it does not know
+	second.MarkReplaced(now, append(reported, 17)) // one that it does not know
 	assert.Equal(t, closedOf(second, now), 1)
-	assert.DeepEqual(t, second.ReplacedToTell(now), reported)
+	assert.DeepEqual(t, second.ReplacedToReport(now), reported)
 	now = now.Add(time.Second)
-	first.LearnReplaced(now, second.ReplacedToTell(now))
-	assert.Equal(t, len(first.ReplacedToTell(now)), 0, "a known replacement must not be reported forever")
+	first.MarkReplaced(now, second.ReplacedToReport(now))
+	assert.Equal(t, len(first.ReplacedToReport(now)), 0, "a known replacement must not be reported forever")
 }
 
 // The number of replaced targets in one heartbeat must be limited, however many there are, and a VM
@@ -81,12 +81,12 @@
 		second.SetTargets(all)
 		gone := rapid.IntRange(1, len(all)).Draw(t, "replaced")
 		for n := range gone {
-			first.Began(now, all[n], "", false)
-			first.Ended(now, all[n], Report{Outcome: Replaced}, false, false)
+			first.RequestPlaced(now, all[n], "", false)
+			first.RequestEnded(now, all[n], Report{Outcome: Replaced}, false, false)
 			if n%maxReplacedShared == maxReplacedShared-1 || n == gone-1 {
-				reported := first.ReplacedToTell(now)
+				reported := first.ReplacedToReport(now)
 				assert.Assert(t, len(reported) <= maxReplacedShared)
-				second.LearnReplaced(now, reported)
+				second.MarkReplaced(now, reported)
 				now = now.Add(2 * replacedSharedFor)
 			}
 		}
--- a/steering/placement/shed_test.go
+++ b/steering/placement/shed_test.go
@@ -23,8 +23,8 @@
 		all := targets(3, "centro")
 		b := newBalancer("vm", all...)
 		for range 8 {
-			b.Began(start, all[0], "k", false)
-			b.Ended(start, all[0], c.report, false, false)
+			b.RequestPlaced(start, all[0], "k", false)
+			b.RequestEnded(start, all[0], c.report, false, false)
 		}
 		assert.Equal(t, len(b.Ejected()) == 1, c.ejected, "%+v", c.report)
 		if c.ejected {
--- a/steering/placement/simulation_test.go
+++ b/steering/placement/simulation_test.go
@@ -100,7 +100,7 @@
 	targets   []placement.Target
 	servers   map[steering.Target]*simTarget
 	vms       map[steering.Region][]*placement.Balancer
-	lending   placement.Lending
+	lending   placement.RegionSplit
 	nextStep  time.Time
 	tallies   map[steering.Region]*tally
 	perTick   float64 // requests per region and tick
@@ -178,7 +178,7 @@
 	return entryVMs
 }
 
-// rebalance makes one step of NextLending for all entry VMs.
+// rebalance makes one step of NextRegionSplit for all entry VMs.
 func (p *simulation) rebalance() {
 	demand := make(map[steering.Region]placement.DemandOf)
 	for region, vms := range p.vms {
@@ -187,10 +187,10 @@
 			demand[region].AddAll(b.Demand(p.now))
 		}
 	}
-	p.lending = placement.NextLending(p.lending, placement.Situation{Demand: demand, Slots: p.entryVMs()[0].Slots(), Regions: len(targetsPerRegion), ShiftShare: 0.15})
+	p.lending = placement.NextRegionSplit(p.lending, placement.SplitInput{Demand: demand, Slots: p.entryVMs()[0].Slots(), Regions: len(targetsPerRegion), MaxRegionShift: 0.15})
 	for _, b := range p.entryVMs() {
-		b.Learn(placement.Runs(demand))
-		b.SetLending(p.lending)
+		b.SetServiceTimes(placement.Runs(demand))
+		b.SetRegionSplit(p.lending)
 	}
 }
 
@@ -211,14 +211,14 @@
 	p.tallies[region].requests++
 	p.workspaceTally(key).requests++
 	b := p.vms[region][p.random.IntN(p.perRegion)]
-	b.Arrived(p.now, service, "")
+	b.CountRequest(p.now, service, "")
 	pick, refusal := b.Choose(p.now, placement.Request{Service: service, Key: key, ID: key, Region: region, Aim: latencyObjective,
-		Left: 2 * time.Second, Rank: 1, Repeatable: true})
+		TimeLeft: 2 * time.Second, Rank: 1, Retryable: true})
 	if refusal != nil {
 		p.tallies[region].refused++
 		return
 	}
-	b.Began(p.now, pick.Target, key, pick.Trial)
+	b.RequestPlaced(p.now, pick.Target, key, pick.Trial)
 	s := p.servers[pick.Target.Name]
 	s.waiting = append(s.waiting, &job{vm: b, region: region, pick: pick, key: key, sent: p.now})
 }
@@ -235,8 +235,8 @@
 				p.tallies[j.region].inTime++
 				p.workspaceTally(j.key).inTime++
 			}
-			report := placement.Report{Outcome: placement.Served, Took: took, LoadKnown: true, Running: len(s.running), Waiting: len(s.waiting)}
-			j.vm.Ended(p.now, j.pick.Target, report, j.pick.Trial, j.pick.Wait > 0)
+			report := placement.Report{Outcome: placement.Served, Latency: took, LoadKnown: true, Running: len(s.running), Waiting: len(s.waiting)}
+			j.vm.RequestEnded(p.now, j.pick.Target, report, j.pick.Trial, j.pick.Wait > 0)
 		}
 	}
 }
--- a/steering/placement/types.go
+++ b/steering/placement/types.go
@@ -39,12 +39,12 @@
 	// Aim is the time from now within which the answer has its full value to the caller: the rest
 	// of the request's latency objective. Zero means no objective.
 	Aim time.Duration
-	// Left is the time from now until the request's deadline. Zero means no deadline.
-	Left time.Duration
+	// TimeLeft is the time from now until the request's deadline. Zero means no deadline.
+	TimeLeft time.Duration
 	// Rank is the priority among the requests of a service; 0 is the highest.
 	Rank int
-	// Repeatable marks an idempotent request, which may be used to probe an ejected target.
-	Repeatable bool
+	// Retryable marks an idempotent request, which may be used to probe an ejected target.
+	Retryable bool
 	// Tried holds the targets that have already refused or failed the request.
 	Tried []steering.Target
 }
@@ -56,14 +56,14 @@
 	Expected time.Duration
 	// Wait is the part of Expected that the request waits for a slot.
 	Wait time.Duration
-	// Warm is the service time for warm keys of the service; 0 if none was observed yet.
-	Warm time.Duration
+	// WarmRunTime is the service time for warm keys of the service; 0 if none was observed yet.
+	WarmRunTime time.Duration
 	// Rank is the target's position in the key's order; 0 is the first.
 	Rank int
 	// Trial marks a probe: a request that is sent to an ejected target.
 	Trial bool
-	// Away marks a request that runs outside the entry VM's region.
-	Away bool
+	// OtherRegion marks a request that runs outside the entry VM's region.
+	OtherRegion bool
 }
 
 // Refusal says why no target was chosen.
@@ -73,8 +73,8 @@
 	RetryAfter time.Duration
 	// Wait is the shortest predicted wait for a slot.
 	Wait time.Duration
-	// Warm is the service time for warm keys of the service; 0 if none was observed yet.
-	Warm time.Duration
+	// WarmRunTime is the service time for warm keys of the service; 0 if none was observed yet.
+	WarmRunTime time.Duration
 }
 
 // Outcome is how an exchange with a target ended.
@@ -108,8 +108,8 @@
 // Report is the result of a completed exchange.
 type Report struct {
 	Outcome Outcome
-	// Took is the time from sending the request to the answer.
-	Took time.Duration
+	// Latency is the time from sending the request to the answer.
+	Latency time.Duration
 	// LoadKnown reports whether the target reported its load: the requests that it runs and that
 	// wait there, not counting this one.
 	LoadKnown bool
--- a/steering/routes/table.go
+++ b/steering/routes/table.go
@@ -35,9 +35,9 @@
 	return "unknown"
 }
 
-// Repeatable reports whether a request may be sent again without proof that it has not been
+// Retryable reports whether a request may be sent again without proof that it has not been
 // executed.
-func (k Kind) Repeatable() bool { return k == Idempotent }
+func (k Kind) Retryable() bool { return k == Idempotent }
 
 // Part is a service with its weight in a traffic split.
 type Part struct {
