--- a/node/gateway/catchup/call.go
+++ b/node/gateway/catchup/call.go
@@ -31,7 +31,7 @@
 }
 
 // call requests a piece from the peer at an address.
-func (t *transfer) call(ctx context.Context, address string, need spread.Need) (result callResult, err error) {
+func (t *transfer) call(ctx context.Context, address string, need spread.Request) (result callResult, err error) {
 	body, err := cbor.Marshal(need)
 	if err != nil {
 		return result, errors.Wrap(err, "catchup: encode request")
--- a/node/gateway/catchup/catchup_test.go
+++ b/node/gateway/catchup/catchup_test.go
@@ -81,7 +81,7 @@
 func newPeer(t *testing.T, x *spread.Index, intercept func(n int64, w http.ResponseWriter) bool) *peer {
 	t.Helper()
 	p := &peer{}
-	handler := &catchup.Handler{Index: func() *spread.Index { return x }, Room: spread.NewRoom(1000), Scope: tally.NoopScope, Log: log.NewNopLogger()}
+	handler := &catchup.Handler{Index: func() *spread.Index { return x }, SendLimiter: spread.NewSendLimiter(1000), Scope: tally.NoopScope, Log: log.NewNopLogger()}
 	p.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if n := p.requests.Add(1); intercept != nil && intercept(n, w) {
 			return
@@ -97,7 +97,7 @@
 func runUntilCurrent(t *testing.T, r *reader, peers func() []*peer, scope tally.Scope) time.Duration {
 	t.Helper()
 	f := catchup.NewFetcher(catchup.Config{Reader: r, HTTP: &http.Client{}, Self: "self", PieceBytes: 32 << 10, Scope: scope, Log: log.NewNopLogger(),
-		Asker: func() spread.Asker { return spread.Asker{} },
+		Requester: func() spread.Requester { return spread.Requester{} },
 		Peers: func(uint64) []catchup.Peer {
 			var all []catchup.Peer
 			for n, p := range peers() {
@@ -230,13 +230,13 @@
 // the link.
 func TestRefusedRequestsAreSmall(t *testing.T) {
 	x := index(9, 4200)
-	room := spread.NewRoom(10)
+	room := spread.NewSendLimiter(10)
 	for _, other := range []string{"first", "second"} {
-		_, ok := room.Turn(time.Now(), spread.Ask{From: other, Piece: 60_000})
+		_, ok := room.Turn(time.Now(), spread.LinkLoad{From: other, Piece: 60_000})
 		assert.Assert(t, ok)
 	}
 	var refusedBytes, refused atomic.Int64
-	handler := &catchup.Handler{Index: func() *spread.Index { return x }, Room: room, Scope: tally.NoopScope, Log: log.NewNopLogger()}
+	handler := &catchup.Handler{Index: func() *spread.Index { return x }, SendLimiter: room, Scope: tally.NoopScope, Log: log.NewNopLogger()}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		recorder := httptest.NewRecorder()
 		handler.ServeHTTP(recorder, r)
@@ -263,7 +263,7 @@
 	var version atomic.Uint64
 	version.Store(9)
 	r := &reader{newest: 9, inForce: index(6, 10)}
-	handler := &catchup.Handler{Index: func() *spread.Index { return index(version.Load(), 2000) }, Room: spread.NewRoom(1000), Scope: tally.NoopScope, Log: log.NewNopLogger()}
+	handler := &catchup.Handler{Index: func() *spread.Index { return index(version.Load(), 2000) }, SendLimiter: spread.NewSendLimiter(1000), Scope: tally.NoopScope, Log: log.NewNopLogger()}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		handler.ServeHTTP(w, req)
 		r.mu.Lock()
@@ -272,7 +272,7 @@
 	}))
 	t.Cleanup(server.CloseClientConnections)
 	f := catchup.NewFetcher(catchup.Config{Reader: r, HTTP: &http.Client{}, Self: "self", PieceBytes: 32 << 10, Scope: tally.NoopScope, Log: log.NewNopLogger(),
-		Asker: func() spread.Asker { return spread.Asker{} },
+		Requester: func() spread.Requester { return spread.Requester{} },
 		Peers: func(uint64) []catchup.Peer {
 			return []catchup.Peer{{Source: spread.Source{VM: "peer", Version: version.Load()}, Address: strings.TrimPrefix(server.URL, "http://")}}
 		}})
--- a/node/gateway/catchup/fetcher.go
+++ b/node/gateway/catchup/fetcher.go
@@ -61,9 +61,10 @@
 	Reader Reader
 	// Peers returns the VMs whose configuration is newer than the version above.
 	Peers func(above uint64) []Peer
-	// Asker returns this VM's zone and region, and its rank among the VMs that fetch from peers.
-	Asker func() spread.Asker
-	HTTP  *http.Client
+	// Requester returns this VM's zone and region, and its rank among the VMs that fetch from
+	// peers.
+	Requester func() spread.Requester
+	HTTP      *http.Client
 	// Self is the name of this VM.
 	Self steering.VM
 	// PieceBytes is the size of the piece to request at once, before compression.
@@ -106,7 +107,7 @@
 // transfer is the state of one catch-up, which ends when the newest configuration is active.
 type transfer struct {
 	*Fetcher
-	assembler *spread.Draft
+	assembler *spread.Assembler
 	// avoidUntil holds the time until which a peer is skipped, by peer; busy marks the peers
 	// that are skipped because they had no link capacity left.
 	avoidUntil map[steering.VM]time.Time
@@ -118,7 +119,7 @@
 }
 
 func (f *Fetcher) catchUp(ctx context.Context) {
-	t := &transfer{Fetcher: f, assembler: spread.NewDraft(), avoidUntil: make(map[steering.VM]time.Time),
+	t := &transfer{Fetcher: f, assembler: spread.NewAssembler(), avoidUntil: make(map[steering.VM]time.Time),
 		busy: make(map[steering.VM]bool), progress: time.Now()}
 	defer f.progress.Store(nil)
 	for ctx.Err() == nil {
@@ -126,7 +127,7 @@
 		if !behind {
 			return
 		}
-		t.assembler.Base(f.cfg.Reader.Index())
+		t.assembler.SetBase(f.cfg.Reader.Index())
 		peer, found := t.choosePeer(behindFor)
 		if !found {
 			t.publishProgress(t.waitReason(time.Now()))
@@ -154,9 +155,9 @@
 		byVM[p.VM] = p
 		sources = append(sources, p.Source)
 	}
-	requester := t.cfg.Asker()
-	requester.Waited, requester.Place = behindFor, t.slotHolder
-	source, found := spread.Choose(requester, sources, rand.IntN)
+	requester := t.cfg.Requester()
+	requester.Waited, requester.SlotHolder = behindFor, t.slotHolder
+	source, found := spread.ChooseSource(requester, sources, rand.IntN)
 	return byVM[source.VM], found
 }
 
@@ -176,10 +177,10 @@
 // fetchFrom requests the next piece from a peer. A request that is long because of its hashes is
 // sent only to a peer that reserves a slot for this VM; other peers are asked for a slot first.
 func (t *transfer) fetchFrom(ctx context.Context, peer Peer) {
-	need := t.assembler.Need(t.cfg.PieceBytes)
+	need := t.assembler.Request(t.cfg.PieceBytes)
 	need.From = t.cfg.Self
-	if peer.VM != t.slotHolder && !need.Short() {
-		need = need.Place()
+	if peer.VM != t.slotHolder && !need.IsShort() {
+		need = need.SlotRequest()
 	}
 	began := time.Now()
 	delete(t.busy, peer.VM)
@@ -189,7 +190,7 @@
 		t.cfg.OnResponse(peer, result.bytes)
 	}
 	if err == nil {
-		err = t.assembler.Take(result.piece)
+		err = t.assembler.Apply(result.piece)
 	}
 	switch {
 	case err == nil:
@@ -208,7 +209,7 @@
 	if ctx.Err() != nil {
 		return
 	}
-	missing, total := t.assembler.Left()
+	missing, total := t.assembler.Remaining()
 	_ = t.cfg.Log.Log("msg", "peer did not tell the configuration", "peer", peer.VM, "config", need.Version, "got_bytes", result.bytes,
 		"took_ms", time.Since(began).Milliseconds(), "parts_missing", missing, "parts", total, "err", err) // the log writer counts dropped lines
 }
--- a/node/gateway/catchup/golden_internal_test.go
+++ b/node/gateway/catchup/golden_internal_test.go
@@ -43,7 +43,7 @@
 
 // ask sends a request to a test peer that responds with reply, and returns the request body and
 // the decoded response.
-func ask(t *testing.T, need spread.Need, reply func(http.ResponseWriter)) (question []byte, got callResult, err error) {
+func ask(t *testing.T, need spread.Request, reply func(http.ResponseWriter)) (question []byte, got callResult, err error) {
 	t.Helper()
 	peer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		assert.Check(t, r.Method == "POST" && r.RequestURI == "/v1/config", "%s %s", r.Method, r.RequestURI)
@@ -59,8 +59,8 @@
 // Guards against requests that old and new entry VMs decode differently: peers would not send the
 // missing pieces, and a VM would stay behind.
 func TestGoldenQuestions(t *testing.T) {
-	for name, need := range map[string]spread.Need{
-		"full": {Version: 1<<63 + 1, Rest: true, Buckets: []spread.BucketNeed{{Number: 2, Have: []uint64{1<<62 + 3, 4}}, {Number: 5}},
+	for name, need := range map[string]spread.Request{
+		"full": {Version: 1<<63 + 1, Rest: true, Buckets: []spread.BucketRequest{{Number: 2, Have: []uint64{1<<62 + 3, 4}}, {Number: 5}},
 			Bytes: 1<<19 + 6, More: true, From: "vm-1"},
 		"outline": {Bytes: 7, From: "vm-1"},
 		"empty":   {},
@@ -110,7 +110,7 @@
 				golden.Assert(t, hexText(packed), "golden/piece-"+name+"-packed.hex")
 			}
 			stored := fromHex(t, "golden/piece-"+name+"-packed.hex")
-			_, got, err := ask(t, spread.Need{}, func(w http.ResponseWriter) { _, _ = w.Write(stored) }) // a failed write shows in the decoded piece
+			_, got, err := ask(t, spread.Request{}, func(w http.ResponseWriter) { _, _ = w.Write(stored) }) // a failed write shows in the decoded piece
 			assert.NilError(t, err)
 			assert.Assert(t, reflect.DeepEqual(got.piece, piece), "%+v", got.piece)
 		})
@@ -123,7 +123,7 @@
 	w := httptest.NewRecorder()
 	(&Handler{Scope: tally.NoopScope}).refuse(w, 249*time.Millisecond)
 	golden.Assert(t, fmt.Sprintf("%d\nHeatherlock-Wait-Ms: %s\n", w.Code, w.Header().Get("Heatherlock-Wait-Ms")), "golden/refusal.txt")
-	_, got, err := ask(t, spread.Need{}, func(w http.ResponseWriter) {
+	_, got, err := ask(t, spread.Request{}, func(w http.ResponseWriter) {
 		w.Header().Set("Heatherlock-Wait-Ms", "250")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
--- a/node/gateway/catchup/handler.go
+++ b/node/gateway/catchup/handler.go
@@ -29,12 +29,12 @@
 type Handler struct {
 	// Index returns the active configuration, or nil.
 	Index func() *spread.Index
-	// Room limits what this VM sends to peers, and to how many of them at a time.
-	Room  *spread.Room
-	Scope tally.Scope
-	Log   log.Logger
+	// SendLimiter limits what this VM sends to peers, and to how many of them at a time.
+	SendLimiter *spread.SendLimiter
+	Scope       tally.Scope
+	Log         log.Logger
 
-	recent spread.Recent
+	recent spread.RecentVersions
 }
 
 // ServeHTTP implements http.Handler.
@@ -50,7 +50,7 @@
 		return
 	}
 	index := h.recent.Find(time.Now(), active, need.Version)
-	if retryAfter, ok := h.Room.Turn(time.Now(), index.Turn(need)); !ok {
+	if retryAfter, ok := h.SendLimiter.Turn(time.Now(), index.Turn(need)); !ok {
 		h.refuse(w, retryAfter)
 		return
 	}
@@ -62,7 +62,7 @@
 		return
 	}
 	load.Bytes = len(raw)
-	if retryAfter, ok := h.Room.Promise(time.Now(), load); !ok {
+	if retryAfter, ok := h.SendLimiter.Reserve(time.Now(), load); !ok {
 		h.refuse(w, retryAfter)
 		return
 	}
@@ -81,8 +81,8 @@
 	http.Error(w, "the link is full; come back, or ask another entry VM", http.StatusServiceUnavailable)
 }
 
-func readNeed(w http.ResponseWriter, r *http.Request) (spread.Need, error) {
-	var need spread.Need
+func readNeed(w http.ResponseWriter, r *http.Request) (spread.Request, error) {
+	var need spread.Request
 	if err := cbor.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(&need); err != nil {
 		return need, errors.Wrap(err, "send what is needed as CBOR")
 	}
--- a/node/gateway/catchup/progress.go
+++ b/node/gateway/catchup/progress.go
@@ -52,7 +52,7 @@
 
 // publishProgress makes the transfer's state available to Fetcher.Progress.
 func (t *transfer) publishProgress(w Wait) {
-	missing, total := t.assembler.Left()
+	missing, total := t.assembler.Remaining()
 	t.Fetcher.progress.Store(&Progress{Version: t.assembler.Version(), Missing: missing, Total: total, Wait: w})
 }
 
--- a/node/gateway/config.go
+++ b/node/gateway/config.go
@@ -61,12 +61,12 @@
 
 // newConfigHandler returns the handler that serves the configuration to peers.
 func (g *Gateway) newConfigHandler() *catchup.Handler {
-	return &catchup.Handler{Index: g.reader.Index, Room: g.sendLimiter, Scope: g.metrics.Scope, Log: g.log}
+	return &catchup.Handler{Index: g.reader.Index, SendLimiter: g.sendLimiter, Scope: g.metrics.Scope, Log: g.log}
 }
 
 // newFetcher returns the fetcher of newer configurations, whose traffic is metered by distance.
 func (g *Gateway) newFetcher() *catchup.Fetcher {
-	return catchup.NewFetcher(catchup.Config{Reader: g.reader, Peers: g.peersWithNewer, Asker: g.requester, HTTP: g.peerClient,
+	return catchup.NewFetcher(catchup.Config{Reader: g.reader, Peers: g.peersWithNewer, Requester: g.requester, HTTP: g.peerClient,
 		Self: g.settings.VM, PieceBytes: spread.PieceBytes(g.settings.LinkMbps), Scope: g.metrics.Scope, Log: g.log,
 		OnResponse: func(from catchup.Peer, bytes int64) {
 			g.meter.Count(volume.Configuration, volume.Place{Zone: from.Zone, Region: from.Region}, bytes)
@@ -85,7 +85,7 @@
 
 // requester returns the zone and region of this VM, and how many live VMs in each of them fetch
 // before it.
-func (g *Gateway) requester() spread.Asker {
+func (g *Gateway) requester() spread.Requester {
 	zone, region := g.fleet.AskRank()
-	return spread.Asker{Zone: g.settings.Zone, Region: g.settings.Region, ZoneRank: zone, RegionRank: region}
+	return spread.Requester{Zone: g.settings.Zone, Region: g.settings.Region, ZoneRank: zone, RegionRank: region}
 }
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -58,7 +58,7 @@
 	fleet       *fleet.Fleet
 	reader      *feed.Reader
 	fetcher     *catchup.Fetcher
-	sendLimiter *spread.Room // limits what this VM sends to peers
+	sendLimiter *spread.SendLimiter // limits what this VM sends to peers
 	peerClient  *http.Client
 	pulling     atomic.Bool
 	callers     *callers.Server
@@ -113,7 +113,7 @@
 	state := feed.NewState(time.Duration(settings.HeartbeatMs)*time.Millisecond, settings.Zones)
 	g.reader = feed.NewReader(g.store, g, state, readerPeers{g}, logger)
 	g.peerClient = newPeerClient()
-	g.sendLimiter = spread.NewRoom(settings.LinkMbps)
+	g.sendLimiter = spread.NewSendLimiter(settings.LinkMbps)
 	g.fetcher = g.newFetcher()
 	g.applyBounds(b)
 	return g, g.newFleet()
--- a/node/gateway/peersync.go
+++ b/node/gateway/peersync.go
@@ -186,7 +186,7 @@
 			return
 		}
 		update := g.reader.UpdateSince(since)
-		if _, ok := g.sendLimiter.Promise(time.Now(), spread.Ask{Bytes: entryBytes * len(update.Entries), Outline: true}); !ok {
+		if _, ok := g.sendLimiter.Reserve(time.Now(), spread.LinkLoad{Bytes: entryBytes * len(update.Entries), Outline: true}); !ok {
 			g.metrics.Scope.Counter("gateway_targets_asked_in_vain").Inc(1)
 			http.Error(w, "the link is full; ask another entry VM", http.StatusServiceUnavailable)
 			return
--- a/steering/spread/choose.go
+++ b/steering/spread/choose.go
@@ -24,35 +24,35 @@
 	Version uint64
 }
 
-// Asker is the entry VM that requests the newer configuration.
-type Asker struct {
+// Requester is the entry VM that requests the newer configuration.
+type Requester struct {
 	Zone   steering.Zone
 	Region steering.Region
 	// ZoneRank and RegionRank are the numbers of live VMs in its zone and region that ask first.
 	ZoneRank, RegionRank int
 	// Waited is how long the VM has known that a newer configuration exists.
 	Waited time.Duration
-	// Place is the VM that has reserved a slot for it; empty if none has.
-	Place steering.VM
+	// SlotHolder is the VM that has reserved a slot for it; empty if none has.
+	SlotHolder steering.VM
 }
 
-// Choose returns the VM to ask, or false if the asker should not ask any yet. It prefers VMs in the
-// asker's zone, then in its region, then any. Among equally near ones it returns the VM that has
-// reserved a slot for the asker, since no other VM can use that slot meanwhile, or a random one.
-// draw returns a random number from 0 to n-1. All sources must have a newer configuration than the
-// asker.
+// ChooseSource returns the VM to ask, or false if the asker should not ask any yet. It prefers VMs
+// in the asker's zone, then in its region, then any. Among equally near ones it returns the VM that
+// has reserved a slot for the asker, since no other VM can use that slot meanwhile, or a random
+// one. draw returns a random number from 0 to n-1. All sources must have a newer configuration than
+// the asker.
 //
 // If all VMs asked the first one that has the configuration, its link and the links between regions
 // would carry as many copies as there are VMs. While versions follow each other quickly, only few
 // VMs have the newest one, so that any newer version is accepted.
-func Choose(a Asker, all []Source, draw func(n int) int) (Source, bool) {
+func ChooseSource(a Requester, all []Source, draw func(n int) int) (Source, bool) {
 	allowed := initialAskers * (1 + int(a.Waited/wideningInterval))
 	for _, inScope := range []func(Source) bool{
 		func(s Source) bool { return s.Zone == a.Zone },
 		func(s Source) bool { return s.Region == a.Region && a.ZoneRank < allowed },
 		func(Source) bool { return a.RegionRank < allowed },
 	} {
-		reserved := slices.IndexFunc(all, func(s Source) bool { return s.VM == a.Place && inScope(s) })
+		reserved := slices.IndexFunc(all, func(s Source) bool { return s.VM == a.SlotHolder && inScope(s) })
 		if reserved >= 0 {
 			return all[reserved], true
 		}
--- a/steering/spread/draft.go
+++ b/steering/spread/draft.go
@@ -21,8 +21,9 @@
 	return fmt.Sprintf("spread: invalid part of configuration %d: %s; ask another entry VM", e.Version, e.Problem)
 }
 
-// Draft is a configuration that is being assembled from pieces. It is not safe for concurrent use.
-type Draft struct {
+// Assembler is a configuration that is being assembled from pieces. It is not safe for concurrent
+// use.
+type Assembler struct {
 	// known holds all items of the configuration in force and all that were received, by the hash
 	// of their content.
 	known   map[uint64]item
@@ -38,11 +39,11 @@
 	knownByBucket [][]item
 }
 
-// NewDraft returns an empty draft.
-func NewDraft() *Draft { return &Draft{known: make(map[uint64]item)} }
+// NewAssembler returns an empty draft.
+func NewAssembler() *Assembler { return &Assembler{known: make(map[uint64]item)} }
 
-// Base sets the configuration in force, whose items need not be fetched. It may be nil.
-func (d *Draft) Base(base *Index) {
+// SetBase sets the configuration in force, whose items need not be fetched. It may be nil.
+func (d *Assembler) SetBase(base *Index) {
 	if base == nil || base == d.base {
 		return
 	}
@@ -62,17 +63,17 @@
 	return &Rest{Services: slices.Collect(maps.Values(t.Services)), Limits: t.Limits}
 }
 
-func (d *Draft) setRest(r *Rest) {
+func (d *Assembler) setRest(r *Rest) {
 	d.rest = r
 	d.restHash = hashOfRest(routes.NewTable(0, nil, r.Services, r.Limits))
 }
 
 // Version returns the version that is being assembled, or 0 before the first outline.
-func (d *Draft) Version() uint64 { return d.outline.Version }
+func (d *Assembler) Version() uint64 { return d.outline.Version }
 
 // SetOutline sets the outline of the version to assemble, if it is newer than the current one.
 // Items that are known already are kept.
-func (d *Draft) SetOutline(o Outline) {
+func (d *Assembler) SetOutline(o Outline) {
 	count := len(o.Buckets)
 	if o.Version <= d.outline.Version || count == 0 || count&(count-1) != 0 {
 		return
@@ -82,7 +83,7 @@
 }
 
 // findMissing determines which buckets of the outline are missing.
-func (d *Draft) findMissing() {
+func (d *Assembler) findMissing() {
 	count := len(d.outline.Buckets)
 	if count == 0 {
 		return
@@ -107,7 +108,7 @@
 }
 
 // baseBuckets returns the items in force, divided into count buckets.
-func (d *Draft) baseBuckets(count int) [][]item {
+func (d *Assembler) baseBuckets(count int) [][]item {
 	if d.base == nil {
 		return nil
 	}
@@ -122,15 +123,15 @@
 // would be sent for nothing.
 const minBytesPerBucket = 2 << 10
 
-// Need returns the next request, for an answer of about the given number of bytes.
-func (d *Draft) Need(bytes int) Need {
-	need := Need{Version: d.outline.Version, Bytes: bytes}
+// Request returns the next request, for an answer of about the given number of bytes.
+func (d *Assembler) Request(bytes int) Request {
+	need := Request{Version: d.outline.Version, Bytes: bytes}
 	if d.outline.Version == 0 {
 		return need
 	}
 	need.Rest = d.restMissing()
 	for _, n := range d.missing[:min(len(d.missing), max(1, bytes/minBytesPerBucket))] {
-		b := BucketNeed{Number: n}
+		b := BucketRequest{Number: n}
 		for _, e := range d.knownByBucket[n] {
 			b.Have = append(b.Have, e.hash)
 		}
@@ -140,11 +141,11 @@
 	return need
 }
 
-func (d *Draft) restMissing() bool { return d.rest == nil || d.restHash != d.outline.Rest }
+func (d *Assembler) restMissing() bool { return d.rest == nil || d.restHash != d.outline.Rest }
 
-// Take applies a piece. Items of a piece that is rejected are kept, since each is identified by its
-// content.
-func (d *Draft) Take(p Piece) error {
+// Apply applies a piece. Items of a piece that is rejected are kept, since each is identified by
+// its content.
+func (d *Assembler) Apply(p Piece) error {
 	if p.Outline != nil {
 		if p.Outline.Version < d.outline.Version {
 			return &PieceError{Version: p.Outline.Version, Problem: "the peer has an older version"}
@@ -166,7 +167,7 @@
 	return nil
 }
 
-func (d *Draft) applyBucket(b BucketPiece) error {
+func (d *Assembler) applyBucket(b BucketPiece) error {
 	at := slices.Index(d.missing, b.Number)
 	if at < 0 {
 		return nil // already complete
@@ -196,7 +197,7 @@
 
 // addItem keeps an item received for a bucket and returns the item to use: the known one if there
 // is one with the same content.
-func (d *Draft) addItem(bucket int, e item) item {
+func (d *Assembler) addItem(bucket int, e item) item {
 	if known, found := d.known[e.hash]; found {
 		return known
 	}
@@ -206,15 +207,15 @@
 }
 
 // Done reports whether the configuration is complete.
-func (d *Draft) Done() bool {
+func (d *Assembler) Done() bool {
 	return d.outline.Version > 0 && len(d.missing) == 0 && !d.restMissing()
 }
 
-// Left returns the number of missing buckets and the number of all buckets.
-func (d *Draft) Left() (missing, total int) { return len(d.missing), len(d.outline.Buckets) }
+// Remaining returns the number of missing buckets and the number of all buckets.
+func (d *Assembler) Remaining() (missing, total int) { return len(d.missing), len(d.outline.Buckets) }
 
 // Index returns the assembled configuration. It must be called only if Done returns true.
-func (d *Draft) Index() *Index {
+func (d *Assembler) Index() *Index {
 	x := &Index{outline: d.outline, buckets: make([][]item, len(d.outline.Buckets))}
 	var all []*routes.Route
 	var workspaces []*identity.Workspace
--- a/steering/spread/fleet_test.go
+++ b/steering/spread/fleet_test.go
@@ -22,16 +22,16 @@
 		if megabits == 0 {
 			rate = 10e6 / 8
 		}
-		room := spread.NewRoom(megabits)
+		room := spread.NewSendLimiter(megabits)
 		start := time.Unix(1000, 0)
 		now, reserved, largest := start, 0.0, 0.0
 		for range rapid.IntRange(1, 200).Draw(t, "asked") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
 			bytes := rapid.IntRange(1, 400_000).Draw(t, "bytes")
-			ask := spread.Ask{From: fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "asker")), Bytes: bytes, Piece: 60_000,
+			ask := spread.LinkLoad{From: fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "asker")), Bytes: bytes, Piece: 60_000,
 				Outline: rapid.Bool().Draw(t, "outline"), Last: rapid.Bool().Draw(t, "end")}
 			for {
-				wait, ok := room.Promise(now, ask)
+				wait, ok := room.Reserve(now, ask)
 				if ok {
 					break
 				}
@@ -52,30 +52,30 @@
 	}
 	mate, near, far := source("mate", "a", "r", 5), source("near", "b", "r", 5), source("far", "c", "s", 5)
 	first := func(int) int { return 0 }
-	chosen := func(a spread.Asker, all ...spread.Source) steering.VM {
+	chosen := func(a spread.Requester, all ...spread.Source) steering.VM {
 		a.Zone, a.Region = "a", "r"
-		s, _ := spread.Choose(a, all, first)
+		s, _ := spread.ChooseSource(a, all, first)
 		return s.VM
 	}
-	assert.Equal(t, chosen(spread.Asker{}, far, near, mate), steering.VM("mate"))
-	assert.Equal(t, chosen(spread.Asker{}, far, near), steering.VM("near"))
-	assert.Equal(t, chosen(spread.Asker{}, far), steering.VM("far"))
-	behind := spread.Asker{ZoneRank: 2, RegionRank: 2}
+	assert.Equal(t, chosen(spread.Requester{}, far, near, mate), steering.VM("mate"))
+	assert.Equal(t, chosen(spread.Requester{}, far, near), steering.VM("near"))
+	assert.Equal(t, chosen(spread.Requester{}, far), steering.VM("far"))
+	behind := spread.Requester{ZoneRank: 2, RegionRank: 2}
 	assert.Equal(t, chosen(behind, far, near), steering.VM(""), "other VMs of its zone ask first")
 	behind.Waited = 200 * time.Millisecond
 	assert.Equal(t, chosen(behind, far, near), steering.VM("near"), "the VMs that ask first may be slow or stopped")
 	newer := source("newer", "a", "r", 7)
 	drawn := make(map[steering.VM]bool)
 	for n := range 2 {
-		s, ok := spread.Choose(spread.Asker{Zone: "a", Region: "r"}, []spread.Source{far, mate, near, newer}, func(of int) int { return n % of })
+		s, ok := spread.ChooseSource(spread.Requester{Zone: "a", Region: "r"}, []spread.Source{far, mate, near, newer}, func(of int) int { return n % of })
 		assert.Assert(t, ok)
 		drawn[s.VM] = true
 	}
 	assert.DeepEqual(t, drawn, map[steering.VM]bool{"mate": true, "newer": true})
 	for _, draw := range []func(int) int{first, func(of int) int { return of - 1 }} {
-		s, _ := spread.Choose(spread.Asker{Zone: "a", Region: "r", Place: "mate"}, []spread.Source{mate, newer}, draw)
+		s, _ := spread.ChooseSource(spread.Requester{Zone: "a", Region: "r", SlotHolder: "mate"}, []spread.Source{mate, newer}, draw)
 		assert.Equal(t, s.VM, steering.VM("mate"), "it has reserved a slot")
-		s, _ = spread.Choose(spread.Asker{Zone: "a", Region: "r", Place: "far"}, []spread.Source{far, newer}, draw)
+		s, _ = spread.ChooseSource(spread.Requester{Zone: "a", Region: "r", SlotHolder: "far"}, []spread.Source{far, newer}, draw)
 		assert.Equal(t, s.VM, steering.VM("newer"), "a VM in its own zone is nearer")
 	}
 }
--- a/steering/spread/piece.go
+++ b/steering/spread/piece.go
@@ -8,14 +8,14 @@
 	"heatherlock/steering/routes"
 )
 
-// Need is a request to a peer. Without a version it requests the outline; with a version and
+// Request is a request to a peer. Without a version it requests the outline; with a version and
 // nothing else it requests a slot for sending.
-type Need struct {
+type Request struct {
 	// Version is the version that the VM assembles.
 	Version uint64
 	// Rest requests everything that is neither a route nor a workspace.
 	Rest    bool
-	Buckets []BucketNeed
+	Buckets []BucketRequest
 	// Bytes limits the size of the answer before compression. The last bucket may exceed it.
 	Bytes int
 	// More says that other buckets are missing as well.
@@ -24,8 +24,8 @@
 	From steering.VM
 }
 
-// BucketNeed requests a bucket and holds the hashes of its items that the VM already has.
-type BucketNeed struct {
+// BucketRequest requests a bucket and holds the hashes of its items that the VM already has.
+type BucketRequest struct {
 	_      struct{} `cbor:",toarray"`
 	Number int
 	Have   []uint64
@@ -147,8 +147,8 @@
 // narrow link transfers them in less than a round trip.
 const maxShortRequest = 2 << 10
 
-// Short reports whether the request may be sent without a reserved slot.
-func (n Need) Short() bool {
+// IsShort reports whether the request may be sent without a reserved slot.
+func (n Request) IsShort() bool {
 	hashes := 0
 	for _, b := range n.Buckets {
 		hashes += len(b.Have)
@@ -156,24 +156,26 @@
 	return hashes*encodedHashBytes <= maxShortRequest
 }
 
-// Place returns the request for a slot at a VM, which precedes the request for parts.
+// SlotRequest returns the request for a slot at a VM, which precedes the request for parts.
 //
 // For a large configuration, a request for parts contains as many bytes of hashes as the answer
 // contains of routes. Requests that are rejected would fill the link of the VM that all others ask.
-func (n Need) Place() Need { return Need{Version: n.Version, Bytes: n.Bytes, From: n.From} }
+func (n Request) SlotRequest() Request {
+	return Request{Version: n.Version, Bytes: n.Bytes, From: n.From}
+}
 
 // isSlotRequest reports whether the request is for a slot.
-func (n Need) isSlotRequest() bool { return n.Version > 0 && !n.Rest && len(n.Buckets) == 0 }
+func (n Request) isSlotRequest() bool { return n.Version > 0 && !n.Rest && len(n.Buckets) == 0 }
 
 // Turn returns the load that the answer to a request puts on the link, as far as it is known before
 // the answer is created.
-func (x *Index) Turn(need Need) Ask {
-	return Ask{From: string(need.From), Piece: need.Bytes / compressionRatio, Outline: need.Version != x.table.Version}
+func (x *Index) Turn(need Request) LinkLoad {
+	return LinkLoad{From: string(need.From), Piece: need.Bytes / compressionRatio, Outline: need.Version != x.table.Version}
 }
 
 // Answer returns the piece for a request within its size limit, and the load that it puts on the
 // link, in bytes before compression. The piece contains at least one of the requested buckets.
-func (x *Index) Answer(need Need) (Piece, Ask) {
+func (x *Index) Answer(need Request) (Piece, LinkLoad) {
 	p := Piece{Version: x.table.Version}
 	ask := x.Turn(need)
 	if ask.Outline {
@@ -204,7 +206,7 @@
 	return p, ask
 }
 
-func (x *Index) answerBucket(need BucketNeed) (p BucketPiece, bytes int) {
+func (x *Index) answerBucket(need BucketRequest) (p BucketPiece, bytes int) {
 	had := make(map[uint64]bool, len(need.Have))
 	for _, hash := range need.Have {
 		had[hash] = true
--- a/steering/spread/recent.go
+++ b/steering/spread/recent.go
@@ -14,8 +14,8 @@
 	maxReplaced = 6
 )
 
-// Recent keeps the configurations that were recently in force, for VMs that have begun to fetch one
-// of them.
+// RecentVersions keeps the configurations that were recently in force, for VMs that have begun to
+// fetch one of them.
 //
 // Without it, a VM on a narrow link never completes a version if new versions arrive faster than it
 // can fetch one: for each next part, its version has been replaced at the peer, and it starts on
@@ -23,11 +23,11 @@
 // one that reads the store. The symptom is VMs on which no newer configuration is in force for as
 // long as new versions arrive, while their links are busy. In a simulation of 195 VMs with links of
 // 10 Mbit/s and a version with 1,400 changed routes every 0.65 s for 12 s, the last VM was 21 s
-// behind without Recent. With it, and with VMs that ask any peer that has a newer version (Choose),
-// it was 3 s behind.
+// behind without RecentVersions. With it, and with VMs that ask any peer that has a newer version
+// (ChooseSource), it was 3 s behind.
 //
-// Recent is safe for concurrent use. Its zero value is ready to use.
-type Recent struct {
+// RecentVersions is safe for concurrent use. Its zero value is ready to use.
+type RecentVersions struct {
 	mu   sync.Mutex
 	last *Index
 	// replaced holds the configurations in force before last, oldest first.
@@ -44,7 +44,7 @@
 // inForce, the configuration in force now. Find sees a configuration only when it is called,
 // so one that no VM requested while it was in force is not kept. Expired ones are removed by the
 // next call.
-func (r *Recent) Find(now time.Time, inForce *Index, version uint64) *Index {
+func (r *RecentVersions) Find(now time.Time, inForce *Index, version uint64) *Index {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.update(now, inForce)
@@ -57,7 +57,7 @@
 }
 
 // update records the configuration in force and removes expired ones.
-func (r *Recent) update(now time.Time, inForce *Index) {
+func (r *RecentVersions) update(now time.Time, inForce *Index) {
 	if r.last != inForce {
 		if r.last != nil {
 			r.replaced = append(r.replaced, replacedIndex{r.last, now.Add(keepReplacedFor)})
--- a/steering/spread/room.go
+++ b/steering/spread/room.go
@@ -52,15 +52,15 @@
 	return min(max(int(bytesPerSecond(megabits)*maxPieceTime.Seconds()*compressionRatio), minPieceBytes), maxPieceBytes)
 }
 
-// Room limits how much a VM sends to others and how many VMs it serves at a time. A request beyond
-// the limits is rejected at once, so that it can be repeated later or sent to another VM.
+// SendLimiter limits how much a VM sends to others and how many VMs it serves at a time. A request
+// beyond the limits is rejected at once, so that it can be repeated later or sent to another VM.
 //
 // All VMs learn of a newer configuration from the VM that has read it, and request it at once. When
 // few are served at a time, the number of copies doubles each time; if all were served at once,
 // none would have the complete configuration for a long time, and none could pass it on.
 //
-// Room is safe for concurrent use.
-type Room struct {
+// SendLimiter is safe for concurrent use.
+type SendLimiter struct {
 	rate float64 // bytes per second
 
 	mu        sync.Mutex
@@ -77,8 +77,8 @@
 	lastUsed time.Time
 }
 
-// Ask is the load that the request of one VM puts on the link of another.
-type Ask struct {
+// LinkLoad is the load that the request of one VM puts on the link of another.
+type LinkLoad struct {
 	// From is the VM that sends the request.
 	From string
 	// Bytes is the size of the answer on the wire, Piece the size of the answers that the VM
@@ -89,15 +89,15 @@
 	Outline, Last bool
 }
 
-// NewRoom returns the limits for a link of the given rate in Mbit/s; 0 means unknown.
-func NewRoom(megabits float64) *Room {
-	return &Room{rate: bytesPerSecond(megabits), slots: make(map[string]slot)}
+// NewSendLimiter returns the limits for a link of the given rate in Mbit/s; 0 means unknown.
+func NewSendLimiter(megabits float64) *SendLimiter {
+	return &SendLimiter{rate: bytesPerSecond(megabits), slots: make(map[string]slot)}
 }
 
 // Turn acquires a slot for a VM before the answer is created. If there is no free slot, it returns
 // false and the time after which to retry. The slot is held until the last part is sent, or until
 // the VM sends no request for slotTimeout. An outline needs no slot.
-func (r *Room) Turn(now time.Time, a Ask) (wait time.Duration, ok bool) {
+func (r *SendLimiter) Turn(now time.Time, a LinkLoad) (wait time.Duration, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.advance(now)
@@ -111,10 +111,10 @@
 	return 0, true
 }
 
-// Promise reserves time on the link for an answer. If the backlog is too long, it reserves nothing
+// Reserve reserves time on the link for an answer. If the backlog is too long, it reserves nothing
 // and returns false and the time after which to retry. A link without backlog accepts an answer of
 // any size.
-func (r *Room) Promise(now time.Time, a Ask) (wait time.Duration, ok bool) {
+func (r *SendLimiter) Reserve(now time.Time, a LinkLoad) (wait time.Duration, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.advance(now)
@@ -137,7 +137,7 @@
 
 // advance subtracts what the link has sent since the last call, and frees the slots of VMs that
 // have stopped asking.
-func (r *Room) advance(now time.Time) {
+func (r *SendLimiter) advance(now time.Time) {
 	if !r.updatedAt.IsZero() {
 		r.reserved = max(r.reserved-r.rate*now.Sub(r.updatedAt).Seconds(), 0)
 	}
@@ -150,7 +150,7 @@
 }
 
 // maySend reports whether a VM already has a slot or there is a free one for it.
-func (r *Room) maySend(a Ask) bool {
+func (r *SendLimiter) maySend(a LinkLoad) bool {
 	if _, served := r.slots[a.From]; served || len(r.slots) < minServed {
 		return true
 	}
--- a/steering/spread/sim_test.go
+++ b/steering/spread/sim_test.go
@@ -18,7 +18,7 @@
 	zone                      steering.Zone
 	region                    steering.Region
 	rank                      [2]int // in its zone, in its region
-	room                      *spread.Room
+	room                      *spread.SendLimiter
 	rate                      float64 // bytes per second
 	outBusyUntil, inBusyUntil time.Time
 	// inForce holds the versions that were in force on this VM, oldest first.
@@ -132,7 +132,7 @@
 		zone := n % zones
 		region := zone % regions
 		s.vms = append(s.vms, &simVM{name: steering.VM(rune(n)), zone: steering.Zone(rune(zone)), region: steering.Region(rune(region)), rank: [2]int{inZone[zone], inRegion[region]},
-			room: spread.NewRoom(megabits), rate: megabits * 1e6 / 8, retryAt: make(map[steering.VM]time.Time)})
+			room: spread.NewSendLimiter(megabits), rate: megabits * 1e6 / 8, retryAt: make(map[steering.VM]time.Time)})
 		inZone[zone]++
 		inRegion[region]++
 		s.queue = append(s.queue, event{at: s.start.Add(announceDelay), vm: n})
@@ -193,8 +193,8 @@
 			sources = append(sources, spread.Source{VM: other.name, Zone: other.zone, Region: other.region, Version: uint64(version)})
 		}
 	}
-	asker := spread.Asker{Zone: vm.zone, Region: vm.region, ZoneRank: vm.rank[0], RegionRank: vm.rank[1], Waited: s.behindFor(now, vm), Place: vm.slotHolder}
-	source, found := spread.Choose(asker, sources, s.random.IntN)
+	asker := spread.Requester{Zone: vm.zone, Region: vm.region, ZoneRank: vm.rank[0], RegionRank: vm.rank[1], Waited: s.behindFor(now, vm), SlotHolder: vm.slotHolder}
+	source, found := spread.ChooseSource(asker, sources, s.random.IntN)
 	if !found {
 		return now.Add(30 * time.Millisecond)
 	}
@@ -222,7 +222,7 @@
 	a := s.askFor(vm, from, arrived, hasOutline, forSlot)
 	wait, fits := from.room.Turn(arrived, a)
 	if fits {
-		wait, fits = from.room.Promise(arrived, a)
+		wait, fits = from.room.Reserve(arrived, a)
 	}
 	if !fits {
 		vm.retryAt[from.name] = arrived.Add(latency + wait)
@@ -250,9 +250,9 @@
 }
 
 // askFor returns the load that a request puts on the link of the VM that answers it.
-func (s *sim) askFor(vm, from *simVM, arrived time.Time, hasOutline, forSlot bool) spread.Ask {
+func (s *sim) askFor(vm, from *simVM, arrived time.Time, hasOutline, forSlot bool) spread.LinkLoad {
 	piece := spread.PieceBytes(vm.rate*8/1e6) / compressionRatio
-	a := spread.Ask{From: string(vm.name), Piece: piece, Outline: !hasOutline || from.answersWith(arrived, vm.wanted) != vm.wanted}
+	a := spread.LinkLoad{From: string(vm.name), Piece: piece, Outline: !hasOutline || from.answersWith(arrived, vm.wanted) != vm.wanted}
 	left := s.contentBytes(vm.wanted) - vm.receivedContent
 	switch {
 	case a.Outline:
--- a/steering/spread/spread_test.go
+++ b/steering/spread/spread_test.go
@@ -52,11 +52,11 @@
 }
 
 // fetch requests pieces until the draft is complete. It returns the number of bytes and pieces.
-func fetch(t *testing.T, d *spread.Draft, from *spread.Index, piece int) (bytes, pieces int) {
+func fetch(t *testing.T, d *spread.Assembler, from *spread.Index, piece int) (bytes, pieces int) {
 	t.Helper()
 	for !d.Done() || d.Version() < from.Outline().Version {
-		p, ask := from.Answer(d.Need(piece))
-		assert.NilError(t, d.Take(p))
+		p, ask := from.Answer(d.Request(piece))
+		assert.NilError(t, d.Apply(p))
 		assert.Equal(t, ask.Last, d.Done())
 		bytes, pieces = bytes+ask.Bytes, pieces+1
 		assert.Assert(t, pieces < 10_000)
@@ -72,8 +72,8 @@
 	for _, c := range []struct{ routes, added, most int }{{4200, 1, 2000}, {42_000, 1, 10_000}, {2800, 1400, 190_000}, {42_000, 1400, 480_000}} {
 		before := equalWeights(c.routes)
 		after := equalWeights(c.routes + c.added)
-		d := spread.NewDraft()
-		d.Base(spread.NewIndex(tableOf(1, before)))
+		d := spread.NewAssembler()
+		d.SetBase(spread.NewIndex(tableOf(1, before)))
 		bytes, pieces := fetch(t, d, spread.NewIndex(tableOf(2, after)), 64<<10)
 		t.Logf("%d routes and %d more: %d bytes in %d pieces", c.routes, c.added, bytes, pieces)
 		assert.Check(t, bytes <= c.most, "%d routes and %d more: %d bytes", c.routes, c.added, bytes)
@@ -85,12 +85,12 @@
 // requested.
 func TestWholeConfigurationComesInBoundedPieces(t *testing.T) {
 	from := spread.NewIndex(tableOf(7, equalWeights(5600)))
-	d := spread.NewDraft()
+	d := spread.NewAssembler()
 	const piece = 32 << 10
 	for !d.Done() {
-		p, ask := from.Answer(d.Need(piece))
+		p, ask := from.Answer(d.Request(piece))
 		assert.Assert(t, ask.Bytes < 2*piece, "%d bytes", ask.Bytes)
-		assert.NilError(t, d.Take(p))
+		assert.NilError(t, d.Apply(p))
 	}
 	assert.Equal(t, contentOf(d.Index().Table()), contentOf(from.Table()))
 }
@@ -102,9 +102,9 @@
 func TestNoRouteIsReceivedTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := equalWeights(rapid.IntRange(0, 400).Draw(t, "routes"))
-		d := spread.NewDraft()
+		d := spread.NewAssembler()
 		if rapid.Bool().Draw(t, "begins with a configuration") {
-			d.Base(spread.NewIndex(tableOf(1, weights)))
+			d.SetBase(spread.NewIndex(tableOf(1, weights)))
 		}
 		newest := spread.NewIndex(tableOf(2, weights))
 		older := newest
@@ -127,24 +127,24 @@
 				}
 				newest = spread.NewIndex(tableOf(newest.Outline().Version+3, weights))
 			case 1: // the piece is lost
-				newest.Answer(d.Need(4 << 10))
+				newest.Answer(d.Request(4 << 10))
 			case 2: // a peer with an older version
-				p, _ := older.Answer(d.Need(4 << 10))
-				_ = d.Take(p) // an older one is rejected without any effect
+				p, _ := older.Answer(d.Request(4 << 10))
+				_ = d.Apply(p) // an older one is rejected without any effect
 			case 3: // the piece is corrupted
-				p, _ := newest.Answer(d.Need(4 << 10))
+				p, _ := newest.Answer(d.Request(4 << 10))
 				if len(p.Buckets) > 0 && len(p.Buckets[0].Routes) > 0 {
 					p.Buckets[0].Routes = p.Buckets[0].Routes[1:]
-					assert.Assert(t, d.Take(p) != nil)
+					assert.Assert(t, d.Apply(p) != nil)
 				}
 			default:
-				p, _ := newest.Answer(d.Need(4 << 10))
+				p, _ := newest.Answer(d.Request(4 << 10))
 				for _, b := range p.Buckets {
 					for _, r := range b.Routes {
 						came[fmt.Sprint(r.Name, r.Parts)]++
 					}
 				}
-				assert.NilError(t, d.Take(p))
+				assert.NilError(t, d.Apply(p))
 			}
 		}
 		assert.Equal(t, contentOf(d.Index().Table()), contentOf(newest.Table()))
@@ -213,7 +213,7 @@
 // A replaced configuration must remain available for some seconds to VMs that have begun to fetch
 // it, and no longer, since it occupies memory.
 func TestReplacedConfigurationsAreKeptForLimitedTime(t *testing.T) {
-	var recent spread.Recent
+	var recent spread.RecentVersions
 	now := time.Unix(1000, 0)
 	all := make(map[uint64]*spread.Index)
 	for version := uint64(1); version <= 10; version++ {
--- a/steering/spread/workspaces_test.go
+++ b/steering/spread/workspaces_test.go
@@ -58,15 +58,15 @@
 // Guards against lost, duplicate or stale workspaces after any sequence of configurations.
 func TestWorkspacesFollowAnySequenceOfConfigurations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := spread.NewDraft()
+		d := spread.NewAssembler()
 		var held *spread.Index
 		for version := range rapid.IntRange(1, 5).Draw(t, "versions") {
 			want := withWorkspaces(uint64(version+1), rapid.IntRange(0, 200).Draw(t, "workspaces"), rapid.IntRange(0, 3).Draw(t, "keys"), rapid.Float64Range(0, 9).Draw(t, "rate"))
 			index := spread.NewIndex(want)
-			d.Base(held)
+			d.SetBase(held)
 			for !d.Done() || d.Version() < want.Version {
-				p, _ := index.Answer(d.Need(4 << 10))
-				assert.NilError(t, d.Take(p))
+				p, _ := index.Answer(d.Request(4 << 10))
+				assert.NilError(t, d.Apply(p))
 			}
 			held = d.Index()
 			assert.Equal(t, len(held.Table().Workspaces.All()), len(want.Workspaces.All()))
@@ -90,13 +90,13 @@
 		all = append(all, w)
 	}
 	after := routes.NewTable(2, before.Routes, []*routes.Service{{Name: "svc"}}, before.Limits, all...)
-	d := spread.NewDraft()
-	d.Base(spread.NewIndex(before))
+	d := spread.NewAssembler()
+	d.SetBase(spread.NewIndex(before))
 	index := spread.NewIndex(after)
 	bytes := 0
 	for !d.Done() || d.Version() < 2 {
-		p, ask := index.Answer(d.Need(32 << 10))
-		assert.NilError(t, d.Take(p))
+		p, ask := index.Answer(d.Request(32 << 10))
+		assert.NilError(t, d.Apply(p))
 		bytes += ask.Bytes
 	}
 	t.Logf("%d bytes", bytes)
