--- a/node/forward/exchange.go
+++ b/node/forward/exchange.go
@@ -44,7 +44,7 @@
 	// atMostOnce is set if the service declares the method non-idempotent.
 	atMostOnce  bool
 	fingerprint uint64
-	mark        poison.Mark
+	mark        poison.Fingerprints
 	pool        retry.Pool // the pool that received the first try
 	body        *body      // nil if the request has none
 
--- a/node/forward/fakes_test.go
+++ b/node/forward/fakes_test.go
@@ -247,12 +247,12 @@
 	return retry.NewBudgets().Retry(now, r, t, ran)
 }
 func (e *entryVM) Hedge(time.Time, retry.Request, retry.Tries) retry.Denial { return retry.DenyBudget }
-func (e *entryVM) Begin(context.Context, poison.Mark) (v poison.Verdict, r *steering.Refusal) {
+func (e *entryVM) Begin(context.Context, poison.Fingerprints) (v poison.Verdict, r *steering.Refusal) {
 	return v, nil
 }
-func (e *entryVM) Trying(poison.Mark, poison.Verdict, steering.Target)         {}
-func (e *entryVM) End(poison.Mark, poison.Verdict, routing.Target, TryOutcome) {}
-func (e *entryVM) Home(netip.Addr) (steering.Place, bool)                      { return "p-a", true }
+func (e *entryVM) SetTrialTarget(poison.Fingerprints, poison.Verdict, steering.Target) {}
+func (e *entryVM) End(poison.Fingerprints, poison.Verdict, routing.Target, TryOutcome) {}
+func (e *entryVM) Home(netip.Addr) (steering.Place, bool)                              { return "p-a", true }
 func (e *entryVM) Lookup(netip.Addr, steering.Service) (a seam.LookupAnswer, err error) {
 	return a, nil
 }
--- a/node/forward/hedge.go
+++ b/node/forward/hedge.go
@@ -32,7 +32,7 @@
 // begin prepares a try on a granted target.
 func (x *exchange) begin(grant seam.Grant, permit seam.CapPermit, verdict poison.Verdict) *attempt {
 	target := grant.Target()
-	x.f.suspects.Trying(x.mark, verdict, target.Name)
+	x.f.suspects.SetTrialTarget(x.mark, verdict, target.Name)
 	a := &attempt{
 		grant: grant, target: target, verdict: verdict, started: time.Now(), cut: x.cancel,
 		upstream: &upstream{
--- a/node/forward/identify.go
+++ b/node/forward/identify.go
@@ -184,11 +184,11 @@
 		Service: x.service.Name, Method: x.r.Method, URI: x.r.URL.RequestURI(),
 		Headers: headers[:], Length: x.r.ContentLength, Body: begin,
 	}
-	x.mark = poison.Mark{Content: content.Sum(), Key: poison.KeyID(x.key), Whole: whole}
+	x.mark = poison.Fingerprints{Content: content.Sum(), Key: poison.KeyID(x.key), BodyComplete: whole}
 	x.fingerprint = uint64(x.mark.Content)
 	for name, values := range x.r.Header {
 		if isTrait(name) && len(values) > 0 {
-			x.mark.AddTrait(name, values[0])
+			x.mark.AddHeader(name, values[0])
 		}
 	}
 }
--- a/node/forward/interfaces.go
+++ b/node/forward/interfaces.go
@@ -60,13 +60,13 @@
 	// Begin checks whether a request may be tried, before any target receives it. While a similar
 	// request is tried alone it blocks until that try ends or ctx is done. If the refusal is nil,
 	// the caller must call End, and must not send the request to the targets in Verdict.Avoid.
-	Begin(ctx context.Context, m poison.Mark) (poison.Verdict, *steering.Refusal)
-	// Trying sets the target on which the request is tried.
-	Trying(m poison.Mark, v poison.Verdict, target steering.Target)
+	Begin(ctx context.Context, m poison.Fingerprints) (poison.Verdict, *steering.Refusal)
+	// SetTrialTarget sets the target on which the request is tried.
+	SetTrialTarget(m poison.Fingerprints, v poison.Verdict, target steering.Target)
 	// End records how the try ended. If it was called with TryConnectionBroken and the target was
 	// lost, the region's live entry VMs have been notified when End returns, as far as they respond
 	// in time.
-	End(m poison.Mark, v poison.Verdict, target routing.Target, e TryOutcome)
+	End(m poison.Fingerprints, v poison.Verdict, target routing.Target, e TryOutcome)
 }
 
 // Retries manages the retry budgets of pools.
--- a/node/forward/poison.go
+++ b/node/forward/poison.go
@@ -111,7 +111,7 @@
 }
 
 // Begin implements Suspects.
-func (s *RegionSuspects) Begin(ctx context.Context, m poison.Mark) (poison.Verdict, *steering.Refusal) {
+func (s *RegionSuspects) Begin(ctx context.Context, m poison.Fingerprints) (poison.Verdict, *steering.Refusal) {
 	verdict, tryEnded := s.check(m, false)
 	if verdict.Kind == poison.Wait || verdict.Kind == poison.Hold {
 		return s.wait(ctx, m, verdict, tryEnded)
@@ -127,7 +127,7 @@
 }
 
 // wait checks the request again whenever a similar request may have ended.
-func (s *RegionSuspects) wait(ctx context.Context, m poison.Mark, v poison.Verdict, tryEnded <-chan struct{}) (poison.Verdict, *steering.Refusal) {
+func (s *RegionSuspects) wait(ctx context.Context, m poison.Fingerprints, v poison.Verdict, tryEnded <-chan struct{}) (poison.Verdict, *steering.Refusal) {
 	s.counters.held.Inc(1)
 	holdTimer := time.NewTimer(maxHoldTime)
 	defer holdTimer.Stop()
@@ -145,7 +145,7 @@
 	return s.countTrial(v)
 }
 
-func (s *RegionSuspects) check(m poison.Mark, held bool) (poison.Verdict, <-chan struct{}) {
+func (s *RegionSuspects) check(m poison.Fingerprints, held bool) (poison.Verdict, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.list.Check(time.Now(), m, held)
@@ -160,21 +160,21 @@
 	return steering.Refuse(steering.ReasonCancelled, 0, "the caller went away")
 }
 
-// Trying implements Suspects.
-func (s *RegionSuspects) Trying(m poison.Mark, v poison.Verdict, target steering.Target) {
+// SetTrialTarget implements Suspects.
+func (s *RegionSuspects) SetTrialTarget(m poison.Fingerprints, v poison.Verdict, target steering.Target) {
 	if v.Kind != poison.Trial {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.list.Trying(m, target)
+	s.list.SetTrialTarget(m, target)
 }
 
 // End implements Suspects.
-func (s *RegionSuspects) End(m poison.Mark, v poison.Verdict, target routing.Target, e TryOutcome) {
+func (s *RegionSuspects) End(m poison.Fingerprints, v poison.Verdict, target routing.Target, e TryOutcome) {
 	switch e {
 	case TryErrorResponse:
-		s.record(m, v, target.Name, poison.Answered)
+		s.record(m, v, target.Name, poison.ErrorResponse)
 	case TrySucceeded:
 		if s.record(m, v, target.Name, poison.Finished) {
 			go s.shareChanges()
@@ -185,22 +185,22 @@
 		// The caller's deadline has passed, so its refusal can't wait for the probe.
 		go s.probeAndRecord(m, v, target)
 	default:
-		s.record(m, v, target.Name, poison.Neither)
+		s.record(m, v, target.Name, poison.Inconclusive)
 	}
 }
 
 // probeAndRecord checks whether the target was lost and records the result. A broken connection
 // alone does not show a loss: an overloaded target or a bad link breaks connections too, and
 // counting these against requests would refuse harmless ones during a brownout.
-func (s *RegionSuspects) probeAndRecord(m poison.Mark, v poison.Verdict, target routing.Target) {
+func (s *RegionSuspects) probeAndRecord(m poison.Fingerprints, v poison.Verdict, target routing.Target) {
 	if s.alive(target.Address) {
 		s.counters.survived.Inc(1)
-		s.record(m, v, target.Name, poison.Neither)
+		s.record(m, v, target.Name, poison.Inconclusive)
 		return
 	}
 	s.counters.losses.Inc(1)
 	level.Warn(s.config.Log).Log("msg", "target lost with a request in hand", "target", target.Name, "content", uint64(m.Content))
-	s.record(m, v, target.Name, poison.Lost)
+	s.record(m, v, target.Name, poison.TargetLost)
 	s.shareChanges()
 }
 
@@ -226,7 +226,7 @@
 }
 
 // record ends a try in the list and reports whether there are changes to share with peers.
-func (s *RegionSuspects) record(m poison.Mark, v poison.Verdict, target steering.Target, e poison.Ending) bool {
+func (s *RegionSuspects) record(m poison.Fingerprints, v poison.Verdict, target steering.Target, e poison.Outcome) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.list.End(time.Now(), m, v, target, e)
@@ -292,11 +292,11 @@
 	return append(facts[s.factsOffset:], facts[:s.factsOffset]...)
 }
 
-// Learn merges the facts of another entry VM into the list.
-func (s *RegionSuspects) Learn(facts []*peerpb.SuspectFact) {
+// MergeFacts merges the facts of another entry VM into the list.
+func (s *RegionSuspects) MergeFacts(facts []*peerpb.SuspectFact) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.list.Learn(time.Now(), factsFromWire(facts))
+	s.list.MergeFacts(time.Now(), factsFromWire(facts))
 }
 
 func factsToWire(facts []poison.Fact) []*peerpb.SuspectFact {
--- a/node/forward/poison_test.go
+++ b/node/forward/poison_test.go
@@ -34,7 +34,7 @@
 }
 
 func (d directPeer) Suspect(_ context.Context, in *peerpb.SuspectRequest) (*peerpb.SuspectReply, error) {
-	d.to.suspects.(*RegionSuspects).Learn(in.Facts)
+	d.to.suspects.(*RegionSuspects).MergeFacts(in.Facts)
 	return &peerpb.SuspectReply{}, nil
 }
 
--- a/node/gateway/relay/exchange.go
+++ b/node/gateway/relay/exchange.go
@@ -31,7 +31,7 @@
 	maybeRan      bool
 	tried         []steering.Target
 	lastPick      placement.Pick
-	fingerprints  poison.Mark
+	fingerprints  poison.Fingerprints
 	verdict       poison.Verdict
 	history       []tried
 	noCapacity    *placement.Refusal // of the last attempt that found no target with capacity
--- a/node/gateway/relay/falselosses.go
+++ b/node/gateway/relay/falselosses.go
@@ -47,7 +47,7 @@
 // readAt is when the store was last read, and generationOf returns the generation of a target as of
 // then.
 func (s *falseLosses) resolve(now, readAt time.Time, list *poison.List, generationOf func(steering.Target) (steering.Generation, bool)) (running []steering.Target) {
-	withLosses := list.Accused(now)
+	withLosses := list.TargetsWithLosses(now)
 	for target := range s.suspected {
 		if !withLosses[target] {
 			delete(s.suspected, target)
@@ -61,7 +61,7 @@
 		}
 		delete(s.suspected, target)
 		if generation, listed := generationOf(target); listed && generation == p.generation {
-			list.Survived(now, target, p.responded)
+			list.RetractLosses(now, target, p.responded)
 			running = append(running, target)
 		}
 	}
--- a/node/gateway/relay/poison.go
+++ b/node/gateway/relay/poison.go
@@ -39,7 +39,7 @@
 
 // pendingLoss is a request that was in flight at a target when the exchange broke.
 type pendingLoss struct {
-	fingerprints poison.Mark
+	fingerprints poison.Fingerprints
 	verdict      poison.Verdict
 	sent         time.Time // when it was sent to the target
 	brokenAt     time.Time // when the exchange broke
@@ -52,14 +52,14 @@
 
 // fingerprintsOf returns the fingerprints by which a repeated request is recognized. They cover all
 // that the target receives except the request's ID and deadline.
-func fingerprintsOf(service steering.Service, r *callers.Request, call platform.Call) poison.Mark {
+func fingerprintsOf(service steering.Service, r *callers.Request, call platform.Call) poison.Fingerprints {
 	body := r.Body[:min(len(r.Body), poison.FingerprintBytes)]
 	content := poison.Content{Service: service, Method: r.Method, URI: r.Path, Headers: []string{call.Key}, Length: r.Length, Body: body}
-	return poison.Mark{Content: content.Sum(), Whole: r.Rest == nil && len(r.Body) == len(body)}
+	return poison.Fingerprints{Content: content.Sum(), BodyComplete: r.Rest == nil && len(r.Body) == len(body)}
 }
 
 // admit decides whether a request may be sent.
-func (s *poisonFilter) admit(now time.Time, m poison.Mark) (poison.Verdict, bool) {
+func (s *poisonFilter) admit(now time.Time, m poison.Fingerprints) (poison.Verdict, bool) {
 	v := s.list.Check(now, m, true)
 	switch v.Kind {
 	case poison.Refuse:
@@ -71,8 +71,8 @@
 }
 
 // attemptEnded records the outcome of an attempt that was sent to a target at sent.
-func (s *poisonFilter) attemptEnded(now time.Time, m poison.Mark, v poison.Verdict, target placement.Target, sent time.Time, o placement.Outcome) {
-	e := poison.Neither
+func (s *poisonFilter) attemptEnded(now time.Time, m poison.Fingerprints, v poison.Verdict, target placement.Target, sent time.Time, o placement.Outcome) {
+	e := poison.Inconclusive
 	switch o {
 	case placement.Broken:
 		if len(s.pending[target.Name]) < maxPendingLosses {
@@ -84,35 +84,35 @@
 		e = poison.Finished
 	case placement.Failed:
 		s.targetResponded(now, target)
-		e = poison.Answered
+		e = poison.ErrorResponse
 	case placement.Shed:
 		s.targetResponded(now, target)
 	case placement.Unreachable, placement.Replaced:
-		s.resolve(now, target.Name, poison.Lost, o.String())
+		s.resolve(now, target.Name, poison.TargetLost, o.String())
 	}
 	s.list.End(now, m, v, target.Name, e)
 }
 
 // targetResponded records that a target has responded, so that it has not crashed.
 func (s *poisonFilter) targetResponded(now time.Time, target placement.Target) {
-	s.resolve(now, target.Name, poison.Neither, "")
-	s.list.Answered(now, target.Name)
+	s.resolve(now, target.Name, poison.Inconclusive, "")
+	s.list.TargetResponded(now, target.Name)
 	s.falseLosses.responded(now, target.Name, target.Generation)
 }
 
 // resolve decides the pending losses of a target. Those that broke within crashConfirmWait end as
 // e. Older ones, and requests that were sent after the target's crash, do not count against the
 // request. why says for the log how a crash was detected.
-func (s *poisonFilter) resolve(now time.Time, target steering.Target, e poison.Ending, why string) {
+func (s *poisonFilter) resolve(now time.Time, target steering.Target, e poison.Outcome, why string) {
 	losses := s.pending[target]
 	delete(s.pending, target)
 	crashedAt := crashTime(losses)
 	for _, c := range losses {
 		ending := e
 		if now.Sub(c.brokenAt) > crashConfirmWait || c.sent.After(crashedAt) {
-			ending = poison.Neither
+			ending = poison.Inconclusive
 		}
-		if held := s.list.EndSent(now, c.fingerprints, c.verdict, target, c.sent, ending); held {
+		if held := s.list.EndWithSendTime(now, c.fingerprints, c.verdict, target, c.sent, ending); held {
 			_ = s.log.Log("msg", "target lost with a request in hand", "targets", []steering.Target{target}, "why", why,
 				"content", strconv.FormatUint(uint64(c.fingerprints.Content), 16), "after_ms", now.Sub(c.brokenAt).Milliseconds(),
 				"alone", c.verdict.Kind == poison.Trial) // the log writer counts dropped lines
@@ -136,8 +136,8 @@
 // restarted records that a target restarted under its name. Its previous generation ended, and a
 // request that was in flight there may be the cause.
 func (s *poisonFilter) restarted(now time.Time, target steering.Target) {
-	s.resolve(now, target, poison.Lost, "restarted")
-	s.list.Restarted(target)
+	s.resolve(now, target, poison.TargetLost, "restarted")
+	s.list.TargetRestarted(target)
 }
 
 // tick resolves the pending losses whose wait is over. readAt is when the store was last read, and
@@ -145,7 +145,7 @@
 func (s *poisonFilter) tick(now, readAt time.Time, generationOf func(steering.Target) (steering.Generation, bool)) {
 	for target, losses := range s.pending {
 		if now.Sub(losses[len(losses)-1].brokenAt) > crashConfirmWait {
-			s.resolve(now, target, poison.Neither, "")
+			s.resolve(now, target, poison.Inconclusive, "")
 		}
 	}
 	if running := s.falseLosses.resolve(now, readAt, s.list, generationOf); len(running) > 0 {
@@ -178,5 +178,5 @@
 func (f *Relay) LearnFacts(now time.Time, facts []poison.Fact) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.poisonFilter.list.Learn(now, facts)
+	f.poisonFilter.list.MergeFacts(now, facts)
 }
--- a/node/gateway/relay/poison_internal_test.go
+++ b/node/gateway/relay/poison_internal_test.go
@@ -23,16 +23,16 @@
 // at returns a time ms milliseconds after start.
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-func fingerprintsWith(content poison.ID) poison.Mark {
-	return poison.Mark{Content: content, Whole: true}
+func fingerprintsWith(content poison.ID) poison.Fingerprints {
+	return poison.Fingerprints{Content: content, BodyComplete: true}
 }
 
 // breakExchange records that the exchange of a request that was sent to a target at sent broke.
-func (s *poisonFilter) breakExchange(now, sent time.Time, m poison.Mark, target placement.Target) {
+func (s *poisonFilter) breakExchange(now, sent time.Time, m poison.Fingerprints, target placement.Target) {
 	s.attemptEnded(now, m, poison.Verdict{}, target, sent, placement.Broken)
 }
 
-func (s *poisonFilter) refused(now time.Time, m poison.Mark) bool {
+func (s *poisonFilter) refused(now time.Time, m poison.Fingerprints) bool {
 	_, allowed := s.admit(now, m)
 	return !allowed
 }
@@ -71,7 +71,7 @@
 
 // resetLinks simulates two links that reset connections with a page request in flight, to targets
 // that do not crash. It returns the time at which both targets have responded again.
-func resetLinks(s *poisonFilter, page poison.Mark) (respondedAt time.Time) {
+func resetLinks(s *poisonFilter, page poison.Fingerprints) (respondedAt time.Time) {
 	for n, target := range []placement.Target{one, two} {
 		began := n * 1000
 		s.breakExchange(at(began+100), at(began), page, target)
--- a/node/parts.go
+++ b/node/parts.go
@@ -233,7 +233,7 @@
 			p.board.note(told, time.Now())
 		},
 		Suspects:        func() []*peerpb.SuspectFact { return p.suspects.Facts() },
-		OnSuspects:      func(told []*peerpb.SuspectFact) { p.suspects.Learn(told) },
+		OnSuspects:      func(told []*peerpb.SuspectFact) { p.suspects.MergeFacts(told) },
 		ConfigVersion:   func() int64 { return p.configs.Version() },
 		OnConfigVersion: func(address string, version int64) { p.configs.OnConfigVersion(address, version) },
 		InFlight:        func() int32 { return int32(p.forward.InFlight()) },
--- a/node/peerserver.go
+++ b/node/peerserver.go
@@ -34,7 +34,7 @@
 
 // Suspect implements peerpb.Peer.
 func (s peerServer) Suspect(_ context.Context, in *peerpb.SuspectRequest) (*peerpb.SuspectReply, error) {
-	s.parts.suspects.Learn(in.Facts)
+	s.parts.suspects.MergeFacts(in.Facts)
 	return &peerpb.SuspectReply{}, nil
 }
 
--- a/steering/poison/fingerprint.go
+++ b/steering/poison/fingerprint.go
@@ -22,25 +22,26 @@
 // MaxHeaderIDs is the maximum number of headers of a request that have an ID.
 const MaxHeaderIDs = 12
 
-// Mark holds the IDs of a request: of its content, of its key, and of its content
-// combined with each further header. Headers have separate IDs because a header
-// may be what crashes the target, and some headers differ with each retry. The
-// header that causes the crash is the one with which no request ever finishes.
-type Mark struct {
+// Fingerprints holds the IDs of a request: of its content, of its key, and of its
+// content combined with each further header. Headers have separate IDs because a
+// header may be what crashes the target, and some headers differ with each retry.
+// The header that causes the crash is the one with which no request ever
+// finishes.
+type Fingerprints struct {
 	Content ID
 	// Key is the ID of the request key, or zero if the request has none.
 	Key ID
-	// Whole reports whether the whole body went into Content.
-	Whole bool
+	// BodyComplete reports whether the whole body went into Content.
+	BodyComplete bool
 
 	headerIDs   [MaxHeaderIDs]ID
 	headerCount int
 }
 
-// AddTrait adds the ID of the content combined with a header; Content must be
+// AddHeader adds the ID of the content combined with a header; Content must be
 // set. If there are more than MaxHeaderIDs headers, the smallest IDs are kept, so
 // that the result does not depend on the order of the headers.
-func (m *Mark) AddTrait(name, value string) {
+func (m *Fingerprints) AddHeader(name, value string) {
 	d := xxhash.NewWithSeed(uint64(m.Content))
 	writeString(d, name)
 	writeString(d, value)
@@ -59,12 +60,12 @@
 	m.headerIDs[largest] = min(m.headerIDs[largest], id)
 }
 
-// maxIDs is the maximum number of IDs of a Mark.
+// maxIDs is the maximum number of IDs of Fingerprints.
 const maxIDs = MaxHeaderIDs + 2
 
 // ids returns all IDs of the mark, stored in buf. Their order is the same in each
 // call.
-func (m *Mark) ids(buf *[maxIDs]ID) []ID {
+func (m *Fingerprints) ids(buf *[maxIDs]ID) []ID {
 	n := copy(buf[:], m.headerIDs[:m.headerCount])
 	buf[n] = m.Content
 	n++
--- a/steering/poison/inflight.go
+++ b/steering/poison/inflight.go
@@ -10,8 +10,8 @@
 // them would take down a target before the request is known to be harmful.
 // Requests whose bodies are only known in part are not counted: uploads with the
 // same length and beginning may still differ.
-func (l *List) copiesInFlight(now time.Time, m Mark) int {
-	if !m.Whole || len(l.inFlight) == 0 {
+func (l *List) copiesInFlight(now time.Time, m Fingerprints) int {
+	if !m.BodyComplete || len(l.inFlight) == 0 {
 		return 0
 	}
 	most := 0
@@ -26,8 +26,8 @@
 
 // countInFlight counts the request as in flight under those of its IDs that have
 // not completed recently, and returns their bits for Verdict.countedIDs.
-func (l *List) countInFlight(now time.Time, m Mark) (counted uint16) {
-	if !m.Whole {
+func (l *List) countInFlight(now time.Time, m Fingerprints) (counted uint16) {
+	if !m.BodyComplete {
 		return 0
 	}
 	var buf [maxIDs]ID
@@ -41,7 +41,7 @@
 }
 
 // uncountInFlight reverts countInFlight when the request has ended.
-func (l *List) uncountInFlight(m Mark, v Verdict) {
+func (l *List) uncountInFlight(m Fingerprints, v Verdict) {
 	if v.countedIDs == 0 {
 		return
 	}
--- a/steering/poison/list.go
+++ b/steering/poison/list.go
@@ -87,27 +87,28 @@
 	Kind    VerdictKind
 	Avoid   []steering.Target
 	Refusal *steering.Refusal
-	// countedIDs has one bit for each ID of the request, in the order of Mark.ids;
-	// it is set if the request is counted as in flight under that ID.
+	// countedIDs has one bit for each ID of the request, in the order of
+	// Fingerprints.ids; it is set if the request is counted as in flight under that
+	// ID.
 	countedIDs uint16
 }
 
-// Ending is how an attempt to run a request on a target ended.
-type Ending uint8
+// Outcome is how an attempt to run a request on a target ended.
+type Outcome uint8
 
 // Endings of an attempt.
 const (
-	// Neither means that the attempt proves nothing about the request: it was
+	// Inconclusive means that the attempt proves nothing about the request: it was
 	// refused or canceled, or it failed while the target kept running.
-	Neither Ending = iota
+	Inconclusive Outcome = iota
 	// Finished means that the target sent a whole response.
 	Finished
-	// Answered means that the target sent a whole error response: it kept
+	// ErrorResponse means that the target sent a whole error response: it kept
 	// running, but may have rejected the request before it reached the code that
 	// crashes.
-	Answered
-	// Lost means that the target was lost while it was running the request.
-	Lost
+	ErrorResponse
+	// TargetLost means that the target was lost while it was running the request.
+	TargetLost
 )
 
 // loss is the loss of a target that was running a request.
@@ -163,9 +164,9 @@
 }
 
 // Check decides how a request may be sent, before any target receives it. After
-// Allow and Trial the caller must call End or EndSent. held reports that the
-// request was held back for its maximum time; Check then does not return Hold.
-func (l *List) Check(now time.Time, m Mark, held bool) Verdict {
+// Allow and Trial the caller must call End or EndWithSendTime. held reports that
+// the request was held back for its maximum time; Check then does not return Hold.
+func (l *List) Check(now time.Time, m Fingerprints, held bool) Verdict {
 	count, until := 0, time.Time{}
 	if len(l.records) > 0 {
 		count, until = l.held(now, m)
@@ -188,9 +189,9 @@
 	return v
 }
 
-// Trying sets the target of a trial, so that Check returns it in Avoid for other
-// trials.
-func (l *List) Trying(m Mark, target steering.Target) {
+// SetTrialTarget sets the target of a trial, so that Check returns it in Avoid for
+// other trials.
+func (l *List) SetTrialTarget(m Fingerprints, target steering.Target) {
 	l.eachRecord(m, func(r *record) {
 		if r.inTrial {
 			r.trialTarget = target
@@ -200,14 +201,14 @@
 
 // End records how an attempt on target ended; v is the verdict under which it was
 // sent. The time at which the request was sent counts as unknown.
-func (l *List) End(now time.Time, m Mark, v Verdict, target steering.Target, e Ending) {
-	l.EndSent(now, m, v, target, time.Time{}, e)
+func (l *List) End(now time.Time, m Fingerprints, v Verdict, target steering.Target, e Outcome) {
+	l.EndWithSendTime(now, m, v, target, time.Time{}, e)
 }
 
-// EndSent is like End for an attempt that was sent to the target at sent. It
-// reports whether a loss was recorded against the request: it is not if the
+// EndWithSendTime is like End for an attempt that was sent to the target at sent.
+// It reports whether a loss was recorded against the request: it is not if the
 // target was lost before the request was sent.
-func (l *List) EndSent(now time.Time, m Mark, v Verdict, target steering.Target, sent time.Time, e Ending) (recorded bool) {
+func (l *List) EndWithSendTime(now time.Time, m Fingerprints, v Verdict, target steering.Target, sent time.Time, e Outcome) (recorded bool) {
 	trial := v.Kind == Trial
 	l.uncountInFlight(m, v)
 	if trial {
@@ -216,9 +217,9 @@
 	switch e {
 	case Finished:
 		l.recordFinish(now, m)
-	case Answered:
+	case ErrorResponse:
 		l.recordErrorResponse(now, m)
-	case Lost:
+	case TargetLost:
 		if l.targetStates.lostBefore(target, sent) {
 			return false
 		}
@@ -231,8 +232,8 @@
 
 // recordErrorResponse marks the IDs of a request as completed. It clears no
 // losses, since the target may have rejected the request early.
-func (l *List) recordErrorResponse(now time.Time, m Mark) {
-	if !m.Whole {
+func (l *List) recordErrorResponse(now time.Time, m Fingerprints) {
+	if !m.BodyComplete {
 		return
 	}
 	var buf [maxIDs]ID
@@ -244,8 +245,8 @@
 // recordFinish marks the IDs of a request as completed and clears their losses.
 // A body that is only known in part proves nothing about other requests with the
 // same beginning.
-func (l *List) recordFinish(now time.Time, m Mark) {
-	if !m.Whole {
+func (l *List) recordFinish(now time.Time, m Fingerprints) {
+	if !m.BodyComplete {
 		return
 	}
 	var buf [maxIDs]ID
@@ -268,7 +269,7 @@
 	l.changed = append(l.changed, Fact{ID: id})
 }
 
-func (l *List) recordLoss(now time.Time, m Mark, target steering.Target, sent time.Time, onTrial bool) {
+func (l *List) recordLoss(now time.Time, m Fingerprints, target steering.Target, sent time.Time, onTrial bool) {
 	weak := l.recordTargetLoss(now, target, now)
 	var buf [maxIDs]ID
 	for _, id := range m.ids(&buf) {
@@ -368,7 +369,7 @@
 	return r
 }
 
-func (l *List) trialRunning(m Mark) bool {
+func (l *List) trialRunning(m Fingerprints) bool {
 	running := false
 	l.eachRecord(m, func(r *record) { running = running || r.inTrial })
 	return running
@@ -384,7 +385,7 @@
 	return targets
 }
 
-func (l *List) eachRecord(m Mark, f func(*record)) {
+func (l *List) eachRecord(m Fingerprints, f func(*record)) {
 	var buf [maxIDs]ID
 	for _, id := range m.ids(&buf) {
 		if r, ok := l.records[id]; ok {
--- a/steering/poison/measure_test.go
+++ b/steering/poison/measure_test.go
@@ -36,7 +36,7 @@
 }
 
 type simRequest struct {
-	mark    Mark
+	mark    Fingerprints
 	poison  bool
 	tries   int
 	lost    int // targets lost while running the request
@@ -101,7 +101,7 @@
 	}
 	v := s.lists[vm].Check(s.now, r.mark, false)
 	if !s.policy.refuse && v.Kind == Refuse || !s.policy.trials && v.Kind != Refuse {
-		s.lists[vm].End(s.now, r.mark, v, "", Neither)
+		s.lists[vm].End(s.now, r.mark, v, "", Inconclusive)
 		v = Verdict{}
 	}
 	if v.Kind == Refuse {
@@ -138,14 +138,14 @@
 		s.run(try, i)
 		return
 	}
-	s.lists[try.vm].End(s.now, try.mark, try.verdict, "", Neither)
+	s.lists[try.vm].End(s.now, try.mark, try.verdict, "", Inconclusive)
 	s.after(10*time.Millisecond, func() { try.tries--; s.send(try.simRequest) })
 }
 
 func (s *sim) run(try *simTry, i int) {
 	s.running[i] = append(s.running[i], try)
 	if try.verdict.Kind == Trial {
-		s.lists[try.vm].Trying(try.mark, targetOf(i))
+		s.lists[try.vm].SetTrialTarget(try.mark, targetOf(i))
 	}
 	if try.poison {
 		s.after(5*time.Millisecond, func() {
@@ -176,7 +176,7 @@
 		if try.poison {
 			s.mostLost = max(s.mostLost, try.lost)
 		}
-		s.lists[try.vm].End(s.now, try.mark, try.verdict, targetOf(i), Lost)
+		s.lists[try.vm].End(s.now, try.mark, try.verdict, targetOf(i), TargetLost)
 		if try.tries < 6 {
 			s.after(time.Duration(50+s.random.IntN(100))*time.Millisecond, func() { s.send(try.simRequest) })
 		}
@@ -198,7 +198,7 @@
 	facts := s.lists[from].TakeChanged()
 	for i, l := range s.lists {
 		if i != from && len(facts) > 0 {
-			l.Learn(s.now, facts)
+			l.MergeFacts(s.now, facts)
 		}
 	}
 }
@@ -211,7 +211,7 @@
 	if s.random.IntN(10) < 3 {
 		id = 7
 	}
-	r := &simRequest{mark: Mark{Content: id, Whole: true}}
+	r := &simRequest{mark: Fingerprints{Content: id, BodyComplete: true}}
 	s.send(r)
 	s.after(time.Duration(s.random.ExpFloat64()*float64(1850*time.Microsecond)), s.arrive)
 }
@@ -224,7 +224,7 @@
 	s.after(0, s.arrive)
 	s.every(2*time.Second, func() {
 		s.poisonSent++
-		s.send(&simRequest{mark: Mark{Content: ID(s.poisonSent + 100), Whole: true}, poison: true})
+		s.send(&simRequest{mark: Fingerprints{Content: ID(s.poisonSent + 100), BodyComplete: true}, poison: true})
 	})
 	s.every(10*time.Second, func() { s.crash(s.random.IntN(simTargets)) })
 	s.every(30*time.Second, func() {
--- a/steering/poison/poison_test.go
+++ b/steering/poison/poison_test.go
@@ -53,24 +53,24 @@
 // markOf returns the mark of a request. Requests 0 and 1 are poison requests: they have a
 // harmful header, and the same content as the harmless requests 2 and 3. All requests have
 // one header in common, and the harmless ones have a key.
-func markOf(i int) Mark {
-	m := Mark{Content: ID(100 + i), Whole: true}
+func markOf(i int) Fingerprints {
+	m := Fingerprints{Content: ID(100 + i), BodyComplete: true}
 	if i < 2*testPoisonMarks {
 		m.Content = ID(100 + i%testPoisonMarks)
 	}
 	if i < testPoisonMarks {
-		m.AddTrait("Harmful", fmt.Sprint(i))
+		m.AddHeader("Harmful", fmt.Sprint(i))
 	} else {
 		m.Key = ID(200 + i)
 	}
-	m.AddTrait("Shared", "norte")
+	m.AddHeader("Shared", "norte")
 	return m
 }
 
 // tryOf returns the mark of an attempt, which has a header that differs in each attempt.
-func tryOf(i, try int) Mark {
+func tryOf(i, try int) Fingerprints {
 	m := markOf(i)
-	m.AddTrait("Try", fmt.Sprint(try))
+	m.AddHeader("Try", fmt.Sprint(try))
 	return m
 }
 
@@ -84,13 +84,13 @@
 	facts := g.lists[from].TakeChanged()
 	for i, l := range g.lists {
 		if i != from {
-			l.Learn(g.now, facts)
-			l.Learn(g.now, facts) // a message may be duplicated
+			l.MergeFacts(g.now, facts)
+			l.MergeFacts(g.now, facts) // a message may be duplicated
 		}
 	}
 }
 
-func (g *region) end(s sentCopy, target steering.Target, e Ending) {
+func (g *region) end(s sentCopy, target steering.Target, e Outcome) {
 	g.copies[s.mark]--
 	g.lists[s.vm].End(g.now, tryOf(s.mark, s.try), s.verdict, target, e)
 }
@@ -99,7 +99,7 @@
 	var lost [testMarks]bool
 	for _, s := range g.running[target] {
 		lost[s.mark] = true
-		g.end(s, target, Lost)
+		g.end(s, target, TargetLost)
 	}
 	for mark := range lost {
 		if lost[mark] {
@@ -144,13 +144,13 @@
 	target := targetOf(rapid.IntRange(0, testTargets-1).Draw(t, "target"))
 	for _, avoid := range v.Avoid {
 		if target == avoid {
-			g.lists[vm].End(g.now, tried, v, "", Neither)
+			g.lists[vm].End(g.now, tried, v, "", Inconclusive)
 			return
 		}
 	}
 	g.copies[mark]++
 	g.entryVM[mark] = vm
-	g.lists[vm].Trying(tried, target)
+	g.lists[vm].SetTrialTarget(tried, target)
 	g.running[target] = append(g.running[target], sentCopy{vm, mark, g.tries, v})
 }
 
@@ -226,9 +226,9 @@
 func TestPoisonRequestIsToldApartFromSharedContent(t *testing.T) {
 	l, other := New(Config{}), New(Config{})
 	harmful, reader := markOf(0), markOf(2)
-	l.End(start, harmful, Verdict{}, "t0", Lost)
-	l.End(start, harmful, l.Check(start, harmful, false), "t1", Lost)
-	other.Learn(start, l.TakeChanged())
+	l.End(start, harmful, Verdict{}, "t0", TargetLost)
+	l.End(start, harmful, l.Check(start, harmful, false), "t1", TargetLost)
+	other.MergeFacts(start, l.TakeChanged())
 	for _, list := range []*List{l, other} {
 		assert.Equal(t, list.Check(start, harmful, false).Kind, Refuse)
 		v := list.Check(start, reader, false)
@@ -244,11 +244,11 @@
 // although it finished normally on another target just before.
 func TestPopularRequestSurvivesZoneLoss(t *testing.T) {
 	l := New(Config{})
-	schedule := Mark{Content: 1, Whole: true}
+	schedule := Fingerprints{Content: 1, BodyComplete: true}
 	l.End(start, schedule, Verdict{}, "t0", Finished)
 	now := start.Add(time.Second)
 	for i := range 20 {
-		l.End(now, schedule, Verdict{}, targetOf(i), Lost)
+		l.End(now, schedule, Verdict{}, targetOf(i), TargetLost)
 	}
 	v := l.Check(now, schedule, false)
 	assert.Equal(t, v.Kind, Trial)
@@ -263,11 +263,11 @@
 func TestMassLossHoldsBackBriefly(t *testing.T) {
 	l := New(Config{})
 	pass := markOf(1)
-	l.End(start, pass, Verdict{}, "t0", Lost)
+	l.End(start, pass, Verdict{}, "t0", TargetLost)
 	v := l.Check(start, pass, false)
-	l.End(start.Add(100*time.Millisecond), pass, v, "t1", Lost)
+	l.End(start.Add(100*time.Millisecond), pass, v, "t1", TargetLost)
 	assert.Equal(t, l.Check(start.Add(time.Minute), pass, false).Kind, Refuse)
-	l.End(start.Add(200*time.Millisecond), markOf(2), Verdict{}, "t2", Lost)
+	l.End(start.Add(200*time.Millisecond), markOf(2), Verdict{}, "t2", TargetLost)
 	refused := l.Check(start.Add(time.Second), pass, false)
 	assert.Equal(t, refused.Kind, Refuse)
 	assert.Assert(t, refused.Refusal.RetryAfter > 0)
@@ -277,7 +277,7 @@
 func TestRecordsAreBounded(t *testing.T) {
 	l := New(Config{MaxRecords: 30})
 	for i := range 100 {
-		l.End(start.Add(time.Duration(i)*time.Minute), markOf(i), Verdict{}, "t0", Lost)
+		l.End(start.Add(time.Duration(i)*time.Minute), markOf(i), Verdict{}, "t0", TargetLost)
 	}
 	assert.Assert(t, len(l.records) <= 30)
 	last := start.Add(99 * time.Minute)
@@ -291,15 +291,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(Config{MaxRecords: 40})
 		for range rapid.IntRange(1, 200).Draw(t, "facts") {
-			l.Learn(start, []Fact{{
+			l.MergeFacts(start, []Fact{{
 				ID:     ID(rapid.Uint64Range(0, 80).Draw(t, "id")),
 				Target: steering.Target(rapid.SampledFrom([]string{"", "t0", "t1", "t2"}).Draw(t, "target")),
 				Deaths: rapid.Uint32().Draw(t, "deaths"), Alone: rapid.Bool().Draw(t, "alone"),
 				Signature: ID(rapid.Uint64Range(0, 3).Draw(t, "signature")),
 				Age:       time.Duration(rapid.Int64Range(-int64(time.Hour), int64(time.Hour)).Draw(t, "age")),
 			}})
-			m := Mark{Content: ID(rapid.Uint64Range(1, 80).Draw(t, "content")), Whole: true}
-			l.End(start, m, l.Check(start, m, false), "t0", Ending(rapid.IntRange(0, 3).Draw(t, "ending")))
+			m := Fingerprints{Content: ID(rapid.Uint64Range(1, 80).Draw(t, "content")), BodyComplete: true}
+			l.End(start, m, l.Check(start, m, false), "t0", Outcome(rapid.IntRange(0, 3).Draw(t, "ending")))
 		}
 		assert.Assert(t, len(l.records) <= 40 && len(l.recentLosses) <= 3)
 	})
@@ -314,8 +314,8 @@
 	}
 	for b.Loop() {
 		l := New(Config{})
-		l.Learn(start, facts)
-		l.Learn(start, facts)
+		l.MergeFacts(start, facts)
+		l.MergeFacts(start, facts)
 	}
 }
 
@@ -323,7 +323,7 @@
 func BenchmarkFacts(b *testing.B) {
 	l := New(Config{})
 	for i := range DefaultMaxRecords {
-		l.Learn(start, []Fact{{ID: ID(i + 1), Target: targetOf(i / 32), Deaths: 1}})
+		l.MergeFacts(start, []Fact{{ID: ID(i + 1), Target: targetOf(i / 32), Deaths: 1}})
 	}
 	for b.Loop() {
 		l.Facts(start, 64)
@@ -332,7 +332,7 @@
 
 func BenchmarkCheckAndFinish(b *testing.B) {
 	l := New(Config{})
-	l.End(start, markOf(1), Verdict{}, "t0", Lost)
+	l.End(start, markOf(1), Verdict{}, "t0", TargetLost)
 	m := markOf(2)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/steering/poison/share.go
+++ b/steering/poison/share.go
@@ -113,8 +113,8 @@
 	return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.ID, b.ID), cmp.Compare(a.Target, b.Target))
 }
 
-// Learn merges the facts of a peer. It is idempotent.
-func (l *List) Learn(now time.Time, facts []Fact) {
+// MergeFacts merges the facts of a peer. It is idempotent.
+func (l *List) MergeFacts(now time.Time, facts []Fact) {
 	for _, f := range facts {
 		if f.ID == 0 || f.Age < 0 || f.Age >= l.cfg.LossTTL {
 			continue
--- a/steering/poison/signature.go
+++ b/steering/poison/signature.go
@@ -11,7 +11,7 @@
 // finish, this would not end. Therefore the IDs of the request that have reached the loss
 // limit form one signature. A request that has all of them is refused. A request that has
 // some of them is sent on trial, and clears those when it finishes normally.
-func (l *List) assignSignature(now time.Time, m Mark) {
+func (l *List) assignSignature(now time.Time, m Fingerprints) {
 	var buf [maxIDs]ID
 	signature := ID(0)
 	for _, id := range m.ids(&buf) {
@@ -72,7 +72,7 @@
 // held returns the number of losses that are held against a request, and when the first
 // of them expires. A request that has only some of the IDs of a signature stays below the
 // limit.
-func (l *List) held(now time.Time, m Mark) (lossCount int, until time.Time) {
+func (l *List) held(now time.Time, m Fingerprints) (lossCount int, until time.Time) {
 	var buf [maxIDs]ID
 	var found signatureMatches
 	ids := m.ids(&buf)
--- a/steering/poison/targetstate.go
+++ b/steering/poison/targetstate.go
@@ -66,16 +66,18 @@
 	}
 }
 
-// Answered records that a target responded. Requests that are sent to it from now on can
-// be the cause of its next loss.
-func (l *List) Answered(now time.Time, target steering.Target) { l.targetStates.responded(target, now) }
+// TargetResponded records that a target responded. Requests that are sent to it from now
+// on can be the cause of its next loss.
+func (l *List) TargetResponded(now time.Time, target steering.Target) {
+	l.targetStates.responded(target, now)
+}
 
-// Restarted records that a target restarted under the same name, so that its earlier loss
-// no longer excuses the requests that are sent to it.
-func (l *List) Restarted(target steering.Target) { delete(l.targetStates, target) }
+// TargetRestarted records that a target restarted under the same name, so that its
+// earlier loss no longer excuses the requests that are sent to it.
+func (l *List) TargetRestarted(target steering.Target) { delete(l.targetStates, target) }
 
-// Accused returns the targets whose losses count against requests now.
-func (l *List) Accused(now time.Time) map[steering.Target]bool {
+// TargetsWithLosses returns the targets whose losses count against requests now.
+func (l *List) TargetsWithLosses(now time.Time) map[steering.Target]bool {
 	all := make(map[steering.Target]bool)
 	for _, r := range l.records {
 		for _, n := range r.losses {
@@ -87,10 +89,10 @@
 	return all
 }
 
-// Survived retracts the losses of a target up to a time, because the same start of the
-// target kept running. The caller must be sure of that: a response alone does not prove
-// it, since a target that restarted under the same name responds as well.
-func (l *List) Survived(now time.Time, target steering.Target, until time.Time) {
+// RetractLosses retracts the losses of a target up to a time, because the same start of
+// the target kept running. The caller must be sure of that: a response alone does not
+// prove it, since a target that restarted under the same name responds as well.
+func (l *List) RetractLosses(now time.Time, target steering.Target, until time.Time) {
 	l.retractWhere(now, target, func(n loss) bool { return !n.at.After(until) })
 }
 
--- a/steering/poison/targetstate_test.go
+++ b/steering/poison/targetstate_test.go
@@ -17,11 +17,11 @@
 func TestLostTargetCountsOnlyAgainstItsInFlightRequests(t *testing.T) {
 	l := New(Config{})
 	running, later := markOf(4), markOf(5)
-	assert.Assert(t, l.EndSent(start, running, Verdict{}, "t0", start.Add(-time.Second), Lost))
+	assert.Assert(t, l.EndWithSendTime(start, running, Verdict{}, "t0", start.Add(-time.Second), TargetLost))
 	for n, target := range []steering.Target{"t0", "t1"} {
 		first := markOf(6 + n)
-		l.EndSent(start, first, Verdict{}, target, start.Add(-time.Second), Lost)
-		recorded := l.EndSent(start.Add(2*time.Second), later, Verdict{}, target, start.Add(time.Second), Lost)
+		l.EndWithSendTime(start, first, Verdict{}, target, start.Add(-time.Second), TargetLost)
+		recorded := l.EndWithSendTime(start.Add(2*time.Second), later, Verdict{}, target, start.Add(time.Second), TargetLost)
 		assert.Assert(t, !recorded, "loss of %s recorded against a request that was sent after it", target)
 	}
 	assert.Equal(t, l.Check(start.Add(3*time.Second), later, true).Kind, Allow)
@@ -34,12 +34,12 @@
 func TestTargetThatRespondedCanBeLostAgain(t *testing.T) {
 	l := New(Config{})
 	m := markOf(4)
-	l.EndSent(start, m, Verdict{}, "t0", start.Add(-time.Second), Lost)
-	l.Answered(start.Add(time.Second), "t0")
-	assert.Assert(t, l.EndSent(start.Add(4*time.Second), m, Verdict{}, "t0", start.Add(3*time.Second), Lost))
-	l.EndSent(start.Add(5*time.Second), m, Verdict{}, "t1", start.Add(4*time.Second), Lost)
-	l.Restarted("t1")
-	l.EndSent(start.Add(9*time.Second), m, Verdict{}, "t1", start.Add(8*time.Second), Lost)
+	l.EndWithSendTime(start, m, Verdict{}, "t0", start.Add(-time.Second), TargetLost)
+	l.TargetResponded(start.Add(time.Second), "t0")
+	assert.Assert(t, l.EndWithSendTime(start.Add(4*time.Second), m, Verdict{}, "t0", start.Add(3*time.Second), TargetLost))
+	l.EndWithSendTime(start.Add(5*time.Second), m, Verdict{}, "t1", start.Add(4*time.Second), TargetLost)
+	l.TargetRestarted("t1")
+	l.EndWithSendTime(start.Add(9*time.Second), m, Verdict{}, "t1", start.Add(8*time.Second), TargetLost)
 	assert.Equal(t, l.Check(start.Add(10*time.Second), m, true).Kind, Refuse)
 }
 
@@ -50,18 +50,18 @@
 func TestEarlierLossFromPeerRetractsLaterLosses(t *testing.T) {
 	first, second, third := New(Config{}), New(Config{}), New(Config{})
 	running, later := markOf(4), markOf(5)
-	first.EndSent(start, running, Verdict{}, "t0", start.Add(-time.Second), Lost)
+	first.EndWithSendTime(start, running, Verdict{}, "t0", start.Add(-time.Second), TargetLost)
 	now := start.Add(3 * time.Second)
-	assert.Assert(t, second.EndSent(now, later, Verdict{}, "t0", start.Add(2*time.Second), Lost))
+	assert.Assert(t, second.EndWithSendTime(now, later, Verdict{}, "t0", start.Add(2*time.Second), TargetLost))
 	recorded := second.TakeChanged()
-	third.Learn(now, recorded)
+	third.MergeFacts(now, recorded)
 	assert.Equal(t, third.Check(now, later, true).Kind, Trial)
 
 	earlier := first.Facts(now, 100)
-	second.Learn(now, earlier)
+	second.MergeFacts(now, earlier)
 	assert.Equal(t, second.Check(now, later, true).Kind, Allow)
-	third.Learn(now, second.TakeChanged())
-	third.Learn(now, recorded)
+	third.MergeFacts(now, second.TakeChanged())
+	third.MergeFacts(now, recorded)
 	assert.Equal(t, third.Check(now, later, true).Kind, Allow)
 	assert.Equal(t, first.Check(now, running, true).Kind, Trial, "a request that the target was running is no longer suspected")
 }
@@ -70,9 +70,9 @@
 func TestResponseOverridesOlderLossFromPeer(t *testing.T) {
 	l := New(Config{})
 	m := markOf(4)
-	l.Answered(start.Add(time.Second), "t0")
-	l.Learn(start.Add(2*time.Second), []Fact{{ID: 99, Target: "t0", Deaths: 1, Age: 2 * time.Second}})
-	assert.Assert(t, l.EndSent(start.Add(4*time.Second), m, Verdict{}, "t0", start.Add(3*time.Second), Lost))
+	l.TargetResponded(start.Add(time.Second), "t0")
+	l.MergeFacts(start.Add(2*time.Second), []Fact{{ID: 99, Target: "t0", Deaths: 1, Age: 2 * time.Second}})
+	assert.Assert(t, l.EndWithSendTime(start.Add(4*time.Second), m, Verdict{}, "t0", start.Add(3*time.Second), TargetLost))
 }
 
 // Guards against losses that are never corrected: two links reset their connections for a
@@ -82,20 +82,20 @@
 	l, peer := New(Config{}), New(Config{})
 	m := markOf(4)
 	for _, target := range []steering.Target{"t0", "t1"} {
-		l.EndSent(start, m, Verdict{}, target, start.Add(-time.Second), Lost)
+		l.EndWithSendTime(start, m, Verdict{}, target, start.Add(-time.Second), TargetLost)
 	}
-	peer.Learn(start, l.TakeChanged())
+	peer.MergeFacts(start, l.TakeChanged())
 	assert.Equal(t, l.Check(start, m, true).Kind, Refuse)
 	assert.Equal(t, peer.Check(start, m, true).Kind, Refuse)
 
 	now := start.Add(5 * time.Second)
-	assert.DeepEqual(t, l.Accused(now), map[steering.Target]bool{"t0": true, "t1": true})
-	l.Survived(now, "t1", start.Add(time.Second))
-	peer.Learn(now, l.TakeChanged())
+	assert.DeepEqual(t, l.TargetsWithLosses(now), map[steering.Target]bool{"t0": true, "t1": true})
+	l.RetractLosses(now, "t1", start.Add(time.Second))
+	peer.MergeFacts(now, l.TakeChanged())
 	for _, list := range []*List{l, peer} {
 		assert.Equal(t, list.Check(now, m, true).Kind, Trial)
 	}
-	assert.DeepEqual(t, l.Accused(now), map[steering.Target]bool{"t0": true})
+	assert.DeepEqual(t, l.TargetsWithLosses(now), map[steering.Target]bool{"t0": true})
 }
 
 func TestTargetStatesAreBounded(t *testing.T) {
@@ -120,7 +120,7 @@
 func TestBusyPageRecovers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newRegion(Config{})
-		page := Mark{Content: 7, Whole: true}
+		page := Fingerprints{Content: 7, BodyComplete: true}
 		type copyOf struct {
 			vm      int
 			target  steering.Target
@@ -139,9 +139,9 @@
 			for _, c := range running {
 				switch {
 				case c.target == crashed:
-					g.lists[c.vm].EndSent(g.now, page, c.verdict, c.target, c.sent, Lost)
+					g.lists[c.vm].EndWithSendTime(g.now, page, c.verdict, c.target, c.sent, TargetLost)
 				case g.now.Sub(c.sent) >= busyRun:
-					g.lists[c.vm].Answered(g.now, c.target)
+					g.lists[c.vm].TargetResponded(g.now, c.target)
 					g.lists[c.vm].End(g.now, page, c.verdict, c.target, Finished)
 				default:
 					kept = append(kept, c)
