--- a/node/facts.go
+++ b/node/facts.go
@@ -34,7 +34,7 @@
 	for _, m := range f.parts.members.All() {
 		all = append(all, operator.MemberFact{
 			VM: string(m.VM), Incarnation: string(m.Incarnation), Zone: string(m.Zone), Region: string(m.Region),
-			OperatorAddress: m.OperatorAddress, State: memberState(m.State), Age: ageOf(m.Heard, now),
+			OperatorAddress: m.OperatorAddress, State: memberState(m.State), Age: ageOf(m.LastReceived, now),
 			ConfigVersion: m.ConfigVersion,
 		})
 	}
@@ -67,10 +67,10 @@
 	var all []operator.ZoneFact
 	for _, z := range f.parts.members.Zones() {
 		fact := operator.ZoneFact{
-			Zone: string(z.Zone), Region: string(regions[z.Zone]), ConfigVersion: z.ConfigVersion, Age: ageOf(z.Heard, now),
+			Zone: string(z.Zone), Region: string(regions[z.Zone]), ConfigVersion: z.ConfigVersion, Age: ageOf(z.LastReport, now),
 		}
 		if z.Silent {
-			fact.CutOffSince = z.Heard
+			fact.CutOffSince = z.LastReport
 		}
 		all = append(all, fact)
 	}
@@ -253,7 +253,7 @@
 		}
 		zone.Members = append(zone.Members, runtime.MemberStatus{
 			VM: m.VM, State: string(memberState(m.State)), ConfigVersion: m.ConfigVersion, InFlight: m.InFlight,
-			AgeMs: ageOf(m.Heard, now).Milliseconds(),
+			AgeMs: ageOf(m.LastReceived, now).Milliseconds(),
 		})
 	}
 	for _, entry := range f.pools(now) {
--- a/node/member/exchange.go
+++ b/node/member/exchange.go
@@ -73,7 +73,7 @@
 		reports = append(m.view.Reports(maxReportsFar-1, m.turn*maxReportsFar, now), m.view.OwnReport(m.beat, now))
 		n.pools = m.pools.pick(maxPoolsFar, m.config.Random, now)
 	} else {
-		n.liveness = livenessToWire(m.view.Beats(maxBeats, now), o.configVersion)
+		n.liveness = livenessToWire(m.view.Heartbeats(maxBeats, now), o.configVersion)
 		n.pools = m.pools.pick(maxPoolsNear, m.config.Random, now)
 	}
 	for _, r := range reports {
@@ -109,12 +109,12 @@
 	for _, w := range n.members {
 		changed = m.view.Merge(factFromWire(w), now) || changed
 	}
-	changed = m.view.Hear(membership.Beat{ID: n.from, Beat: n.beat, ConfigVersion: n.configVersion}, now) || changed
+	changed = m.view.RecordHeartbeat(membership.Beat{ID: n.from, Beat: n.beat, ConfigVersion: n.configVersion}, now) || changed
 	for _, b := range livenessFromWire(n.liveness, n.configVersion) {
-		changed = m.view.Hear(b, now) || changed
+		changed = m.view.RecordHeartbeat(b, now) || changed
 	}
 	for _, w := range n.reports {
-		changed = m.view.HearReport(reportFromWire(w), now) || changed
+		changed = m.view.RecordReport(reportFromWire(w), now) || changed
 	}
 	m.changed = m.changed || changed
 	if m.changed && now.Sub(m.publishedAt) >= publishGap {
@@ -148,7 +148,7 @@
 	h := m.hear(news{from: from, beat: r.Beat, configVersion: r.ConfigVersion, members: r.Members, liveness: r.Liveness,
 		reports: r.Reports, pools: r.Pools, suspects: r.Suspects}, 0, now)
 	zone, known := m.view.ZoneOf(from)
-	n := m.tell(o, known && zone != m.self.Place.Zone, now)
+	n := m.tell(o, known && zone != m.self.Location.Zone, now)
 	reply := &peerpb.BeatReply{From: uint32(n.from), Beat: n.beat, ConfigVersion: n.configVersion, Members: n.members,
 		Liveness: n.liveness, Reports: n.reports, Pools: n.pools, Suspects: n.suspects, ViewDigest: m.view.Digest()}
 	if theirs, ok := bucketsFromWire(r.Buckets); ok {
--- a/node/member/failure_test.go
+++ b/node/member/failure_test.go
@@ -213,7 +213,7 @@
 			time.Sleep(500 * time.Millisecond)
 			for _, n := range nodes {
 				for _, m := range n.All() {
-					oldest = max(oldest, time.Since(m.Heard))
+					oldest = max(oldest, time.Since(m.LastReceived))
 					if m.State != seam.MemberLive {
 						wrong++
 					}
--- a/node/member/gossip.go
+++ b/node/member/gossip.go
@@ -91,7 +91,7 @@
 	now := time.Now()
 	p, ok := partner{}, false
 	if m.reports(now) {
-		p, ok = m.farPartner(reportDuty, func(x membership.Member) string { return string(x.Place.Zone) }, now)
+		p, ok = m.farPartner(reportDuty, func(x membership.Member) string { return string(x.Location.Zone) }, now)
 	}
 	m.mu.Unlock()
 	if ok {
@@ -112,7 +112,7 @@
 func (m *Members) forget(context.Context) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.view.Forget(time.Now())
+	m.view.RemoveExpired(time.Now())
 }
 
 // start exchanges with a partner in the background, unless too many exchanges
@@ -182,11 +182,11 @@
 	if p.vm == "" {
 		return
 	}
-	m.view.Direct(p.vm, ok, now)
+	m.view.RecordCall(p.vm, ok, now)
 	if known := m.published.Load().byVM[p.vm]; !ok || known == nil || known.State != seam.MemberLive {
 		m.publish(now)
 	}
-	if ok && p.far && p.region != m.self.Place.Region {
+	if ok && p.far && p.region != m.self.Location.Region {
 		m.distance[p.region] = smooth(m.distance[p.region], took)
 	}
 }
--- a/node/member/members.go
+++ b/node/member/members.go
@@ -56,9 +56,9 @@
 	c = c.withDefaults()
 	now := time.Now()
 	self := membership.Fact{
-		VM:   c.Self.VM,
-		Life: membership.Life{Started: c.Started.UnixNano(), Incarnation: c.Self.Incarnation},
-		Place: membership.Place{Zone: c.Self.Zone, Region: c.Self.Region, CallerAddress: c.Self.CallerAddress,
+		VM:             c.Self.VM,
+		IncarnationKey: membership.IncarnationKey{Started: c.Started.UnixNano(), Incarnation: c.Self.Incarnation},
+		Location: membership.Location{Zone: c.Self.Zone, Region: c.Self.Region, CallerAddress: c.Self.CallerAddress,
 			PeerAddress: c.Self.PeerAddress, OperatorAddress: c.Self.OperatorAddress},
 	}
 	m := &Members{
@@ -126,7 +126,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.noticePause(now)
-	m.view.Direct(vm, reachable, now)
+	m.view.RecordCall(vm, reachable, now)
 	if !reachable {
 		m.scope.Counter("evidence_unreachable").Inc(1)
 	}
@@ -165,7 +165,7 @@
 	m.lastTick = now
 	m.settled = false
 	m.pausedAt = now
-	m.view.Credit(gap, now)
+	m.view.CompensatePause(gap, now)
 	m.scope.Counter("pauses").Inc(1)
 	level.Warn(m.logger).Log("event", "pause", "for", gap, "remedy", "check the load and the scheduling of this VM")
 	go m.config.Hooks.OnPause(gap)
@@ -227,7 +227,7 @@
 	}
 	for _, member := range now.all {
 		before, known := old.byVM[member.VM]
-		if member.Zone == m.self.Place.Zone && known && before.State != member.State {
+		if member.Zone == m.self.Location.Zone && known && before.State != member.State {
 			level.Info(m.logger).Log("event", "member", "vm", member.VM, "state", stateNames[member.State])
 			m.scope.Tagged(map[string]string{"state": stateNames[member.State]}).Counter("state_changes").Inc(1)
 		}
--- a/node/member/partners.go
+++ b/node/member/partners.go
@@ -36,7 +36,7 @@
 // known.
 func (m *Members) nearPartner(now time.Time) (partner, bool) {
 	const retryEach = 3
-	if due := m.view.Retry(now); len(due) > 0 {
+	if due := m.view.DueForRetry(now); len(due) > 0 {
 		chosen := due[m.config.Random(len(due))]
 		if chosen.Failures == 1 || m.beat%retryEach == 0 {
 			return m.partnerOf(chosen)
@@ -45,7 +45,7 @@
 	usable := map[steering.VM]partner{}
 	for _, member := range m.view.ZoneMembers(now) {
 		p, ok := m.partnerOf(member)
-		if ok && !member.Failed.After(member.Reached) {
+		if ok && !member.LastFailure.After(member.LastSuccess) {
 			usable[p.vm] = p
 		}
 	}
@@ -87,7 +87,7 @@
 
 // seed chooses a seed other than this member itself.
 func (m *Members) seed() (partner, bool) {
-	seeds := slices.DeleteFunc(slices.Clone(m.config.Seeds), func(s string) bool { return s == m.self.Place.PeerAddress })
+	seeds := slices.DeleteFunc(slices.Clone(m.config.Seeds), func(s string) bool { return s == m.self.Location.PeerAddress })
 	if len(seeds) == 0 {
 		return partner{}, false
 	}
@@ -96,11 +96,11 @@
 
 // partnerOf returns false for a member that cannot or need not be called.
 func (m *Members) partnerOf(member membership.Member) (partner, bool) {
-	if member.VM == m.self.VM || member.State == membership.StateGone || member.Place.PeerAddress == "" {
+	if member.VM == m.self.VM || member.State == membership.StateGone || member.Location.PeerAddress == "" {
 		return partner{}, false
 	}
-	p := partner{vm: member.VM, id: anyOne, region: member.Place.Region, address: member.Place.PeerAddress,
-		far: member.Place.Zone != m.self.Place.Zone}
+	p := partner{vm: member.VM, id: anyOne, region: member.Location.Region, address: member.Location.PeerAddress,
+		far: member.Location.Zone != m.self.Location.Zone}
 	if member.Known() {
 		p.id = member.ID()
 	}
@@ -124,7 +124,7 @@
 			live = append(live, member.VM)
 		}
 	}
-	ranked := membership.Rank(name+"\x00"+string(m.self.Place.Zone), live)
+	ranked := membership.Rank(name+"\x00"+string(m.self.Location.Zone), live)
 	return ranked[:min(n, len(ranked))]
 }
 
@@ -158,7 +158,7 @@
 	for _, member := range members {
 		byVM[member.VM] = member
 		all = append(all, member.VM)
-		if member.State == membership.StateLive && !member.Failed.After(member.Reached) {
+		if member.State == membership.StateLive && !member.LastFailure.After(member.LastSuccess) {
 			reachable = append(reachable, member.VM)
 		}
 	}
@@ -175,8 +175,8 @@
 
 // otherRegion groups members by region, this member's own left out.
 func (m *Members) otherRegion(member membership.Member) string {
-	if member.Place.Region == m.self.Place.Region {
+	if member.Location.Region == m.self.Location.Region {
 		return ""
 	}
-	return string(member.Place.Region)
+	return string(member.Location.Region)
 }
--- a/node/member/vmlist.go
+++ b/node/member/vmlist.go
@@ -51,7 +51,7 @@
 
 // untried tells whether a member of the zone is only listed so far.
 func (m *Members) untried(mate membership.Member) bool {
-	return mate.Place.Zone == m.self.Place.Zone && mate.VM != m.self.VM &&
+	return mate.Location.Zone == m.self.Location.Zone && mate.VM != m.self.VM &&
 		!mate.Known() && mate.Failures == 0 && mate.State != membership.StateGone
 }
 
--- a/node/member/wire.go
+++ b/node/member/wire.go
@@ -25,9 +25,9 @@
 
 func toSeam(m membership.Member) seam.Member {
 	return seam.Member{
-		VM: m.VM, Incarnation: m.Incarnation, Zone: m.Place.Zone, Region: m.Place.Region,
-		CallerAddress: m.Place.CallerAddress, PeerAddress: m.Place.PeerAddress, OperatorAddress: m.Place.OperatorAddress,
-		State: states[m.State], Heard: m.Heard, ConfigVersion: m.ConfigVersion, InFlight: int(m.Load.InFlight),
+		VM: m.VM, Incarnation: m.Incarnation, Zone: m.Location.Zone, Region: m.Location.Region,
+		CallerAddress: m.Location.CallerAddress, PeerAddress: m.Location.PeerAddress, OperatorAddress: m.Location.OperatorAddress,
+		State: states[m.State], LastReceived: m.LastReceived, ConfigVersion: m.ConfigVersion, InFlight: int(m.Load.InFlight),
 	}
 }
 
@@ -40,8 +40,8 @@
 
 func factToWire(f membership.Fact) *peerpb.MemberFact {
 	return &peerpb.MemberFact{
-		Vm: string(f.VM), Incarnation: string(f.Incarnation), Zone: string(f.Place.Zone), Region: string(f.Place.Region),
-		CallerAddress: f.Place.CallerAddress, PeerAddress: f.Place.PeerAddress, OperatorAddress: f.Place.OperatorAddress,
+		Vm: string(f.VM), Incarnation: string(f.Incarnation), Zone: string(f.Location.Zone), Region: string(f.Location.Region),
+		CallerAddress: f.Location.CallerAddress, PeerAddress: f.Location.PeerAddress, OperatorAddress: f.Location.OperatorAddress,
 		State: wireStatus[f.Status], Beat: f.Load.Beat, ConfigVersion: f.ConfigVersion,
 		StartedUnixNano: uint64(f.Started), InFlight: f.Load.InFlight,
 	}
@@ -49,9 +49,9 @@
 
 func factFromWire(w *peerpb.MemberFact) membership.Fact {
 	f := membership.Fact{
-		VM:   steering.VM(w.Vm),
-		Life: membership.Life{Started: int64(w.StartedUnixNano), Incarnation: steering.Incarnation(w.Incarnation)},
-		Place: membership.Place{Zone: steering.Zone(w.Zone), Region: steering.Region(w.Region), CallerAddress: w.CallerAddress,
+		VM:             steering.VM(w.Vm),
+		IncarnationKey: membership.IncarnationKey{Started: int64(w.StartedUnixNano), Incarnation: steering.Incarnation(w.Incarnation)},
+		Location: membership.Location{Zone: steering.Zone(w.Zone), Region: steering.Region(w.Region), CallerAddress: w.CallerAddress,
 			PeerAddress: w.PeerAddress, OperatorAddress: w.OperatorAddress},
 		ConfigVersion: w.ConfigVersion,
 		Load:          membership.Load{Beat: w.Beat, InFlight: w.InFlight},
@@ -147,16 +147,16 @@
 }
 
 // listedFrom leaves out lines whose state is not known.
-func listedFrom(vms []objects.VM) []membership.Listed {
-	var list []membership.Listed
+func listedFrom(vms []objects.VM) []membership.ListedVM {
+	var list []membership.ListedVM
 	for _, vm := range vms {
 		status, ok := listedStatus[vm.State]
 		if !ok {
 			continue
 		}
-		list = append(list, membership.Listed{
+		list = append(list, membership.ListedVM{
 			VM: steering.VM(vm.Name), Status: status, Since: vm.Since,
-			Place: membership.Place{Zone: steering.Zone(vm.Zone), Region: steering.Region(vm.Region),
+			Location: membership.Location{Zone: steering.Zone(vm.Zone), Region: steering.Region(vm.Region),
 				CallerAddress: vm.CallerAddress, PeerAddress: vm.PeerAddress, OperatorAddress: vm.OperatorAddress},
 		})
 	}
--- a/node/seam/seam.go
+++ b/node/seam/seam.go
@@ -43,9 +43,9 @@
 	PeerAddress     string
 	OperatorAddress string
 	State           MemberState
-	// Heard is the time of the last direct or relayed sign that the member is
-	// alive.
-	Heard time.Time
+	// LastReceived is the time of the last direct or relayed sign that the member
+	// is alive.
+	LastReceived time.Time
 	// ConfigVersion is the highest configuration version known to be in force at
 	// the member.
 	ConfigVersion int64
--- a/steering/membership/fact.go
+++ b/steering/membership/fact.go
@@ -19,9 +19,10 @@
 	Gone
 )
 
-// Life identifies an incarnation of a VM and orders it among the others. A VM
-// that is known only from the platform's list or the settings has the zero Life.
-type Life struct {
+// IncarnationKey identifies an incarnation of a VM and orders it among the others.
+// A VM that is known only from the platform's list or the settings has the zero
+// IncarnationKey.
+type IncarnationKey struct {
 	// Started is the start time of the process, in Unix nanoseconds by its own
 	// clock.
 	Started     int64
@@ -29,7 +30,7 @@
 }
 
 // Compare orders incarnations by start time, and equal start times by name.
-func (l Life) Compare(o Life) int {
+func (l IncarnationKey) Compare(o IncarnationKey) int {
 	if c := cmp.Compare(l.Started, o.Started); c != 0 {
 		return c
 	}
@@ -38,10 +39,11 @@
 
 // Known reports whether l identifies an incarnation, that is, whether the VM is
 // known from more than the platform's list or the settings.
-func (l Life) Known() bool { return l.Incarnation != "" }
+func (l IncarnationKey) Known() bool { return l.Incarnation != "" }
 
-// Place is where an incarnation runs and listens. It is fixed for an incarnation.
-type Place struct {
+// Location is where an incarnation runs and listens. It is fixed for an
+// incarnation.
+type Location struct {
 	Zone            steering.Zone
 	Region          steering.Region
 	CallerAddress   string
@@ -51,7 +53,7 @@
 
 // compare defines a total order of places, so that the result of Join does not
 // depend on the order of its arguments.
-func (p Place) compare(o Place) int {
+func (p Location) compare(o Location) int {
 	return cmp.Or(
 		cmp.Compare(p.Zone, o.Zone),
 		cmp.Compare(p.Region, o.Region),
@@ -75,9 +77,9 @@
 // Fact is the part of the state of a VM that all observers share.
 type Fact struct {
 	VM steering.VM
-	Life
-	Place  Place
-	Status Status
+	IncarnationKey
+	Location Location
+	Status   Status
 	// ConfigVersion is the highest configuration version known to be in force on
 	// the VM.
 	ConfigVersion int64
@@ -88,14 +90,14 @@
 // replaces the other one. For the same incarnation Join returns the maximum of
 // each part.
 func Join(a, b Fact) Fact {
-	if c := a.Life.Compare(b.Life); c != 0 {
+	if c := a.IncarnationKey.Compare(b.IncarnationKey); c != 0 {
 		if c > 0 {
 			return a
 		}
 		return b
 	}
-	if b.Place.compare(a.Place) > 0 {
-		a.Place = b.Place
+	if b.Location.compare(a.Location) > 0 {
+		a.Location = b.Location
 	}
 	if b.Load.compare(a.Load) > 0 {
 		a.Load = b.Load
@@ -126,8 +128,8 @@
 		return 0
 	}
 	d := xxhash.New()
-	parts := []string{string(f.VM), string(f.Incarnation), string(f.Place.Zone), string(f.Place.Region),
-		f.Place.CallerAddress, f.Place.PeerAddress, f.Place.OperatorAddress, string(rune('0' + f.Status))}
+	parts := []string{string(f.VM), string(f.Incarnation), string(f.Location.Zone), string(f.Location.Region),
+		f.Location.CallerAddress, f.Location.PeerAddress, f.Location.OperatorAddress, string(rune('0' + f.Status))}
 	for _, part := range parts {
 		_, _ = d.WriteString(part)
 		_, _ = d.Write([]byte{0})
@@ -135,11 +137,11 @@
 	return d.Sum64()
 }
 
-// Listed is an entry of the platform's list of VMs.
-type Listed struct {
-	VM     steering.VM
-	Place  Place
-	Status Status
+// ListedVM is an entry of the platform's list of VMs.
+type ListedVM struct {
+	VM       steering.VM
+	Location Location
+	Status   Status
 	// Since is when the VM entered the status.
 	Since time.Time
 }
--- a/steering/membership/reachability.go
+++ b/steering/membership/reachability.go
@@ -26,13 +26,13 @@
 type Member struct {
 	Fact
 	State State
-	// Heard is when the newest heartbeat of the member, or report of its zone,
+	// LastReceived is when the newest heartbeat of the member, or report of its zone,
 	// arrived, or zero if none has.
-	Heard time.Time
-	// Reached and Failed are the times of the last successful and the last failed
-	// call of this observer to the member.
-	Reached time.Time
-	Failed  time.Time
+	LastReceived time.Time
+	// LastSuccess and LastFailure are the times of the last successful and the last
+	// failed call of this observer to the member.
+	LastSuccess time.Time
+	LastFailure time.Time
 	// Failures is the number of failed calls since the last successful one.
 	Failures int
 }
@@ -62,10 +62,10 @@
 	retryDivisor = 4
 )
 
-// Hear records a heartbeat and reports whether the configuration version of the
-// member advanced. Heartbeats of an incarnation are ignored until its Fact has
+// RecordHeartbeat records a heartbeat and reports whether the configuration version of
+// the member advanced. Heartbeats of an incarnation are ignored until its Fact has
 // been merged.
-func (v *View) Hear(b Beat, now time.Time) (advanced bool) {
+func (v *View) RecordHeartbeat(b Beat, now time.Time) (advanced bool) {
 	e, ok := v.ids[b.ID]
 	if !ok || e.VM == v.self {
 		return false
@@ -82,14 +82,14 @@
 	return advanced
 }
 
-// Retry returns the members of the observer's zone that it should call next, before
-// the regular rotation.
+// DueForRetry returns the members of the observer's zone that it should call next,
+// before the regular rotation.
 //
 // A suspicion relayed by a peer only causes a call. If it counted as evidence, one
 // member with a broken link could take other members out of service in the whole
 // zone. After a first failed call the member is called again at once, and then at
 // growing intervals, or after retryMin if a heartbeat of it arrives.
-func (v *View) Retry(now time.Time) []Member {
+func (v *View) DueForRetry(now time.Time) []Member {
 	var due []Member
 	for _, e := range v.inZone(v.zone) {
 		if e.VM != v.self && e.Status != Gone && e.dueForRetry(now) {
@@ -111,8 +111,8 @@
 	return since >= retryMin && (e.receivedAt.After(e.lastFailure) || since >= pause)
 }
 
-// Direct records the outcome of a call of this observer to a member.
-func (v *View) Direct(vm steering.VM, reachable bool, now time.Time) {
+// RecordCall records the outcome of a call of this observer to a member.
+func (v *View) RecordCall(vm steering.VM, reachable bool, now time.Time) {
 	e, ok := v.entries[vm]
 	if !ok || vm == v.self {
 		return
@@ -134,9 +134,9 @@
 // lastCallFailed reports whether this observer's last call to the member failed.
 func (e *entry) lastCallFailed() bool { return e.lastFailure.After(e.lastSuccess) }
 
-// Beats returns the newest heartbeats of up to limit other members of the observer's
-// zone, in order of arrival with the most recent first.
-func (v *View) Beats(limit int, now time.Time) []Beat {
+// Heartbeats returns the newest heartbeats of up to limit other members of the
+// observer's zone, in order of arrival with the most recent first.
+func (v *View) Heartbeats(limit int, now time.Time) []Beat {
 	entries := slices.Clone(v.inZone(v.zone))
 	slices.SortStableFunc(entries, func(a, b *entry) int { return b.receivedAt.Compare(a.receivedAt) })
 	var beats []Beat
@@ -162,19 +162,19 @@
 }
 
 func (v *View) member(e *entry, now time.Time) Member {
-	m := Member{Fact: e.Fact, Heard: e.receivedAt, Reached: e.lastSuccess, Failed: e.lastFailure, Failures: e.failures}
-	if r := v.reports[e.Place.Zone]; r != nil && e.Place.Zone != v.zone {
-		m.Heard = latest(e.receivedAt, r.receivedAt)
+	m := Member{Fact: e.Fact, LastReceived: e.receivedAt, LastSuccess: e.lastSuccess, LastFailure: e.lastFailure, Failures: e.failures}
+	if r := v.reports[e.Location.Zone]; r != nil && e.Location.Zone != v.zone {
+		m.LastReceived = latest(e.receivedAt, r.receivedAt)
 	}
 	if e.VM == v.self {
-		m.Heard = now
+		m.LastReceived = now
 	}
 	m.State = v.stateOf(e, m, now)
 	return m
 }
 
 func (v *View) stateOf(e *entry, m Member, now time.Time) State {
-	silence := now.Sub(latest(m.Heard, m.Reached, e.learnedAt))
+	silence := now.Sub(latest(m.LastReceived, m.LastSuccess, e.learnedAt))
 	if e.Status == Gone || silence > v.params.GoneAfter {
 		return StateGone
 	}
@@ -187,10 +187,10 @@
 	if !e.Known() {
 		return StateSuspect // listed, but no incarnation of it is known yet
 	}
-	if e.Place.Zone == v.zone {
+	if e.Location.Zone == v.zone {
 		return v.ownZoneState(e, silence)
 	}
-	return v.otherZoneState(e, m.Heard, silence, now)
+	return v.otherZoneState(e, m.LastReceived, silence, now)
 }
 
 // ownZoneState returns the state of a member of the observer's zone, from the
@@ -222,7 +222,7 @@
 	if silence > v.params.ZoneSilentAfter {
 		return StateSuspect
 	}
-	r := v.reports[e.Place.Zone]
+	r := v.reports[e.Location.Zone]
 	if r != nil && slices.Contains(r.Doubted, e.id) && !e.lastSuccess.After(r.receivedAt) {
 		return StateSuspect
 	}
@@ -265,7 +265,7 @@
 		v.byName = slices.SortedFunc(maps.Values(v.entries), func(a, b *entry) int { return cmp.Compare(a.VM, b.VM) })
 		v.byZone = map[steering.Zone][]*entry{}
 		for _, e := range v.byName {
-			v.byZone[e.Place.Zone] = append(v.byZone[e.Place.Zone], e)
+			v.byZone[e.Location.Zone] = append(v.byZone[e.Location.Zone], e)
 		}
 	}
 	return v.byName
@@ -296,7 +296,7 @@
 	if !ok {
 		return "", false
 	}
-	return e.Place.PeerAddress, true
+	return e.Location.PeerAddress, true
 }
 
 // ZoneOf returns the zone of an incarnation, and false if the incarnation is unknown.
@@ -305,5 +305,5 @@
 	if !ok {
 		return "", false
 	}
-	return e.Place.Zone, true
+	return e.Location.Zone, true
 }
--- a/steering/membership/report.go
+++ b/steering/membership/report.go
@@ -22,20 +22,20 @@
 	receivedAt time.Time
 }
 
-// HearReport records a report of another member and reports whether the configuration
+// RecordReport records a report of another member and reports whether the configuration
 // version of the zone changed. Only the report that arrived last is kept for each
-// zone. HearReport ignores a report that is not newer than the last one of the same
+// zone. RecordReport ignores a report that is not newer than the last one of the same
 // reporter, so that relayed copies do not make an old report look recent, and a report
 // of a reporter whose Fact has not been merged yet.
-func (v *View) HearReport(r Report, now time.Time) (advanced bool) {
+func (v *View) RecordReport(r Report, now time.Time) (advanced bool) {
 	e, ok := v.ids[r.Reporter]
 	if !ok || e.VM == v.self || r.Beat <= e.reportHeartbeat {
 		return false
 	}
 	e.reportHeartbeat = r.Beat
-	old := v.reports[e.Place.Zone]
+	old := v.reports[e.Location.Zone]
 	advanced = old == nil || old.ConfigVersion != r.ConfigVersion
-	v.reports[e.Place.Zone] = &report{Report: r, receivedAt: now}
+	v.reports[e.Location.Zone] = &report{Report: r, receivedAt: now}
 	return advanced
 }
 
@@ -94,9 +94,9 @@
 // ZoneStatus is the state of a zone as this observer sees it.
 type ZoneStatus struct {
 	Zone steering.Zone
-	// Heard is when the last report of the zone arrived, or zero if none has. For
+	// LastReport is when the last report of the zone arrived, or zero if none has. For
 	// the observer's zone it is the current time.
-	Heard time.Time
+	LastReport time.Time
 	// ConfigVersion is the lowest configuration version in force in the zone.
 	ConfigVersion int64
 	// Silent reports that no report has arrived for Params.ZoneSilentAfter.
@@ -107,14 +107,14 @@
 func (v *View) Zones(now time.Time) []ZoneStatus {
 	zones := map[steering.Zone]ZoneStatus{}
 	for _, e := range v.entries {
-		z := ZoneStatus{Zone: e.Place.Zone, Silent: true}
+		z := ZoneStatus{Zone: e.Location.Zone, Silent: true}
 		if r := v.reports[z.Zone]; r != nil {
-			z.Heard, z.ConfigVersion = r.receivedAt, r.ConfigVersion
+			z.LastReport, z.ConfigVersion = r.receivedAt, r.ConfigVersion
 			z.Silent = now.Sub(r.receivedAt) > v.params.ZoneSilentAfter
 		}
 		zones[z.Zone] = z
 	}
 	own := v.OwnReport(0, now)
-	zones[v.zone] = ZoneStatus{Zone: v.zone, Heard: now, ConfigVersion: own.ConfigVersion}
+	zones[v.zone] = ZoneStatus{Zone: v.zone, LastReport: now, ConfigVersion: own.ConfigVersion}
 	return slices.SortedFunc(maps.Values(zones), func(a, b ZoneStatus) int { return cmp.Compare(a.Zone, b.Zone) })
 }
--- a/steering/membership/view.go
+++ b/steering/membership/view.go
@@ -88,7 +88,7 @@
 // use.
 type View struct {
 	self    steering.VM
-	life    Life
+	life    IncarnationKey
 	zone    steering.Zone
 	params  Params
 	entries map[steering.VM]*entry
@@ -107,7 +107,7 @@
 // NewView returns a View that contains only the observer itself.
 func NewView(self Fact, params Params, now time.Time) *View {
 	v := &View{
-		self: self.VM, life: self.Life, zone: self.Place.Zone, params: params.WithDefaults(),
+		self: self.VM, life: self.IncarnationKey, zone: self.Location.Zone, params: params.WithDefaults(),
 		entries: map[steering.VM]*entry{}, ids: map[ID]*entry{}, reports: map[steering.Zone]*report{},
 	}
 	v.Merge(self, now)
@@ -162,7 +162,7 @@
 	v.remove(e)
 	next := *e
 	next.Fact = f
-	if f.Life != e.Life {
+	if f.IncarnationKey != e.IncarnationKey {
 		next = entry{Fact: f, learnedAt: now, lastListed: e.lastListed}
 	}
 	next.changedAt = e.changedAt
@@ -203,20 +203,20 @@
 // Platform merges the platform's list of VMs and reports whether the view changed. The
 // list may be outdated: an entry does not apply to an incarnation that started after the
 // entry's Since time.
-func (v *View) Platform(list []Listed, now time.Time) (changed bool) {
+func (v *View) Platform(list []ListedVM, now time.Time) (changed bool) {
 	for _, line := range list {
 		changed = v.mergeListed(line, now) || changed
 	}
 	return changed
 }
 
-func (v *View) mergeListed(line Listed, now time.Time) bool {
+func (v *View) mergeListed(line ListedVM, now time.Time) bool {
 	e, known := v.entries[line.VM]
 	if !known {
 		if line.Status == Gone {
 			return false
 		}
-		v.insert(&entry{Fact: Fact{VM: line.VM, Place: line.Place, Status: line.Status}, learnedAt: now, changedAt: now, lastListed: now})
+		v.insert(&entry{Fact: Fact{VM: line.VM, Location: line.Location, Status: line.Status}, learnedAt: now, changedAt: now, lastListed: now})
 		return true
 	}
 	if line.Status != Gone {
@@ -224,7 +224,7 @@
 	}
 	f := e.Fact
 	if !f.Known() {
-		f.Place = line.Place // known only from the platform
+		f.Location = line.Location // known only from the platform
 		f.Status = line.Status
 	} else if f.Started <= line.Since.UnixNano() {
 		f.Status = max(f.Status, line.Status)
@@ -240,14 +240,14 @@
 // its VM as gone, or a later incarnation of the VM is known.
 func (v *View) Replaced() bool {
 	e := v.entries[v.self]
-	return e.Life != v.life || e.Status == Gone
+	return e.IncarnationKey != v.life || e.Status == Gone
 }
 
 // SetSelf updates the observer's own Fact. Status and ConfigVersion never decrease. It
 // does nothing if a later incarnation of the VM is known.
 func (v *View) SetSelf(status Status, load Load, configVersion int64, now time.Time) {
 	e := v.entries[v.self]
-	if e.Life != v.life {
+	if e.IncarnationKey != v.life {
 		return
 	}
 	f := e.Fact
@@ -259,9 +259,9 @@
 	}
 }
 
-// Forget removes the entries of other VMs that have not changed, been listed by the
-// platform, sent a heartbeat or been reached for RemoveAfter.
-func (v *View) Forget(now time.Time) {
+// RemoveExpired removes the entries of other VMs that have not changed, been listed by
+// the platform, sent a heartbeat or been reached for RemoveAfter.
+func (v *View) RemoveExpired(now time.Time) {
 	for _, e := range v.sorted() {
 		quiet := now.Sub(latest(e.receivedAt, e.learnedAt, e.changedAt, e.lastListed, e.lastSuccess))
 		if e.VM != v.self && quiet > v.params.RemoveAfter {
@@ -270,14 +270,14 @@
 	}
 }
 
-// Credit moves the recorded times forward by the length of a pause of this process, but
-// not beyond now.
+// CompensatePause moves the recorded times forward by the length of a pause of this
+// process, but not beyond now.
 //
 // Otherwise a process that was paused would find that no heartbeat arrived during its
 // own pause and would suspect all members, which would show as refusals and as pools
 // that change their owner right after a pause. With the correction the time without
 // heartbeats of each member is as long as it was before the pause.
-func (v *View) Credit(pause time.Duration, now time.Time) {
+func (v *View) CompensatePause(pause time.Duration, now time.Time) {
 	shift := func(t *time.Time) {
 		if t.IsZero() {
 			return
--- a/steering/membership/view_test.go
+++ b/steering/membership/view_test.go
@@ -21,9 +21,9 @@
 	vm := rapid.SampledFrom([]steering.VM{"a", "b", "c", "d"}).Draw(t, "vm")
 	f := Fact{VM: vm, Status: Status(rapid.IntRange(0, 2).Draw(t, "status"))}
 	if n := rapid.Int64Range(0, 3).Draw(t, "life"); n > 0 {
-		f.Life = Life{Started: n / 2, Incarnation: steering.Incarnation(fmt.Sprint("i", n))}
+		f.IncarnationKey = IncarnationKey{Started: n / 2, Incarnation: steering.Incarnation(fmt.Sprint("i", n))}
 	}
-	f.Place = Place{Zone: rapid.SampledFrom(zones).Draw(t, "zone"), PeerAddress: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "address")}
+	f.Location = Location{Zone: rapid.SampledFrom(zones).Draw(t, "zone"), PeerAddress: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "address")}
 	f.ConfigVersion = rapid.Int64Range(0, 3).Draw(t, "config")
 	f.Load = Load{Beat: rapid.Uint64Range(0, 2).Draw(t, "beat"), InFlight: rapid.Int32Range(0, 2).Draw(t, "inFlight")}
 	return f
@@ -37,15 +37,15 @@
 		assert.Equal(t, Join(a, Join(b, c)), Join(Join(a, b), c))
 		assert.Equal(t, Join(a, a), a)
 		joined := Join(a, b)
-		assert.Assert(t, joined.Life.Compare(a.Life) >= 0, "an old incarnation came back")
-		if joined.Life == a.Life {
+		assert.Assert(t, joined.IncarnationKey.Compare(a.IncarnationKey) >= 0, "an old incarnation came back")
+		if joined.IncarnationKey == a.IncarnationKey {
 			assert.Assert(t, joined.Status >= a.Status, "a leaving member came back")
 		}
 	})
 }
 
 func self() Fact {
-	return Fact{VM: "self", Life: Life{Started: 1, Incarnation: "s"}, Place: Place{Zone: "norte-a"}}
+	return Fact{VM: "self", IncarnationKey: IncarnationKey{Started: 1, Incarnation: "s"}, Location: Location{Zone: "norte-a"}}
 }
 
 func facts(v *View) []Fact {
@@ -112,12 +112,12 @@
 }
 
 func ownZoneFact(vm steering.VM) Fact {
-	return Fact{VM: vm, Life: Life{Started: 1, Incarnation: steering.Incarnation(vm)}, Place: Place{Zone: "norte-a"}}
+	return Fact{VM: vm, IncarnationKey: IncarnationKey{Started: 1, Incarnation: steering.Incarnation(vm)}, Location: Location{Zone: "norte-a"}}
 }
 
 func otherZoneFact(vm steering.VM) Fact {
 	f := ownZoneFact(vm)
-	f.Place.Zone = "sur-a"
+	f.Location.Zone = "sur-a"
 	return f
 }
 
@@ -127,16 +127,16 @@
 func TestReplacedVMStaysReplaced(t *testing.T) {
 	v := NewView(self(), Params{}, start)
 	older, newer := ownZoneFact("a"), ownZoneFact("a")
-	newer.Life = Life{Started: start.UnixNano(), Incarnation: "a2"}
+	newer.IncarnationKey = IncarnationKey{Started: start.UnixNano(), Incarnation: "a2"}
 	v.Merge(older, start)
 	v.Merge(newer, start)
 	v.Merge(older, start)
-	v.Platform([]Listed{{VM: "a", Status: Gone, Since: start.Add(-time.Second)}}, start)
+	v.Platform([]ListedVM{{VM: "a", Status: Gone, Since: start.Add(-time.Second)}}, start)
 	assert.Equal(t, facts(v)[0].Incarnation, steering.Incarnation("a2"))
 	assert.Equal(t, stateOf(v, "a", start), StateLive)
-	v.Platform([]Listed{{VM: "a", Status: Gone, Since: start.Add(time.Second)}}, start)
+	v.Platform([]ListedVM{{VM: "a", Status: Gone, Since: start.Add(time.Second)}}, start)
 	assert.Equal(t, stateOf(v, "a", start), StateGone)
-	v.Hear(Beat{ID: newer.ID(), Beat: 99}, start)
+	v.RecordHeartbeat(Beat{ID: newer.ID(), Beat: 99}, start)
 	v.Merge(newer, start)
 	assert.Equal(t, stateOf(v, "a", start), StateGone)
 }
@@ -149,25 +149,25 @@
 	a := ownZoneFact("a")
 	v.Merge(a, start)
 	now := start.Add(time.Second)
-	v.Hear(Beat{ID: a.ID(), Beat: 5}, now)
-	v.Hear(Beat{ID: a.ID(), Beat: 5, Doubted: true}, now.Add(100*time.Millisecond))
-	assert.Equal(t, len(v.Retry(now)), 0)
+	v.RecordHeartbeat(Beat{ID: a.ID(), Beat: 5}, now)
+	v.RecordHeartbeat(Beat{ID: a.ID(), Beat: 5, Doubted: true}, now.Add(100*time.Millisecond))
+	assert.Equal(t, len(v.DueForRetry(now)), 0)
 	now = now.Add(2 * time.Second)
-	v.Hear(Beat{ID: a.ID(), Beat: 5, Doubted: true}, now)
+	v.RecordHeartbeat(Beat{ID: a.ID(), Beat: 5, Doubted: true}, now)
 	assert.Equal(t, stateOf(v, "a", now), StateLive)
-	assert.Equal(t, v.Retry(now)[0].VM, steering.VM("a"))
-	v.Hear(Beat{ID: a.ID(), Beat: 6}, now)
-	assert.Equal(t, len(v.Retry(now)), 0)
-	v.Direct("a", false, now)
+	assert.Equal(t, v.DueForRetry(now)[0].VM, steering.VM("a"))
+	v.RecordHeartbeat(Beat{ID: a.ID(), Beat: 6}, now)
+	assert.Equal(t, len(v.DueForRetry(now)), 0)
+	v.RecordCall("a", false, now)
 	assert.Equal(t, stateOf(v, "a", now), StateLive)
 	assert.Equal(t, stateOf(v, "a", now.Add(failedCallMinSilence+1)), StateSuspect)
-	assert.Equal(t, len(v.Retry(now)), 1)
-	v.Direct("a", false, now)
+	assert.Equal(t, len(v.DueForRetry(now)), 1)
+	v.RecordCall("a", false, now)
 	assert.Equal(t, stateOf(v, "a", now), StateSuspect)
-	assert.Equal(t, v.Beats(10, now)[0].Doubted, true)
-	assert.Equal(t, len(v.Retry(now.Add(retryMin-1))), 0)
-	assert.Equal(t, len(v.Retry(now.Add(retryMin))), 1)
-	v.Direct("a", true, now.Add(1))
+	assert.Equal(t, v.Heartbeats(10, now)[0].Doubted, true)
+	assert.Equal(t, len(v.DueForRetry(now.Add(retryMin-1))), 0)
+	assert.Equal(t, len(v.DueForRetry(now.Add(retryMin))), 1)
+	v.RecordCall("a", true, now.Add(1))
 	assert.Equal(t, stateOf(v, "a", now), StateLive)
 }
 
@@ -181,19 +181,19 @@
 	assert.Equal(t, stateOf(v, "a", now), StateSuspect)
 	now = start.Add(DefaultZoneSilentAfter + 1)
 	assert.Equal(t, stateOf(v, "b", now), StateSuspect)
-	v.HearReport(Report{Reporter: b.ID(), Beat: 3, Doubted: []ID{c.ID()}, ConfigVersion: 7}, now)
+	v.RecordReport(Report{Reporter: b.ID(), Beat: 3, Doubted: []ID{c.ID()}, ConfigVersion: 7}, now)
 	assert.Equal(t, stateOf(v, "b", now), StateLive)
 	assert.Equal(t, stateOf(v, "c", now), StateSuspect)
 	status := v.Zones(now)
-	assert.Equal(t, status[1], ZoneStatus{Zone: "sur-a", Heard: now, ConfigVersion: 7})
+	assert.Equal(t, status[1], ZoneStatus{Zone: "sur-a", LastReport: now, ConfigVersion: 7})
 
 	// A relayed copy of a report that was already received does not extend its validity.
 	later := now.Add(DefaultZoneSilentAfter + 1)
-	v.HearReport(Report{Reporter: b.ID(), Beat: 3}, later)
+	v.RecordReport(Report{Reporter: b.ID(), Beat: 3}, later)
 	assert.Equal(t, stateOf(v, "b", later), StateSuspect)
 
 	// The time of a pause of this process does not count as missing reports.
-	v.Credit(DefaultZoneSilentAfter, later)
+	v.CompensatePause(DefaultZoneSilentAfter, later)
 	assert.Equal(t, stateOf(v, "b", later), StateLive)
 	assert.Equal(t, stateOf(v, "b", now.Add(DefaultGoneAfter+DefaultZoneSilentAfter+1)), StateGone)
 }
@@ -201,11 +201,11 @@
 func TestViewDetectsItsOwnReplacement(t *testing.T) {
 	v := NewView(self(), Params{}, start)
 	assert.Equal(t, v.Replaced(), false)
-	v.Platform([]Listed{{VM: "self", Status: Gone, Since: start}}, start)
+	v.Platform([]ListedVM{{VM: "self", Status: Gone, Since: start}}, start)
 	assert.Equal(t, v.Replaced(), true)
 	w := NewView(self(), Params{}, start)
 	next := self()
-	next.Life = Life{Started: 2, Incarnation: "s2"}
+	next.IncarnationKey = IncarnationKey{Started: 2, Incarnation: "s2"}
 	w.Merge(next, start)
 	assert.Equal(t, w.Replaced(), true)
 }
@@ -216,9 +216,9 @@
 	gone := ownZoneFact("a")
 	gone.Status = Gone
 	v.Merge(gone, start)
-	v.Forget(start.Add(DefaultRemoveAfter))
+	v.RemoveExpired(start.Add(DefaultRemoveAfter))
 	assert.Equal(t, len(facts(v)), 2)
-	v.Forget(start.Add(DefaultRemoveAfter + 1))
+	v.RemoveExpired(start.Add(DefaultRemoveAfter + 1))
 	assert.Equal(t, len(facts(v)), 1)
 	assert.Equal(t, v.Digest(), NewView(self(), Params{}, start).Digest())
 }
