--- a/cmd/internal/benchcaps/divide.go
+++ b/cmd/internal/benchcaps/divide.go
@@ -27,7 +27,7 @@
 		more := min(free, max(0, shares[i]-v.seat))
 		v.seat += more
 		free -= more
-		v.holder.Adopt(now, s.version, v.seat, s.window, false)
+		v.holder.ApplySeats(now, s.version, v.seat, s.window, false)
 	}
 }
 
--- a/cmd/internal/benchcaps/sim.go
+++ b/cmd/internal/benchcaps/sim.go
@@ -89,7 +89,7 @@
 }
 
 type pendingAsk struct {
-	caps.LoanAsk
+	caps.LoanRequest
 	lender   int
 	lendAt   time.Duration
 	grantAt  time.Duration
@@ -123,7 +123,7 @@
 		if i < s.requests%s.vms {
 			seat++
 		}
-		h.Adopt(epoch, 1, seat, s.window, false)
+		h.ApplySeats(epoch, 1, seat, s.window, false)
 		sim.vms = append(sim.vms, &vm{name: steering.Incarnation(fmt.Sprint(i)), holder: h, seat: seat, empty: map[int]time.Duration{}})
 	}
 	settled := sim.vms[0].holder.Terms().SeatWait() + time.Second
@@ -146,7 +146,7 @@
 		for range arrivals[i] {
 			s.offered++
 			v.arrived++
-			v.holder.Arrive(s.time())
+			v.holder.CountRequest(s.time())
 			if !s.serve(v) {
 				v.waiting = append(v.waiting, s.now)
 				v.round = 0
@@ -216,8 +216,8 @@
 		v.round++
 		s.messages++
 		v.ask = &pendingAsk{
-			LoanAsk: v.holder.Ask(s.time(), max(1, v.holder.Shortfall(s.time()))),
-			lender:  lender, lendAt: s.now + oneWay, grantAt: s.now + 2*oneWay,
+			LoanRequest: v.holder.RequestLoan(s.time(), max(1, v.holder.Shortfall(s.time()))),
+			lender:      lender, lendAt: s.now + oneWay, grantAt: s.now + 2*oneWay,
 		}
 		return
 	}
@@ -236,7 +236,7 @@
 	if s.now < v.ask.grantAt {
 		return
 	}
-	if v.holder.Granted(s.time(), v.ask.Nonce, v.ask.lent, lender.holder.Terms().Term) == 0 {
+	if v.holder.ApplyLoan(s.time(), v.ask.Nonce, v.ask.lent, lender.holder.Terms().Term) == 0 {
 		v.empty[v.ask.lender] = s.now + min(s.window/2, time.Second)
 	}
 	v.ask = nil
--- a/node/capshare/borrow.go
+++ b/node/capshare/borrow.go
@@ -73,7 +73,7 @@
 }
 
 // prepare chooses a lender and starts a request, unless nothing is short.
-func (k *Caps) prepare(sh *share) (lender seam.Member, ask caps.LoanAsk, ok bool) {
+func (k *Caps) prepare(sh *share) (lender seam.Member, ask caps.LoanRequest, ok bool) {
 	now := time.Now()
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -82,13 +82,13 @@
 		want = max(want, 1)
 	}
 	if want <= 0 {
-		return seam.Member{}, caps.LoanAsk{}, false
+		return seam.Member{}, caps.LoanRequest{}, false
 	}
 	lenders := k.lenders(sh, now)
 	if len(lenders) == 0 {
-		return seam.Member{}, caps.LoanAsk{}, false
+		return seam.Member{}, caps.LoanRequest{}, false
 	}
-	return lenders[0], sh.holder.Ask(now, want), true
+	return lenders[0], sh.holder.RequestLoan(now, want), true
 }
 
 // lenders lists the holders to ask, those of the own zone first, each time from
@@ -130,7 +130,7 @@
 
 // borrowFrom asks one holder, a second time with the same nonce when the first
 // answer is lost, and reports whether permits came.
-func (k *Caps) borrowFrom(ctx context.Context, sh *share, lender seam.Member, ask caps.LoanAsk) bool {
+func (k *Caps) borrowFrom(ctx context.Context, sh *share, lender seam.Member, ask caps.LoanRequest) bool {
 	request := &peerpb.BorrowRequest{
 		FromVm: string(sh.self.VM), FromIncarnation: string(sh.self.Incarnation),
 		Cap: sh.name, CapVersion: ask.Version, Permits: uint32(ask.Permits), Nonce: ask.Nonce,
@@ -149,7 +149,7 @@
 		sh.leaveAlone(now, lender.VM)
 		return false
 	}
-	gained := sh.holder.Granted(now, reply.Nonce, int(reply.Permits), time.Duration(reply.TermMs)*time.Millisecond)
+	gained := sh.holder.ApplyLoan(now, reply.Nonce, int(reply.Permits), time.Duration(reply.TermMs)*time.Millisecond)
 	k.metrics.borrowed.Inc(int64(gained))
 	if gained == 0 {
 		sh.leaveAlone(now, lender.VM)
--- a/node/capshare/gate.go
+++ b/node/capshare/gate.go
@@ -148,7 +148,7 @@
 	now := time.Now()
 	for _, sh := range shares {
 		sh.mu.Lock()
-		sh.holder.Arrive(now)
+		sh.holder.CountRequest(now)
 		sh.mu.Unlock()
 	}
 }
--- a/node/capshare/share.go
+++ b/node/capshare/share.go
@@ -72,7 +72,7 @@
 	} else if s.seats != nil && s.seats.Version < snapshot.Version {
 		// The record was deleted, which happens once no seat is left in it.
 		s.seats = nil
-		s.holder.Adopt(now, snapshot.Version, 0, 0, false)
+		s.holder.ApplySeats(now, snapshot.Version, 0, 0, false)
 	}
 	s.holder.Shrink(now, caps.Plan(s.view(nil, false)).Keep)
 }
@@ -89,7 +89,7 @@
 			own = seat.Permits
 		}
 	}
-	s.holder.Adopt(now, seats.Version, own, time.Duration(seats.WindowMs)*time.Millisecond, caps.Exceeds(seats, s.holder.Rule()))
+	s.holder.ApplySeats(now, seats.Version, own, time.Duration(seats.WindowMs)*time.Millisecond, caps.Exceeds(seats, s.holder.Rule()))
 }
 
 // view is what a plan is made from; s.mu is held. Without claimants the plan
--- a/steering/caps/caps_test.go
+++ b/steering/caps/caps_test.go
@@ -70,7 +70,7 @@
 
 func (f *fleet) request(t *rapid.T) {
 	n := f.pick("server")
-	n.h.Arrive(f.clock(n))
+	n.h.CountRequest(f.clock(n))
 	if p, ok := n.h.Take(f.clock(n)); ok {
 		f.send(n, p)
 		f.ref.check(t, f.now)
@@ -109,9 +109,9 @@
 	if from == to {
 		t.Skip("same node")
 	}
-	ask := from.h.Ask(f.clock(from), rapid.IntRange(1, 4).Draw(t, "want"))
+	ask := from.h.RequestLoan(f.clock(from), rapid.IntRange(1, 4).Draw(t, "want"))
 	n := to.h.Lend(f.clock(to), LoanKey{from.inc, ask.Nonce}, ask.Version, ask.Permits)
-	from.h.Granted(f.clock(from), ask.Nonce, n, to.h.Terms().Term)
+	from.h.ApplyLoan(f.clock(from), ask.Nonce, n, to.h.Terms().Term)
 	f.replies = append(f.replies, replyMessage{from, ask.Nonce, n, to.h.Terms().Term})
 }
 
@@ -164,7 +164,7 @@
 	if from == to {
 		t.Skip("same node")
 	}
-	ask := from.h.Ask(f.clock(from), rapid.IntRange(1, 4).Draw(t, "want"))
+	ask := from.h.RequestLoan(f.clock(from), rapid.IntRange(1, 4).Draw(t, "want"))
 	f.asks = append(f.asks, askMessage{from, to, ask})
 }
 
@@ -194,7 +194,7 @@
 		f.replies = append(f.replies[:i], f.replies[i+1:]...)
 	}
 	if m.to.alive {
-		m.to.h.Granted(f.clock(m.to), m.nonce, m.permits, m.term)
+		m.to.h.ApplyLoan(f.clock(m.to), m.nonce, m.permits, m.term)
 	}
 }
 
--- a/steering/caps/fleet_test.go
+++ b/steering/caps/fleet_test.go
@@ -61,7 +61,7 @@
 
 type askMessage struct {
 	from, to *node
-	ask      LoanAsk
+	ask      LoanRequest
 }
 
 type replyMessage struct {
@@ -146,7 +146,7 @@
 	if s := seatOf(seats, n.vm); s.Incarnation == n.inc {
 		own = s.Permits
 	}
-	n.h.Adopt(f.clock(n), seats.Version, own, time.Duration(seats.WindowMs)*time.Millisecond, Exceeds(seats, n.h.Rule()))
+	n.h.ApplySeats(f.clock(n), seats.Version, own, time.Duration(seats.WindowMs)*time.Millisecond, Exceeds(seats, n.h.Rule()))
 }
 
 // plan lets a node plan, shrink and send its write.
--- a/steering/caps/holder.go
+++ b/steering/caps/holder.go
@@ -92,17 +92,17 @@
 // SeatsVersion returns the version of the last record of the seats that was applied.
 func (h *Holder) SeatsVersion() int64 { return h.seatsVersion }
 
-// Adopt applies the platform's record of the seats at a version: permits is the holder's own seat
-// in it and longest the longest window that it has. A version that is not newer is ignored, because
-// it could raise the seat again after the holder gave up permits. A newer version decides the
-// outcome of every write that was conditional on an older one, so its number of permits is valid
-// even if the reply to a write was lost.
+// ApplySeats applies the platform's record of the seats at a version: permits is the holder's own
+// seat in it and longest the longest window that it has. A version that is not newer is ignored,
+// because it could raise the seat again after the holder gave up permits. A newer version decides
+// the outcome of every write that was conditional on an older one, so its number of permits is
+// valid even if the reply to a write was lost.
 //
 // exceeds is set if the seats together exceed the cap, which happens when the cap was lowered while
 // some permits were pinned. Such a record raises nothing. Otherwise it would restore the permits
 // that Shrink gave up, each as soon as its loan ends, and the place would get more requests than
 // the lowered cap allows.
-func (h *Holder) Adopt(now time.Time, version int64, permits int, longest time.Duration, exceeds bool) {
+func (h *Holder) ApplySeats(now time.Time, version int64, permits int, longest time.Duration, exceeds bool) {
 	if version <= h.seatsVersion {
 		return
 	}
@@ -165,9 +165,9 @@
 	return longest.terms().SeatWait()
 }
 
-// Arrive counts a request that needs a permit, for the estimate of the demand at this holder. It
-// must be called once per request, however often Take is called for it.
-func (h *Holder) Arrive(now time.Time) { h.demand.count(h.at(now), h.terms.Window) }
+// CountRequest counts a request that needs a permit, for the estimate of the demand at this holder.
+// It must be called once per request, however often Take is called for it.
+func (h *Holder) CountRequest(now time.Time) { h.demand.count(h.at(now), h.terms.Window) }
 
 // Take takes a permit that is free at now, and returns false if there is none. It prefers borrowed
 // permits, because those expire sooner.
--- a/steering/caps/holder_test.go
+++ b/steering/caps/holder_test.go
@@ -19,7 +19,7 @@
 // newReadyHolder returns a holder whose permits are usable from at(0) on.
 func newReadyHolder(rule Rule, permits int) *Holder {
 	h := NewHolder(at(-60000), rule)
-	h.Adopt(at(-60000), 1, permits, rule.Window, false)
+	h.ApplySeats(at(-60000), 1, permits, rule.Window, false)
 	return h
 }
 
@@ -28,10 +28,10 @@
 // term from the answer.
 func TestLoanTermStartsAtTheRequest(t *testing.T) {
 	lender, borrower := newReadyHolder(oneSecondRule, 4), newReadyHolder(oneSecondRule, 0)
-	ask := borrower.Ask(at(0), 4)
+	ask := borrower.RequestLoan(at(0), 4)
 	n := lender.Lend(at(1), LoanKey{"b", ask.Nonce}, ask.Version, ask.Permits)
 	assert.Equal(t, n, 4)
-	assert.Equal(t, borrower.Granted(at(1800), ask.Nonce, n, lender.Terms().Term), 4)
+	assert.Equal(t, borrower.ApplyLoan(at(1800), ask.Nonce, n, lender.Terms().Term), 4)
 	_, ok := borrower.Take(at(1899))
 	assert.Assert(t, ok)
 	_, ok = borrower.Take(at(1900))
@@ -50,8 +50,8 @@
 // was lowered must not stay valid under the new version.
 func TestLoansEndWhenTheCapChanges(t *testing.T) {
 	borrower := newReadyHolder(oneSecondRule, 0)
-	ask := borrower.Ask(at(0), 4)
-	assert.Equal(t, borrower.Granted(at(2), ask.Nonce, 4, 2*time.Second), 4)
+	ask := borrower.RequestLoan(at(0), 4)
+	assert.Equal(t, borrower.ApplyLoan(at(2), ask.Nonce, 4, 2*time.Second), 4)
 	lower := oneSecondRule
 	lower.Version, lower.Requests = 2, 1
 	borrower.Configure(lower)
@@ -67,9 +67,9 @@
 	long := oneSecondRule
 	long.Window = 3 * time.Second
 	h := NewHolder(at(-60000), long)
-	h.Adopt(at(-60000), 1, 4, time.Second, false)
+	h.ApplySeats(at(-60000), 1, 4, time.Second, false)
 	assert.Equal(t, h.Lend(at(0), LoanKey{"b", 1}, 1, 4), 0)
-	h.Adopt(at(0), 2, 4, 3*time.Second, false)
+	h.ApplySeats(at(0), 2, 4, 3*time.Second, false)
 	assert.Equal(t, h.Lend(at(1), LoanKey{"b", 1}, 1, 4), 4)
 }
 
@@ -79,14 +79,14 @@
 // seat.
 func TestRecordOfPinnedPermitsRaisesNothing(t *testing.T) {
 	lender, borrower := newReadyHolder(oneSecondRule, 2), newReadyHolder(oneSecondRule, 0)
-	ask := borrower.Ask(at(0), 1)
+	ask := borrower.RequestLoan(at(0), 1)
 	assert.Equal(t, lender.Lend(at(1), LoanKey{"b", ask.Nonce}, ask.Version, ask.Permits), 1)
 	lower := oneSecondRule
 	lower.Version, lower.Requests = 2, 0
 	lender.Configure(lower)
 	assert.Equal(t, lender.Shrink(at(10), 0), 1)
 	record := &routing.CapSeats{Seats: []routing.CapSeat{{VM: "a", Permits: 1}}}
-	lender.Adopt(at(20), 2, 1, oneSecondRule.Window, Exceeds(record, lower))
+	lender.ApplySeats(at(20), 2, 1, oneSecondRule.Window, Exceeds(record, lower))
 	_, ok := lender.Take(at(10_000))
 	assert.Assert(t, !ok)
 }
--- a/steering/caps/loan.go
+++ b/steering/caps/loan.go
@@ -35,8 +35,8 @@
 	at      instant
 }
 
-// LoanAsk is a request for a loan.
-type LoanAsk struct {
+// LoanRequest is a request for a loan.
+type LoanRequest struct {
 	Nonce   uint64
 	Version int64 // version of the Cap object that the borrower applies
 	Permits int
@@ -45,22 +45,22 @@
 // maxAnswers bounds the answers that a lender keeps. At the bound, new requests get no permits.
 const maxAnswers = 4096
 
-// Ask creates a request for a loan and returns it. The term starts at now, the time of sending; a
-// retry of the request must carry the same nonce and does not restart the term. A holder has only
-// one outstanding request: the answer to an earlier one is ignored from now on.
-func (h *Holder) Ask(now time.Time, want int) LoanAsk {
+// RequestLoan creates a request for a loan and returns it. The term starts at now, the time of
+// sending; a retry of the request must carry the same nonce and does not restart the term. A holder
+// has only one outstanding request: the answer to an earlier one is ignored from now on.
+func (h *Holder) RequestLoan(now time.Time, want int) LoanRequest {
 	if h.pending != nil {
 		h.pending.fire(eventReplaced)
 	}
 	h.lastNonce++
 	h.pending = &loan{nonce: h.lastNonce, state: loanLifecycle.Initial(), rule: h.rule.Version, want: want, askedAt: h.at(now)}
-	return LoanAsk{Nonce: h.lastNonce, Version: h.rule.Version, Permits: want}
+	return LoanRequest{Nonce: h.lastNonce, Version: h.rule.Version, Permits: want}
 }
 
-// Granted applies the answer to a request for a loan, a number of permits and the lender's term,
+// ApplyLoan applies the answer to a request for a loan, a number of permits and the lender's term,
 // and returns the number of permits gained. Answers to other requests, duplicates and answers after
 // the end of the term are ignored: their permits are not used.
-func (h *Holder) Granted(now time.Time, nonce uint64, permits int, term time.Duration) int {
+func (h *Holder) ApplyLoan(now time.Time, nonce uint64, permits int, term time.Duration) int {
 	l := h.pending
 	if l == nil || nonce != l.nonce {
 		return 0
