--- a/cmd/internal/benchbalance/counted.go
+++ b/cmd/internal/benchbalance/counted.go
@@ -53,7 +53,7 @@
 	for _, t := range r.tried {
 		avoid = append(avoid, targetName(t))
 	}
-	d := c.pool.Acquire(c.z.clock(), pool.Request{Deadline: epoch.Add(r.deadline), Avoid: avoid, Foreign: r.foreign, Patient: patient})
+	d := c.pool.Acquire(c.z.clock(), pool.Request{Deadline: epoch.Add(r.deadline), Avoid: avoid, CrossZone: r.foreign, NoAlternative: patient})
 	switch d.Verdict {
 	case pool.Granted:
 		granted(d.Grant, targetIndex(d.Target.Name))
@@ -122,13 +122,13 @@
 	if c.timer {
 		return
 	}
-	if _, ok := c.pool.Next(); !ok {
+	if _, ok := c.pool.NextTick(); !ok {
 		return
 	}
 	c.timer = true
 	c.z.after(tickEvery, func() {
 		c.timer = false
-		if next, ok := c.pool.Next(); ok && !next.After(c.z.clock()) {
+		if next, ok := c.pool.NextTick(); ok && !next.After(c.z.clock()) {
 			c.settle(c.pool.Tick(c.z.clock()))
 			return
 		}
--- a/cmd/internal/benchbalance/experiment.go
+++ b/cmd/internal/benchbalance/experiment.go
@@ -148,7 +148,7 @@
 	}{
 		{"least loaded", pool.ChooseLeastLoaded},
 		{"fastest", pool.ChooseFastest},
-		{"longest unused", pool.ChooseFirst},
+		{"longest unused", pool.ChooseLeastRecentlyUsed},
 	}
 	for _, slow := range []float64{0, 0.2} {
 		for _, load := range loads {
--- a/cmd/internal/benchbalance/owner.go
+++ b/cmd/internal/benchbalance/owner.go
@@ -143,7 +143,7 @@
 			continue
 		}
 		for _, h := range held {
-			if id, ok := w.c.pool.Hold(now, targetName(h.target)); ok {
+			if id, ok := w.c.pool.RestoreGrant(now, targetName(h.target)); ok {
 				h.c, h.id = w.c, id
 			}
 		}
--- a/node/admit/acquire.go
+++ b/node/admit/acquire.go
@@ -22,7 +22,7 @@
 		r.Deadline = time.Now().Add(defaultDeadline)
 	}
 	var link *grant
-	if r.Foreign && a.pool(linkOf(r.Place)) != nil && a.linkLimited(r.Place) {
+	if r.CrossZone && a.pool(linkOf(r.Place)) != nil && a.linkLimited(r.Place) {
 		got, refusal := a.acquire(ctx, linkOf(r.Place), r)
 		if refusal != nil {
 			return nil, a.metrics.refused(refusal)
@@ -117,8 +117,8 @@
 		id:       fmt.Sprintf("%s#%d", r.ID, a.serial.Add(1)),
 		holder:   a.self,
 		class:    a.class(r.Service),
-		foreign:  r.Foreign,
-		patient:  r.Patient,
+		foreign:  r.CrossZone,
+		patient:  r.NoAlternative,
 		deadline: r.Deadline,
 	}
 	if !key.isLink() {
--- a/node/admit/config.go
+++ b/node/admit/config.go
@@ -42,8 +42,8 @@
 	// MaxWait bounds the queue time of a request that no other place accepts.
 	// Other requests wait for at most about one service time.
 	MaxWait time.Duration // 500 ms
-	// ForeignMaxWait bounds the queue time of requests from other zones.
-	ForeignMaxWait time.Duration // 100 ms
+	// CrossZoneMaxWait bounds the queue time of requests from other zones.
+	CrossZoneMaxWait time.Duration // 100 ms
 	// ReplySlack is how long the owner's reply may take beyond MaxWait.
 	ReplySlack time.Duration // 300 ms
 	// ProbeAfter is how long an Acquire call may wait for its reply before the
@@ -119,7 +119,7 @@
 	orDefault(&c.UpkeepInterval, defaultUpkeepInterval)
 	orDefault(&c.PauseLimit, defaultPauseLimit)
 	orDefault(&c.MaxWait, defaultMaxWait)
-	orDefault(&c.ForeignMaxWait, defaultForeignMaxWait)
+	orDefault(&c.CrossZoneMaxWait, defaultForeignMaxWait)
 	orDefault(&c.ReplySlack, defaultReplySlack)
 	orDefault(&c.ProbeAfter, defaultProbeAfter)
 	orDefault(&c.PeerTimeout, defaultPeerTimeout)
@@ -129,7 +129,7 @@
 		c.Pool.WaitPart = defaultWaitPart
 	}
 	c.Pool.MaxWait = c.MaxWait
-	c.Pool.ForeignMaxWait = c.ForeignMaxWait
+	c.Pool.CrossZoneMaxWait = c.CrossZoneMaxWait
 	return c
 }
 
--- a/node/admit/pool_state.go
+++ b/node/admit/pool_state.go
@@ -118,7 +118,7 @@
 		return result{kind: resultNotOwner}
 	}
 	a.class = p.classOf(a)
-	d := p.pool.Acquire(time.Now(), pool.Request{Class: a.class, Foreign: a.foreign, Patient: a.patient, Deadline: a.deadline, Avoid: a.avoid})
+	d := p.pool.Acquire(time.Now(), pool.Request{Class: a.class, CrossZone: a.foreign, NoAlternative: a.patient, Deadline: a.deadline, Avoid: a.avoid})
 	switch d.Verdict {
 	case pool.Granted:
 		s := p.issue(d.Grant, a, d.Target)
@@ -258,7 +258,7 @@
 // Upkeep rounds alone would refuse it tens of milliseconds late, time in which
 // another zone could have served the request. The caller holds mu.
 func (p *poolState) scheduleExpiry() {
-	next, ok := p.pool.Next()
+	next, ok := p.pool.NextTick()
 	if !ok || !p.timerAt.IsZero() && !next.Before(p.timerAt) {
 		return
 	}
@@ -289,7 +289,7 @@
 	if p.role == roleOwner {
 		p.updateRamps(now)
 	}
-	if next, ok := p.pool.Next(); ok && !next.After(now) {
+	if next, ok := p.pool.NextTick(); ok && !next.After(now) {
 		p.applyEffects(p.pool.Tick(now))
 	}
 }
@@ -327,7 +327,7 @@
 	if p.role != roleOwner {
 		return nil
 	}
-	return p.pool.Unsure(nil)
+	return p.pool.Unverified(nil)
 }
 
 // applyLoads applies the loads that targets reported.
--- a/node/admit/role.go
+++ b/node/admit/role.go
@@ -120,7 +120,7 @@
 	if _, known := p.issued[in.grant]; known {
 		return
 	}
-	id, ok := p.pool.Hold(now, in.target)
+	id, ok := p.pool.RestoreGrant(now, in.target)
 	if !ok {
 		return
 	}
--- a/node/admit/target_health.go
+++ b/node/admit/target_health.go
@@ -72,7 +72,7 @@
 		if c.State == health.Warming {
 			p.targetHealth.ramps[c.Target] = warmup.NewCold(now, warmup.Config{})
 		}
-		p.applyEffects(p.pool.SetClosed(now, c.Target, c.State == health.Ejected))
+		p.applyEffects(p.pool.SetEjected(now, c.Target, c.State == health.Ejected))
 		p.share(now, c.Target)
 		p.metrics.targetState(string(c.State))
 	}
@@ -205,7 +205,7 @@
 func slotEnd(kind seam.OutcomeKind) pool.End {
 	switch kind {
 	case seam.OutcomeOK:
-		return pool.EndDone
+		return pool.EndSucceeded
 	case seam.OutcomeFailed:
 		return pool.EndFailed
 	case seam.OutcomeShed:
--- a/node/admit/target_health_test.go
+++ b/node/admit/target_health_test.go
@@ -79,7 +79,7 @@
 				z.work.Go(func() {
 					for range 20 {
 						ctx, cancel := context.WithTimeout(t.Context(), time.Second)
-						grant, err := e.admit.Acquire(ctx, seam.AdmitRequest{Service: testService, Place: testPlace, Foreign: true})
+						grant, err := e.admit.Acquire(ctx, seam.AdmitRequest{Service: testService, Place: testPlace, CrossZone: true})
 						cancel()
 						mu.Lock()
 						if err != nil {
--- a/node/forward/run.go
+++ b/node/forward/run.go
@@ -135,7 +135,7 @@
 func (x *exchange) admit(ctx context.Context, place steering.Place, avoid []steering.Target) (seam.Grant, seam.CapPermit, *steering.Refusal) {
 	grant, err := x.f.admitter.Acquire(ctx, seam.AdmitRequest{
 		ID: x.id, Service: x.service.Name, Place: place, Deadline: x.deadline,
-		Home: x.home, Foreign: x.origin == originSpillover, Patient: x.waitLonger, Avoid: append(avoid, x.tried...),
+		Home: x.home, CrossZone: x.origin == originSpillover, NoAlternative: x.waitLonger, Avoid: append(avoid, x.tried...),
 	})
 	if err != nil {
 		return nil, nil, asRefusal(err)
--- a/node/seam/seam.go
+++ b/node/seam/seam.go
@@ -77,13 +77,13 @@
 	Deadline time.Time
 	// Home is the place that the caller belongs to; empty if unknown.
 	Home steering.Place
-	// Foreign is set for a request from another zone.
-	Foreign bool
+	// CrossZone is set for a request from another zone.
+	CrossZone bool
 	// Avoid lists the targets to which this request was already sent.
 	Avoid []steering.Target
-	// Patient is set for a request that no other place accepts. It may wait longer
-	// in the queue.
-	Patient bool
+	// NoAlternative is set for a request that no other place accepts. It may wait
+	// longer in the queue.
+	NoAlternative bool
 }
 
 // Outcome reports to the pool how a granted request ended.
--- a/steering/pool/config.go
+++ b/steering/pool/config.go
@@ -13,8 +13,8 @@
 	// ChooseLeastLoaded takes the target with the smallest fraction of its slots in use, and among
 	// equals the least recently used one.
 	ChooseLeastLoaded
-	// ChooseFirst takes the least recently used target, regardless of its load.
-	ChooseFirst
+	// ChooseLeastRecentlyUsed takes the least recently used target, regardless of its load.
+	ChooseLeastRecentlyUsed
 )
 
 // Config sets the bounds and times of a pool. A field that is zero takes the default given in the
@@ -33,12 +33,12 @@
 	MinWait  time.Duration // 25 ms
 	// StandingAfter is how long a queue must not have been empty to be a standing queue. Waiting
 	// out a short burst pays for a request that cannot go elsewhere. In a standing queue, longer
-	// waits do not serve more requests, they only serve all of them later; Request.Patient
+	// waits do not serve more requests, they only serve all of them later; Request.NoAlternative
 	// therefore has no effect there.
 	StandingAfter time.Duration // 500 ms
-	// ForeignMaxWait replaces MaxWait for requests from other zones. They have already spent time
+	// CrossZoneMaxWait replaces MaxWait for requests from other zones. They have already spent time
 	// on the way, and refusing them costs less.
-	ForeignMaxWait time.Duration // MaxWait
+	CrossZoneMaxWait time.Duration // MaxWait
 	// ServiceTime is the mean service time that is assumed before the first sample.
 	ServiceTime time.Duration // 50 ms
 	// Linger is how long a slot stays in use after its request ended without an answer from the
@@ -88,8 +88,8 @@
 	if c.QueuePerSlot < 0 {
 		c.QueuePerSlot = noQueuePerSlot
 	}
-	if c.ForeignMaxWait == 0 {
-		c.ForeignMaxWait = c.MaxWait
+	if c.CrossZoneMaxWait == 0 {
+		c.CrossZoneMaxWait = c.MaxWait
 	}
 	orDefault(&c.StandingAfter, defaultStandingAfter)
 	orDefault(&c.MinWait, defaultMinWait)
--- a/steering/pool/estimate.go
+++ b/steering/pool/estimate.go
@@ -93,10 +93,10 @@
 // maxWait returns the bound on a request's wait, or zero if only the deadline bounds it.
 func (p *Pool) maxWait(at instant, r *Request) time.Duration {
 	bound := p.cfg.MaxWait
-	if r.Foreign {
-		bound = p.cfg.ForeignMaxWait
+	if r.CrossZone {
+		bound = p.cfg.CrossZoneMaxWait
 	}
-	if p.cfg.WaitPart == 0 || r.Patient && !p.standing(at) {
+	if p.cfg.WaitPart == 0 || r.NoAlternative && !p.standing(at) {
 		return bound
 	}
 	relative := max(p.cfg.MinWait, time.Duration(p.cfg.WaitPart*p.times.mean))
--- a/steering/pool/model_test.go
+++ b/steering/pool/model_test.go
@@ -51,7 +51,7 @@
 
 func newMachine(t *rapid.T) *machine {
 	m := &machine{now: start, ceiling: NoCeiling, held: map[GrantID]*modelTarget{}, exact: rapid.Bool().Draw(t, "exact")}
-	m.choice = Choice(rapid.IntRange(0, int(ChooseFirst)).Draw(t, "choice"))
+	m.choice = Choice(rapid.IntRange(0, int(ChooseLeastRecentlyUsed)).Draw(t, "choice"))
 	m.avoidOdds = rapid.IntRange(0, 3).Draw(t, "picky")
 	m.pool = New(start, Config{
 		Choice:       m.choice,
@@ -161,9 +161,9 @@
 
 func (m *machine) Acquire(t *rapid.T) {
 	r := Request{
-		Class:    rapid.SampledFrom([]routing.Criticality{0, 1, 1, 1, 2}).Draw(t, "class"),
-		Foreign:  rapid.IntRange(0, 4).Draw(t, "foreign") == 0,
-		Deadline: m.now.Add(time.Duration(rapid.IntRange(-1, 200).Draw(t, "deadline")) * time.Millisecond),
+		Class:     rapid.SampledFrom([]routing.Criticality{0, 1, 1, 1, 2}).Draw(t, "class"),
+		CrossZone: rapid.IntRange(0, 4).Draw(t, "foreign") == 0,
+		Deadline:  m.now.Add(time.Duration(rapid.IntRange(-1, 200).Draw(t, "deadline")) * time.Millisecond),
 	}
 	for _, target := range m.targets {
 		if rapid.IntRange(0, 3).Draw(t, "avoid") < m.avoidOdds {
@@ -236,7 +236,7 @@
 func (m *machine) Close(t *rapid.T) {
 	target := rapid.SampledFrom(m.targets).Draw(t, "target")
 	target.ejected = !target.ejected
-	m.apply(t, m.pool.SetClosed(m.now, target.name, target.ejected))
+	m.apply(t, m.pool.SetEjected(m.now, target.name, target.ejected))
 }
 
 func (m *machine) Ceiling(t *rapid.T) {
--- a/steering/pool/pool.go
+++ b/steering/pool/pool.go
@@ -103,8 +103,8 @@
 // NoCeiling is the ceiling of a pool that is bounded only by its targets' slots.
 const NoCeiling = math.MaxInt
 
-// SetClosed sets whether a target is ejected: an ejected target gets no new requests.
-func (p *Pool) SetClosed(now time.Time, name steering.Target, ejected bool) Effects {
+// SetEjected sets whether a target is ejected: an ejected target gets no new requests.
+func (p *Pool) SetEjected(now time.Time, name steering.Target, ejected bool) Effects {
 	return p.updateTarget(now, name, func(t *target, _ instant) { t.ejected = ejected })
 }
 
@@ -189,10 +189,10 @@
 	return true
 }
 
-// Hold registers a slot that is already in use because an earlier owner of the pool granted it. It
-// may exceed the target's slots, because the target runs the request in any case. It returns false
-// if the target is unknown.
-func (p *Pool) Hold(now time.Time, name steering.Target) (GrantID, bool) {
+// RestoreGrant registers a slot that is already in use because an earlier owner of the pool granted
+// it. It may exceed the target's slots, because the target runs the request in any case. It returns
+// false if the target is unknown.
+func (p *Pool) RestoreGrant(now time.Time, name steering.Target) (GrantID, bool) {
 	at := p.advance(now)
 	i, ok := p.byName[name]
 	if !ok {
@@ -255,7 +255,7 @@
 	case EndFailed:
 		p.times.add(held)
 		t.addServiceTime(time.Duration(failurePenalty * p.times.mean))
-	case EndDone:
+	case EndSucceeded:
 		p.times.add(held)
 		t.addServiceTime(held)
 		t.recordSuccess()
@@ -291,8 +291,8 @@
 	return p.effects
 }
 
-// Next returns when Tick has to be called next, and false if nothing depends on time.
-func (p *Pool) Next() (time.Time, bool) {
+// NextTick returns when Tick has to be called next, and false if nothing depends on time.
+func (p *Pool) NextTick() (time.Time, bool) {
 	next := p.nextChangeAt
 	for _, q := range p.queues {
 		if len(q) > 0 {
--- a/steering/pool/queue.go
+++ b/steering/pool/queue.go
@@ -23,7 +23,7 @@
 
 func rankOf(r *Request) int {
 	rank := 2 * int(min(r.Class, routing.Sheddable))
-	if r.Foreign {
+	if r.CrossZone {
 		rank++
 	}
 	return rank
--- a/steering/pool/region_test.go
+++ b/steering/pool/region_test.go
@@ -59,7 +59,7 @@
 			name: steering.Place(fmt.Sprint("place-", i)), waiting: map[pool.Ticket]*forwarded{}, running: map[steering.Target]int{},
 			limit: rapid.IntRange(1, 12).Draw(t, "link"), slotsPerTarget: rapid.IntRange(1, 4).Draw(t, "slots"),
 		}
-		cfg := pool.Config{MaxWait: 500 * time.Millisecond, ForeignMaxWait: maxForeignWait}
+		cfg := pool.Config{MaxWait: 500 * time.Millisecond, CrossZoneMaxWait: maxForeignWait}
 		r.slots = pool.New(g.now, cfg)
 		r.link = pool.New(g.now, pool.Config{QueuePerSlot: -1})
 		var targets []routing.Target
@@ -99,7 +99,7 @@
 }
 
 func (g *region) request() pool.Request {
-	return pool.Request{Foreign: true, Deadline: g.now.Add(2 * time.Second)}
+	return pool.Request{CrossZone: true, Deadline: g.now.Add(2 * time.Second)}
 }
 
 // admit reports whether the receiver accepted the request, to run or to wait.
@@ -132,7 +132,7 @@
 
 func (g *region) releaseLink(m *forwarded) {
 	m.at.onLink--
-	m.at.link.Release(g.now, m.link, ended(pool.EndDone))
+	m.at.link.Release(g.now, m.link, ended(pool.EndSucceeded))
 }
 
 func ended(how pool.End) pool.Outcome {
@@ -162,7 +162,7 @@
 	g.running = slices.Delete(g.running, i, i+1)
 	m.at.running[m.target]--
 	g.releaseLink(m)
-	how := rapid.SampledFrom([]pool.End{pool.EndDone, pool.EndDone, pool.EndFailed, pool.EndUncertain}).Draw(t, "end")
+	how := rapid.SampledFrom([]pool.End{pool.EndSucceeded, pool.EndSucceeded, pool.EndFailed, pool.EndUncertain}).Draw(t, "end")
 	g.applyEffects(t, m.at, m.at.slots.Release(g.now, m.slot, ended(how)))
 }
 
--- a/steering/pool/state.go
+++ b/steering/pool/state.go
@@ -118,9 +118,9 @@
 	return to
 }
 
-// Unsure appends to the slice the targets whose state only their own reports can show: those that
-// may still run requests with an uncertain end, and ejected ones.
-func (p *Pool) Unsure(to []routing.Target) []routing.Target {
+// Unverified appends to the slice the targets whose state only their own reports can show: those
+// that may still run requests with an uncertain end, and ejected ones.
+func (p *Pool) Unverified(to []routing.Target) []routing.Target {
 	for i := range p.targets {
 		t := &p.targets[i]
 		if t.lingering > 0 || t.ejected && t.declared {
--- a/steering/pool/types.go
+++ b/steering/pool/types.go
@@ -10,13 +10,13 @@
 // Request asks for one slot.
 type Request struct {
 	Class routing.Criticality
-	// Foreign marks a request that came from another zone. It waits behind the zone's own requests
-	// of the same class.
-	Foreign bool
-	// Patient marks a request that no other place accepts. Only MaxWait bounds its wait, unless the
-	// queue is a standing queue; see Config.StandingAfter.
-	Patient  bool
-	Deadline time.Time
+	// CrossZone marks a request that came from another zone. It waits behind the zone's own
+	// requests of the same class.
+	CrossZone bool
+	// NoAlternative marks a request that no other place accepts. Only MaxWait bounds its wait,
+	// unless the queue is a standing queue; see Config.StandingAfter.
+	NoAlternative bool
+	Deadline      time.Time
 	// Avoid lists targets that must not be chosen. The pool keeps the slice while the request
 	// waits, so the caller must not modify it.
 	Avoid []steering.Target
@@ -80,8 +80,8 @@
 
 // Ways a granted request ends.
 const (
-	// EndDone means that the target sent a complete answer.
-	EndDone End = iota
+	// EndSucceeded means that the target sent a complete answer.
+	EndSucceeded End = iota
 	// EndFailed means that the target answered that the request failed.
 	EndFailed
 	// EndShed means that the target refused the request without running it.
