--- a/node/gateway/allowances/exchange.go
+++ b/node/gateway/allowances/exchange.go
@@ -53,7 +53,7 @@
 			delete(s.accounts, id)
 			continue
 		}
-		if !a.Due(now) {
+		if !a.ReportDue(now) {
 			continue
 		}
 		if report, to, ok := s.prepareReport(now, a); ok {
@@ -69,7 +69,7 @@
 
 // report sends the report on one workspace to its owner if it is due.
 func (s *Service) report(now time.Time, a *account) {
-	if !a.Due(now) {
+	if !a.ReportDue(now) {
 		return
 	}
 	if report, to, ok := s.prepareReport(now, a); ok {
@@ -84,7 +84,7 @@
 	if a.ownerVersion != s.fleetVersion {
 		owner, _ := allowance.OwnerOf(a.id, s.live) // without any live VM the report is not sent
 		if owner != a.owner {
-			a.NewOwner()
+			a.OwnerChanged()
 		}
 		a.owner, a.ownerVersion = owner, s.fleetVersion
 	}
@@ -110,7 +110,7 @@
 	}
 	reply, becameLow, ok := s.ledger.Report(now, from, incarnation, limitOf(w), r)
 	if becameLow && s.cfg.Low != nil {
-		s.lowUntil[r.Workspace] = now.Add(allowance.TightFor)
+		s.lowUntil[r.Workspace] = now.Add(allowance.LowBucketTTL)
 		_ = s.cfg.Log.Log("msg", "allowance nearly used up", "workspace", w.Name, "rate", w.Rate) // the log writer counts dropped lines
 		go s.cfg.Low()
 	}
@@ -120,7 +120,7 @@
 // applyReply applies an owner's reply to the account, and wakes the requests that wait for it.
 func (s *Service) applyReply(now time.Time, r allowance.Reply) {
 	if a := s.accounts[r.Workspace]; a != nil {
-		a.Replied(now, r)
+		a.ApplyReply(now, r)
 		a.notifyWaiters()
 	}
 }
--- a/node/gateway/allowances/service.go
+++ b/node/gateway/allowances/service.go
@@ -138,7 +138,7 @@
 		s.fleetVersion++
 	}
 	s.live, s.peers, s.members = candidates, peers, members
-	s.ledger.SetPart(now, float64(max(len(live), 1))/float64(members))
+	s.ledger.SetFleetShare(now, float64(max(len(live), 1))/float64(members))
 	for _, a := range s.accounts {
 		a.Configure(now, a.Limit(), members)
 	}
@@ -167,11 +167,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.account(now, w)
-	a.Arrived(now)
+	a.RecordArrival(now)
 	verdict := a.Admit(now)
-	if verdict == allowance.Ask {
-		limit := now.Add(allowance.AskFor)
-		if a.Silent(now) {
+	if verdict == allowance.AskOwner {
+		limit := now.Add(allowance.OwnerTimeout)
+		if a.OwnerUnresponsive(now) {
 			limit = now
 		}
 		verdict = s.askOwner(ctx, a, limit)
@@ -186,26 +186,26 @@
 // askOwner reports to the owner and waits until its reply decides the request, at most until limit.
 // The caller holds s.mu, which is released while askOwner waits.
 func (s *Service) askOwner(ctx context.Context, a *account, limit time.Time) allowance.Verdict {
-	a.Wait()
-	defer a.Waited()
+	a.AddWaiting()
+	defer a.RemoveWaiting()
 	for {
 		replied := a.nextReply()
 		s.report(time.Now(), a)
 		now := time.Now()
 		verdict := a.Admit(now)
 		switch {
-		case verdict != allowance.Ask:
+		case verdict != allowance.AskOwner:
 			return verdict
 		case ctx.Err() != nil:
 			return allowance.Refused
 		case !now.Before(limit):
-			if a.Alone(now) {
+			if a.AdmitWithoutOwner(now) {
 				return allowance.Admitted
 			}
 			return allowance.Refused
 		}
 		s.mu.Unlock()
-		waitFor(ctx, min(limit.Sub(now), allowance.AskAgain), replied)
+		waitFor(ctx, min(limit.Sub(now), allowance.ReportRetryInterval), replied)
 		s.mu.Lock()
 	}
 }
@@ -221,26 +221,26 @@
 	}
 }
 
-// Return gives back the credit of an admitted request that was refused for the given reason without
-// running.
-func (s *Service) Return(w *identity.Workspace, reason steering.Reason) {
+// ReturnCredit gives back the credit of an admitted request that was refused for the given reason
+// without running.
+func (s *Service) ReturnCredit(w *identity.Workspace, reason steering.Reason) {
 	if !w.Limited() {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.account(time.Now(), w).Return()
+	s.account(time.Now(), w).ReturnCredit()
 	s.counts.addNotRun(w.Name, reason)
 }
 
-// Ran counts an additional run of an admitted request.
-func (s *Service) Ran(w *identity.Workspace) {
+// RecordExtraRun counts an additional run of an admitted request.
+func (s *Service) RecordExtraRun(w *identity.Workspace) {
 	if !w.Limited() {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.account(time.Now(), w).Ran()
+	s.account(time.Now(), w).RecordExtraRun()
 }
 
 // account returns this VM's account of a workspace, and creates it if needed.
@@ -249,7 +249,7 @@
 	a := s.accounts[id]
 	if a == nil {
 		a = &account{Account: allowance.NewAccount(now, limitOf(w), s.members), id: id, ownerVersion: -1}
-		a.Tight(s.lowUntil[id])
+		a.MarkLow(s.lowUntil[id])
 		s.accounts[id] = a
 	}
 	return a
@@ -276,14 +276,14 @@
 
 // TightToTell returns notices about the workspaces whose buckets are low, for a heartbeat. They
 // come from this VM's own ledger and from other VMs' heartbeats.
-func (s *Service) TightToTell() []allowance.TightNews {
+func (s *Service) TightToTell() []allowance.LowBucketNotice {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, id := range s.ledger.Flooded(now) {
-		s.lowUntil[id] = now.Add(allowance.TightFor)
+	for _, id := range s.ledger.Overloaded(now) {
+		s.lowUntil[id] = now.Add(allowance.LowBucketTTL)
 	}
-	var notices []allowance.TightNews
+	var notices []allowance.LowBucketNotice
 	for id, until := range s.lowUntil {
 		left := until.Sub(now)
 		if left <= 0 {
@@ -291,7 +291,7 @@
 			continue
 		}
 		if len(notices) < maxNotices {
-			notices = append(notices, allowance.TightNews{Workspace: id, LeftMs: uint16(left.Milliseconds())})
+			notices = append(notices, allowance.LowBucketNotice{Workspace: id, LeftMs: uint16(left.Milliseconds())})
 		}
 	}
 	return notices
@@ -301,17 +301,17 @@
 const maxNotices = 32
 
 // LearnTight applies the low-bucket notices of a heartbeat.
-func (s *Service) LearnTight(notices []allowance.TightNews) {
+func (s *Service) LearnTight(notices []allowance.LowBucketNotice) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, n := range notices {
-		until := now.Add(min(time.Duration(n.LeftMs)*time.Millisecond, allowance.TightFor))
+		until := now.Add(min(time.Duration(n.LeftMs)*time.Millisecond, allowance.LowBucketTTL))
 		if until.After(s.lowUntil[n.Workspace]) {
 			s.lowUntil[n.Workspace] = until
 		}
 		if a := s.accounts[n.Workspace]; a != nil {
-			a.Tight(until)
+			a.MarkLow(until)
 		}
 	}
 }
--- a/node/gateway/allowances/service_test.go
+++ b/node/gateway/allowances/service_test.go
@@ -102,7 +102,7 @@
 	for n := range 40 {
 		_, ok := g.all[0].Admit(t.Context(), w, 0)
 		assert.Assert(t, ok, "request %d", n)
-		g.all[0].Return(w, steering.ReasonShed)
+		g.all[0].ReturnCredit(w, steering.ReasonShed)
 		time.Sleep(5 * time.Millisecond)
 	}
 }
--- a/node/gateway/fleet/beat.go
+++ b/node/gateway/fleet/beat.go
@@ -52,7 +52,7 @@
 	// Replaced holds targets at whose address a different target was found recently.
 	Replaced []placement.StartID
 	// Tight holds the workspaces whose allowance is nearly used up.
-	Tight []allowance.TightNews
+	Tight []allowance.LowBucketNotice
 	// Suspects holds facts about requests that crash targets.
 	Suspects []poison.Fact
 	// Members introduces other members to a VM that may not know them.
@@ -96,7 +96,7 @@
 	Suspects    []poison.Fact
 	From        *Member
 	Introduced  []Member
-	Tight       []allowance.TightNews
+	Tight       []allowance.LowBucketNotice
 }
 
 // idOf returns the ID that stands for a VM in datagrams.
--- a/node/gateway/fleet/golden_internal_test.go
+++ b/node/gateway/fleet/golden_internal_test.go
@@ -46,7 +46,7 @@
 		ConfigContent: 1<<29 + 6, ConfigWait: catchup.Holder,
 		Demand: placement.DemandOf{"tickets": {Rate: 1.5, RunMs: 110.25, Runs: 7, Bound: map[steering.Region]float32{"sur": 0.75}}},
 		Mates:  []uint32{1<<24 - 2, 0x010203}, Replaced: []placement.StartID{1<<31 + 8, 9},
-		Tight:    []allowance.TightNews{{Workspace: 1<<62 + 10, LeftMs: 1411}},
+		Tight:    []allowance.LowBucketNotice{{Workspace: 1<<62 + 10, LeftMs: 1411}},
 		Suspects: []poison.Fact{{ID: 1<<61 + 12, Target: "t1", Deaths: 13, Alone: true, Signature: 1<<60 + 14, Age: 15 * time.Second}, {ID: 16, Age: 17}},
 		Members:  []Member{{Name: "vm-2", Zone: "sur-a", Region: "sur", Peer: "10.0.1.1:7640", Control: "10.0.1.1:7633", Callers: "10.0.1.1:7631", Capacity: 300}},
 	}
--- a/node/gateway/relay/attempts.go
+++ b/node/gateway/relay/attempts.go
@@ -229,7 +229,7 @@
 		return false
 	}
 	if !e.notRun {
-		x.f.cfg.Allowances.Ran(x.workspace)
+		x.f.cfg.Allowances.RecordExtraRun(x.workspace)
 	}
 	x.f.cfg.Events.Retried(retryReason(e))
 	return true
@@ -261,7 +261,7 @@
 		x.f.returnRetry(x.service)
 		return
 	}
-	x.f.cfg.Allowances.Ran(x.workspace)
+	x.f.cfg.Allowances.RecordExtraRun(x.workspace)
 	x.f.cfg.Events.Retried("overdue")
 }
 
--- a/node/gateway/relay/relay.go
+++ b/node/gateway/relay/relay.go
@@ -78,11 +78,11 @@
 	// Admit decides whether a request may run. If it may not, retryAfter is when the caller should
 	// retry. jitter is a number from 0 to 1 derived from the request; it spreads retries over time.
 	Admit(ctx context.Context, w *identity.Workspace, jitter float64) (retryAfter time.Duration, ok bool)
-	// Return gives back the credit of an admitted request that was refused for the given reason
-	// without running.
-	Return(w *identity.Workspace, reason steering.Reason)
-	// Ran counts an additional run of an admitted request, such as a retry.
-	Ran(w *identity.Workspace)
+	// ReturnCredit gives back the credit of an admitted request that was refused for the given
+	// reason without running.
+	ReturnCredit(w *identity.Workspace, reason steering.Reason)
+	// RecordExtraRun counts an additional run of an admitted request, such as a retry.
+	RecordExtraRun(w *identity.Workspace)
 }
 
 // unlimited is an Allowances without limits.
@@ -91,8 +91,8 @@
 func (unlimited) Admit(context.Context, *identity.Workspace, float64) (time.Duration, bool) {
 	return 0, true
 }
-func (unlimited) Return(*identity.Workspace, steering.Reason) {}
-func (unlimited) Ran(*identity.Workspace)                     {}
+func (unlimited) ReturnCredit(*identity.Workspace, steering.Reason) {}
+func (unlimited) RecordExtraRun(*identity.Workspace)                {}
 
 // Relay handles callers' requests. It is safe for concurrent use.
 type Relay struct {
--- a/node/gateway/relay/responses.go
+++ b/node/gateway/relay/responses.go
@@ -43,7 +43,7 @@
 // refuse returns the response to a request that has not run.
 func (x *exchange) refuse(reason steering.Reason, retryAfter time.Duration) *callers.Response {
 	x.recordOutcome(losses.Refused, reason)
-	x.f.cfg.Allowances.Return(x.workspace, reason)
+	x.f.cfg.Allowances.ReturnCredit(x.workspace, reason)
 	return x.f.refuse(x.requestInfo(x.call), reason, retryAfter, x.detail())
 }
 
--- a/node/gateway/relay/rig_test.go
+++ b/node/gateway/relay/rig_test.go
@@ -53,15 +53,15 @@
 	return 700 * time.Millisecond, false
 }
 
-// Return implements relay.Allowances.
-func (g *rig) Return(w *identity.Workspace, _ steering.Reason) {
+// ReturnCredit implements relay.Allowances.
+func (g *rig) ReturnCredit(w *identity.Workspace, _ steering.Reason) {
 	if w.Limited() {
 		g.remaining.Add(1)
 	}
 }
 
-// Ran implements relay.Allowances.
-func (g *rig) Ran(w *identity.Workspace) {
+// RecordExtraRun implements relay.Allowances.
+func (g *rig) RecordExtraRun(w *identity.Workspace) {
 	if w.Limited() {
 		g.remaining.Add(-1)
 	}
--- a/steering/allowance/account.go
+++ b/steering/allowance/account.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// AskFor is how long a request waits for the owner's reply. It covers several one-way trips
-	// over the longest link.
-	AskFor = 150 * time.Millisecond
-	// AskAgain is how long a VM waits for a reply before it sends another report.
-	AskAgain = 60 * time.Millisecond
+	// OwnerTimeout is how long a request waits for the owner's reply. It covers several one-way
+	// trips over the longest link.
+	OwnerTimeout = 150 * time.Millisecond
+	// ReportRetryInterval is how long a VM waits for a reply before it sends another report.
+	ReportRetryInterval = 60 * time.Millisecond
 	// ownerUnresponsiveAfter is how long an owner may leave reports unanswered before a VM
 	// decides without it.
-	ownerUnresponsiveAfter = 2 * AskFor
+	ownerUnresponsiveAfter = 2 * OwnerTimeout
 	// demandTimeConstant is the time constant of the exponential average of the demand.
 	demandTimeConstant = time.Second
 	// unreportedBurstShare is the fraction of a VM's equal share of the burst that the VM may
@@ -31,8 +31,8 @@
 const (
 	// Admitted means that the request may run.
 	Admitted Verdict = iota
-	// Ask means that the VM has to ask the owner for a credit first.
-	Ask
+	// AskOwner means that the VM has to ask the owner for a credit first.
+	AskOwner
 	// Refused means that the workspace has exceeded its allowance.
 	Refused
 )
@@ -63,7 +63,7 @@
 	lastReportAt    time.Time
 	waiting         int // requests that wait for a reply
 
-	localBucket bucket // see Alone
+	localBucket bucket // see AdmitWithoutOwner
 }
 
 // NewAccount returns the account of a workspace with the given limit, in a fleet of the given
@@ -91,8 +91,8 @@
 // Limit returns the limit in force.
 func (a *Account) Limit() Limit { return a.limit }
 
-// Arrived records the arrival of a request in the demand.
-func (a *Account) Arrived(now time.Time) {
+// RecordArrival records the arrival of a request in the demand.
+func (a *Account) RecordArrival(now time.Time) {
 	a.decayDemand(now)
 	a.demand += 1 / demandTimeConstant.Seconds()
 }
@@ -113,12 +113,12 @@
 		a.credits--
 		a.recordUse(now)
 		return Admitted
-	case !now.Before(a.lowUntil) && a.unreported+1 <= a.maxUnreported() && !a.Silent(now):
+	case !now.Before(a.lowUntil) && a.unreported+1 <= a.maxUnreported() && !a.OwnerUnresponsive(now):
 		a.unreported++
 		a.recordUse(now)
 		return Admitted
 	}
-	return Ask
+	return AskOwner
 }
 
 func (a *Account) recordUse(now time.Time) {
@@ -132,9 +132,9 @@
 	return math.Max(1, unreportedBurstShare*a.limit.Burst/float64(a.members))
 }
 
-// Alone decides on a request without the owner, which does not reply. It admits requests at this
-// VM's share of the rate.
-func (a *Account) Alone(now time.Time) bool {
+// AdmitWithoutOwner decides on a request without the owner, which does not reply. It admits
+// requests at this VM's share of the rate.
+func (a *Account) AdmitWithoutOwner(now time.Time) bool {
 	demandShare := math.Max(a.demandShare, 1/float64(a.members))
 	if a.localBucket.updatedAt.IsZero() {
 		a.localBucket.updatedAt, a.localBucket.tokens = now, 1
@@ -148,38 +148,38 @@
 	return true
 }
 
-// Silent reports whether the owner has left reports unanswered for longer than
+// OwnerUnresponsive reports whether the owner has left reports unanswered for longer than
 // ownerUnresponsiveAfter.
-func (a *Account) Silent(now time.Time) bool {
+func (a *Account) OwnerUnresponsive(now time.Time) bool {
 	return !a.unansweredSince.IsZero() && now.Sub(a.unansweredSince) > ownerUnresponsiveAfter
 }
 
-// NewOwner resets the wait for a reply when another VM becomes the owner of the workspace.
-func (a *Account) NewOwner() { a.unansweredSince = time.Time{} }
+// OwnerChanged resets the wait for a reply when another VM becomes the owner of the workspace.
+func (a *Account) OwnerChanged() { a.unansweredSince = time.Time{} }
 
-// Return takes back the credit of an admitted request that did not run.
-func (a *Account) Return() {
+// ReturnCredit takes back the credit of an admitted request that did not run.
+func (a *Account) ReturnCredit() {
 	a.used--
 	a.credits++
 	a.unconfirmed = true
 }
 
-// Ran counts one more execution of a request that was admitted.
-func (a *Account) Ran() {
+// RecordExtraRun counts one more execution of a request that was admitted.
+func (a *Account) RecordExtraRun() {
 	a.used++
 	a.credits = math.Max(0, a.credits-1)
 	a.unconfirmed = true
 }
 
-// Wait and Waited add and remove a request that waits for the owner's reply.
-func (a *Account) Wait()   { a.waiting++ }
-func (a *Account) Waited() { a.waiting-- }
+// AddWaiting and RemoveWaiting add and remove a request that waits for the owner's reply.
+func (a *Account) AddWaiting()    { a.waiting++ }
+func (a *Account) RemoveWaiting() { a.waiting-- }
 
-// Due reports whether a report to the owner is due.
-func (a *Account) Due(now time.Time) bool {
+// ReportDue reports whether a report to the owner is due.
+func (a *Account) ReportDue(now time.Time) bool {
 	sinceReport := now.Sub(a.lastReportAt)
 	switch {
-	case !a.unansweredSince.IsZero() && sinceReport < AskAgain:
+	case !a.unansweredSince.IsZero() && sinceReport < ReportRetryInterval:
 		return false // the reply may still arrive
 	case a.waiting > 0:
 		return !now.Before(a.blockedUntil)
@@ -212,9 +212,9 @@
 	return Report{Number: a.reportNumber, Used: a.used, Known: a.confirmed, Held: float32(a.credits), Waiting: a.waiting, Demand: float32(a.demand)}
 }
 
-// Replied applies the owner's reply to the last report. It ignores replies to earlier reports:
+// ApplyReply applies the owner's reply to the last report. It ignores replies to earlier reports:
 // the owner took their credits back when it received a later one.
-func (a *Account) Replied(now time.Time, r Reply) {
+func (a *Account) ApplyReply(now time.Time, r Reply) {
 	if r.Number != a.reportNumber || a.unansweredSince.IsZero() {
 		return
 	}
@@ -225,7 +225,7 @@
 	a.unreported = 0
 	a.demandShare = float64(r.Share)
 	if r.Tight {
-		a.lowUntil = now.Add(TightFor)
+		a.lowUntil = now.Add(LowBucketTTL)
 	} else {
 		a.lowUntil = time.Time{}
 	}
@@ -234,9 +234,9 @@
 	}
 }
 
-// Tight records that the bucket is low until the given time, as another VM than the owner
+// MarkLow records that the bucket is low until the given time, as another VM than the owner
 // reported.
-func (a *Account) Tight(until time.Time) {
+func (a *Account) MarkLow(until time.Time) {
 	if until.After(a.lowUntil) {
 		a.lowUntil = until
 	}
--- a/steering/allowance/doc.go
+++ b/steering/allowance/doc.go
@@ -15,7 +15,7 @@
 //     a lost report or reply. Replies to earlier reports are ignored.
 //   - While the bucket is not low, a VM without credits may admit a few requests at once and
 //     report them afterwards. The owner's replies and the heartbeats of other VMs notify it when
-//     the bucket is low (Account.Tight); from then on it asks the owner before it admits a
+//     the bucket is low (Account.MarkLow); from then on it asks the owner before it admits a
 //     request.
 //   - An owner that can reach only a part of the fleet lends only that part of the limit. The
 //     sides of a network partition therefore add up to one limit, whichever VMs own the
@@ -24,7 +24,7 @@
 //     that the agreed slack covers.
 //
 // A VM whose owner does not reply continues with the share of the rate that the owner last
-// reported to it (Account.Alone).
+// reported to it (Account.AdmitWithoutOwner).
 //
 // Trade-offs: the limit is strict for lent credits, and holds within the agreed slack for the
 // requests that VMs admit before they know that a bucket is low. Splitting the limit into fixed
--- a/steering/allowance/ledger.go
+++ b/steering/allowance/ledger.go
@@ -23,8 +23,8 @@
 	maxGrantShare = 0.25
 	// maxWait bounds how long a VM without credits has to wait before it asks again.
 	maxWait = time.Second
-	// TightFor is how long a notice of a low bucket stays in effect.
-	TightFor = 1500 * time.Millisecond
+	// LowBucketTTL is how long a notice of a low bucket stays in effect.
+	LowBucketTTL = 1500 * time.Millisecond
 	// idleRetention is how long the state of a workspace, or of a VM's loan, is kept without a
 	// report.
 	idleRetention = 30 * time.Second
@@ -62,10 +62,10 @@
 	return &Ledger{slack: slack, fleetShare: 1, buckets: make(map[ID]*ownedBucket)}
 }
 
-// SetPart sets the fraction of the fleet that this VM can reach, from 0 to 1. The buckets enforce
-// that fraction of each limit. When the fraction grows, each bucket also gains the added fraction
-// of the tokens that a new bucket starts with.
-func (l *Ledger) SetPart(now time.Time, fleetShare float64) {
+// SetFleetShare sets the fraction of the fleet that this VM can reach, from 0 to 1. The buckets
+// enforce that fraction of each limit. When the fraction grows, each bucket also gains the added
+// fraction of the tokens that a new bucket starts with.
+func (l *Ledger) SetFleetShare(now time.Time, fleetShare float64) {
 	if fleetShare == l.fleetShare {
 		return
 	}
@@ -204,9 +204,9 @@
 	return min(time.Duration(math.Min(seconds, maxWait.Seconds())*float64(time.Second)), maxWait)
 }
 
-// Flooded returns the workspaces whose buckets are low while their demand exceeds the rate. It
+// Overloaded returns the workspaces whose buckets are low while their demand exceeds the rate. It
 // also drops the state of workspaces and VMs without recent reports.
-func (l *Ledger) Flooded(now time.Time) []ID {
+func (l *Ledger) Overloaded(now time.Time) []ID {
 	var all []ID
 	for id, o := range l.buckets {
 		o.refill(now)
--- a/steering/allowance/messages.go
+++ b/steering/allowance/messages.go
@@ -50,8 +50,8 @@
 	WaitMs uint32
 }
 
-// TightNews says that the bucket of a workspace is low for another LeftMs milliseconds.
-type TightNews struct {
+// LowBucketNotice says that the bucket of a workspace is low for another LeftMs milliseconds.
+type LowBucketNotice struct {
 	_         struct{} `cbor:",toarray"`
 	Workspace ID
 	LeftMs    uint16
--- a/steering/allowance/sim_test.go
+++ b/steering/allowance/sim_test.go
@@ -183,9 +183,9 @@
 			}
 		}
 		vm.members = len(f.vms)
-		vm.ledger.SetPart(f.now, float64(max(1, len(vm.live)))/float64(vm.members))
+		vm.ledger.SetFleetShare(f.now, float64(max(1, len(vm.live)))/float64(vm.members))
 		for _, a := range vm.accounts {
-			a.NewOwner()
+			a.OwnerChanged()
 		}
 	}
 }
@@ -207,7 +207,7 @@
 
 func (f *fleet) report(i int, s *simWorkspace, a *simAccount) {
 	vm := f.vms[i]
-	if !a.Due(f.now) {
+	if !a.ReportDue(f.now) {
 		return
 	}
 	r := a.Report(f.now)
@@ -231,7 +231,7 @@
 			if vm.incarnation != incarnation || vm.accounts[s] != a {
 				return
 			}
-			a.Replied(f.now, reply)
+			a.ApplyReply(f.now, reply)
 			waiting := a.waiting
 			a.waiting = nil
 			for _, w := range waiting {
@@ -243,13 +243,13 @@
 
 // broadcastLow notifies all reachable VMs that a bucket is low, as heartbeats do.
 func (f *fleet) broadcastLow(j int, s *simWorkspace) {
-	until := f.now.Add(allowance.TightFor)
+	until := f.now.Add(allowance.LowBucketTTL)
 	for i, vm := range f.vms {
 		f.send(j, i, 12, func() {
 			if vm.accounts[s] == nil {
 				vm.accounts[s] = &simAccount{Account: allowance.NewAccount(f.now, s.limit, vm.members)}
 			}
-			vm.accounts[s].Tight(until)
+			vm.accounts[s].MarkLow(until)
 		})
 	}
 }
@@ -322,9 +322,9 @@
 		a = &simAccount{Account: allowance.NewAccount(f.now, s.limit, vm.members)}
 		vm.accounts[s] = a
 	}
-	a.Arrived(f.now)
+	a.RecordArrival(f.now)
 	verdict := a.Admit(f.now)
-	if verdict != allowance.Ask {
+	if verdict != allowance.AskOwner {
 		f.recordOutcome(s, withinLimit, verdict == allowance.Admitted)
 		return
 	}
@@ -332,30 +332,30 @@
 	finish := func(ok bool) {
 		if !done {
 			done = true
-			a.Waited()
+			a.RemoveWaiting()
 			f.recordOutcome(s, withinLimit, ok)
 		}
 	}
-	a.Wait()
+	a.AddWaiting()
 	var onVerdict func(allowance.Verdict)
 	onVerdict = func(v allowance.Verdict) {
 		switch {
 		case done:
-		case v == allowance.Ask:
+		case v == allowance.AskOwner:
 			a.waiting = append(a.waiting, onVerdict)
 		default:
 			finish(v == allowance.Admitted)
 		}
 	}
 	a.waiting = append(a.waiting, onVerdict)
-	limit := allowance.AskFor
-	if a.Silent(f.now) {
+	limit := allowance.OwnerTimeout
+	if a.OwnerUnresponsive(f.now) {
 		limit = 0
 	}
 	f.report(i, s, a)
 	f.schedule(limit, func() {
 		if !done {
-			finish(a.Alone(f.now))
+			finish(a.AdmitWithoutOwner(f.now))
 		}
 	})
 }
