--- a/cmd/internal/losses/losses_test.go
+++ b/cmd/internal/losses/losses_test.go
@@ -57,7 +57,7 @@
 	assert.Equal(t, r.Total.Asked, 21)
 	assert.Equal(t, r.Total.InAim, 11)
 	assert.Equal(t, r.Total.Again, 2)
-	assert.DeepEqual(t, r.Total.Causes, []Cause{{"failed", losses.Gone, 4}, {"late", losses.Cold, 3}, {"late", losses.Waited, 2}, {"refused", losses.Predicted, 1}})
+	assert.DeepEqual(t, r.Total.Causes, []Cause{{"failed", losses.TargetLost, 4}, {"late", losses.ColdKey, 3}, {"late", losses.WaitedForSlot, 2}, {"refused", losses.NoSlotPredicted, 1}})
 	assert.Equal(t, len(r.Kinds), 2)
 	assert.Equal(t, len(r.Zones), 2)
 	assert.Equal(t, len(r.Windows), 2)
--- a/cmd/internal/losses/read.go
+++ b/cmd/internal/losses/read.go
@@ -86,7 +86,7 @@
 // Every line with sums contains one of these markers and few other lines do, so that most
 // lines need no decoding.
 var (
-	sumsMarker  = []byte(`"msg":"` + losses.LineMessage + `"`)
+	sumsMarker  = []byte(`"msg":"` + losses.LogMessage + `"`)
 	bytesMarker = []byte(`"msg":"` + volume.LineMessage + `"`)
 )
 
--- a/node/gateway/relay/golden_internal_test.go
+++ b/node/gateway/relay/golden_internal_test.go
@@ -26,7 +26,7 @@
 // lose the zone.
 func TestGoldenSumsLine(t *testing.T) {
 	golden.Assert(t, logged(func(f *Relay) {
-		f.outcomeCounts.tally.Add(losses.Kind{Service: "tickets", Repeats: "once", AimMs: 400}, losses.Late, losses.Waited, true)
+		f.outcomeCounts.tally.Add(losses.Kind{Service: "tickets", Repeats: "once", AimMs: 400}, losses.Late, losses.WaitedForSlot, true)
 		f.LogSums()
 	}), "golden/sums-line.json")
 }
--- a/node/gateway/relay/outcomes.go
+++ b/node/gateway/relay/outcomes.go
@@ -34,15 +34,15 @@
 func (s *outcomeCounts) add(k losses.Kind, r losses.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r.Used = s.tally.Used(k, r.Deadline)
-	if r.Outcome == losses.InAim && r.Aim > 0 && r.Used+r.Latency > r.Aim {
+	r.TimeUsed = s.tally.TimeUsed(k, r.Deadline)
+	if r.Outcome == losses.InAim && r.Aim > 0 && r.TimeUsed+r.Latency > r.Aim {
 		r.Outcome = losses.Late
 	}
 	cause := losses.Cause("")
 	if r.Outcome != losses.InAim {
 		cause = losses.CauseOf(r)
 	}
-	s.tally.Add(k, r.Outcome, cause, r.Used > 0)
+	s.tally.Add(k, r.Outcome, cause, r.TimeUsed > 0)
 }
 
 // LogSums logs the counts of the requests that ended since the last call in one line, or nothing if
@@ -52,7 +52,7 @@
 	all := f.outcomeCounts.tally.Take()
 	f.outcomeCounts.mu.Unlock()
 	if len(all) > 0 {
-		_ = f.cfg.Log.Log("msg", losses.LineMessage, "zone", f.cfg.Zone, "sums", all) // the log writer counts dropped lines
+		_ = f.cfg.Log.Log("msg", losses.LogMessage, "zone", f.cfg.Zone, "sums", all) // the log writer counts dropped lines
 	}
 }
 
@@ -76,7 +76,7 @@
 
 func (x *exchange) recordEnd(o losses.Outcome, reason steering.Reason, ready time.Duration) {
 	r := losses.Request{Outcome: o, Reason: reason, Aim: x.route.Aim, Deadline: x.call.Deadline,
-		Ready: ready, Latency: time.Since(x.r.Received), Warm: x.warmTime}
+		Ready: ready, Latency: time.Since(x.r.Received), WarmRunTime: x.warmTime}
 	for _, t := range x.history {
 		if t.End == "" && reason == "" {
 			continue // lost the race against the other attempt of a hedged request
@@ -89,7 +89,7 @@
 // summary returns what an attempt showed about its target. An attempt that has not ended counts as
 // silent.
 func (t tried) summary(received time.Time) losses.Try {
-	summary := losses.Try{Outcome: t.report.Outcome, Latency: t.report.Latency, Spoiled: t.unusable, Wait: time.Duration(t.WaitMs) * time.Millisecond, Away: t.crossRegion}
+	summary := losses.Try{Outcome: t.report.Outcome, Latency: t.report.Latency, InvalidResponse: t.unusable, Wait: time.Duration(t.WaitMs) * time.Millisecond, OtherRegion: t.crossRegion}
 	if t.End == "" {
 		summary.Outcome = placement.Silent
 		summary.Latency = time.Since(received) - time.Duration(t.AtMs)*time.Millisecond
--- a/steering/losses/golden_test.go
+++ b/steering/losses/golden_test.go
@@ -16,12 +16,12 @@
 func TestGoldenSums(t *testing.T) {
 	full := losses.Sum{Kind: losses.Kind{Service: "tickets", Repeats: "once", AimMs: 400}, Asked: 1000, Again: 7, InAim: 600,
 		Late: map[losses.Cause]int{
-			losses.HeadOfLineBlocked: 1, losses.CallerLate: 2, losses.Waited: 3, losses.Cold: 4, losses.Away: 5, losses.Other: 6},
+			losses.HeadOfLineBlocked: 1, losses.CallerLate: 2, losses.WaitedForSlot: 3, losses.ColdKey: 4, losses.OtherRegion: 5, losses.Other: 6},
 		Refused: map[losses.Cause]int{
 			losses.VMStarting: 11, losses.ConfigBehind: 12, losses.WorkspaceUnknown: 13, losses.OverAllowance: 14, losses.NoCommonHomeRegion: 15,
-			losses.NoTarget: 16, losses.Predicted: 17, losses.PoisonRequest: 18, losses.RetryBudgetSpent: 19, losses.DeadlineTooShort: 20},
+			losses.NoTarget: 16, losses.NoSlotPredicted: 17, losses.PoisonRequest: 18, losses.RetryBudgetSpent: 19, losses.DeadlineTooShort: 20},
 		Failed: map[losses.Cause]int{
-			losses.TargetShedding: 31, losses.TargetFailing: 32, losses.Gone: 33, losses.Spoiled: 34, losses.TargetSlow: 35, losses.CallerDisconnected: 36}}
+			losses.TargetShedding: 31, losses.TargetFailing: 32, losses.TargetLost: 33, losses.InvalidResponse: 34, losses.TargetSlow: 35, losses.CallerDisconnected: 36}}
 	sums := []losses.Sum{full, {Kind: losses.Kind{Service: "maps", Repeats: "idempotent"}, Asked: 1}}
 	raw, err := json.Marshal(sums)
 	assert.NilError(t, err)
@@ -30,7 +30,7 @@
 	var read []losses.Sum
 	assert.NilError(t, json.Unmarshal(golden.Get(t, "golden/sums.json"), &read))
 	assert.DeepEqual(t, read, sums)
-	assert.Equal(t, losses.LineMessage, "answers", "tools find the line by this message")
+	assert.Equal(t, losses.LogMessage, "answers", "tools find the line by this message")
 }
 
 // Guards against outcomes that are told in other words.
--- a/steering/losses/losses.go
+++ b/steering/losses/losses.go
@@ -28,8 +28,8 @@
 	"heatherlock/steering/placement"
 )
 
-// LineMessage is the message of the log line that reports the sums of a [Tally].
-const LineMessage = "answers"
+// LogMessage is the message of the log line that reports the sums of a [Tally].
+const LogMessage = "answers"
 
 // Outcome is the result of a request as its caller sees it.
 type Outcome uint8
@@ -67,8 +67,9 @@
 	NoCommonHomeRegion Cause = "no_common_home"
 	// NoTarget: the service had no known or reachable target.
 	NoTarget Cause = "no_target"
-	// Predicted: before the first try, no target was predicted to have a free slot in time.
-	Predicted Cause = "refused_by_prediction"
+	// NoSlotPredicted: before the first try, no target was predicted to have a free slot in
+	// time.
+	NoSlotPredicted Cause = "refused_by_prediction"
 	// PoisonRequest: similar requests had crashed the targets that ran them.
 	PoisonRequest Cause = "held_back"
 	// RetryBudgetSpent: the retry budget was used up.
@@ -77,10 +78,10 @@
 	TargetShedding Cause = "target_shedding"
 	// TargetFailing: the target answered with a server error.
 	TargetFailing Cause = "target_failing"
-	// Gone: the target accepted no connection, or the connection broke.
-	Gone Cause = "target_gone"
-	// Spoiled: the target's response was complete but could not be forwarded.
-	Spoiled Cause = "answer_spoiled"
+	// TargetLost: the target accepted no connection, or the connection broke.
+	TargetLost Cause = "target_gone"
+	// InvalidResponse: the target's response was complete but could not be forwarded.
+	InvalidResponse Cause = "answer_spoiled"
 	// TargetSlow: the target sent no response, or took longer than even a cold run takes.
 	TargetSlow Cause = "target_slow"
 	// CallerLate: the caller had used up the latency objective before the request arrived,
@@ -88,12 +89,12 @@
 	CallerLate Cause = "caller_came_late"
 	// DeadlineTooShort: the caller's deadline is shorter than a warm run.
 	DeadlineTooShort Cause = "deadline_too_short"
-	// Waited: the request waited for a slot of the target.
-	Waited Cause = "waited_for_slot"
-	// Cold: the run took as long as the first run of a key.
-	Cold Cause = "key_cold"
-	// Away: a warm run in another region took too long because of the round trip.
-	Away Cause = "other_region"
+	// WaitedForSlot: the request waited for a slot of the target.
+	WaitedForSlot Cause = "waited_for_slot"
+	// ColdKey: the run took as long as the first run of a key.
+	ColdKey Cause = "key_cold"
+	// OtherRegion: a warm run in another region took too long because of the round trip.
+	OtherRegion Cause = "other_region"
 	// HeadOfLineBlocked: the response was ready in time but waited for the responses to
 	// requests that the caller had sent earlier on the same connection.
 	HeadOfLineBlocked Cause = "behind_other_answers"
@@ -104,12 +105,13 @@
 )
 
 const (
-	// warmFactor is the longest warm run, as a multiple of [Request.Warm]: the durations
-	// of similar runs differ by a few tenths, and the round trip to the target is added.
+	// warmFactor is the longest warm run, as a multiple of [Request.WarmRunTime]: the
+	// durations of similar runs differ by a few tenths, and the round trip to the target is
+	// added.
 	warmFactor = 1.6
-	// coldFactor is the longest cold run, as a multiple of [Request.Warm]. The first run
-	// of a key takes four times as long as a warm run, and twice that in the seconds after
-	// the target has started.
+	// coldFactor is the longest cold run, as a multiple of [Request.WarmRunTime]. The first
+	// run of a key takes four times as long as a warm run, and twice that in the seconds
+	// after the target has started.
 	coldFactor = 9
 )
 
@@ -118,15 +120,15 @@
 	Outcome placement.Outcome
 	// Latency is the time from the start of the try to its end.
 	Latency time.Duration
-	// Spoiled is set if the response was complete but could not be forwarded.
-	Spoiled bool
+	// InvalidResponse is set if the response was complete but could not be forwarded.
+	InvalidResponse bool
 	// Saturated is set if the target reported with its response that all its slots were
 	// taken.
 	Saturated bool
 	// Wait is the predicted wait for a slot.
 	Wait time.Duration
-	// Away is set if the target is in another region.
-	Away bool
+	// OtherRegion is set if the target is in another region.
+	OtherRegion bool
 }
 
 // Request is what an entry VM knows of a request that has ended.
@@ -134,19 +136,19 @@
 	Outcome Outcome
 	// Reason is the reason of the entry VM's own response; empty if a target responded.
 	Reason steering.Reason
-	// Aim is the latency objective, measured from the caller's first attempt. Used is the
+	// Aim is the latency objective, measured from the caller's first attempt. TimeUsed is the
 	// part of it that had passed when the request arrived at this entry VM.
-	Aim  time.Duration
-	Used time.Duration
+	Aim      time.Duration
+	TimeUsed time.Duration
 	// Ready is the time from the arrival of the request until its response was ready, and
 	// Latency the time until the response could be written.
 	Ready   time.Duration
 	Latency time.Duration
 	// Deadline is the time left for the caller on arrival; 0 if the caller sent none.
 	Deadline time.Duration
-	// Warm is the duration of a warm run of the service; 0 if it is not known.
-	Warm  time.Duration
-	Tries []Try
+	// WarmRunTime is the duration of a warm run of the service; 0 if it is not known.
+	WarmRunTime time.Duration
+	Tries       []Try
 }
 
 // CauseOf returns why a request was not answered within its latency objective.
@@ -154,7 +156,7 @@
 	if cause, ok := causeOfReason(r); ok {
 		return cause
 	}
-	if r.Outcome == Late && r.Used+r.Ready <= r.Aim {
+	if r.Outcome == Late && r.TimeUsed+r.Ready <= r.Aim {
 		return HeadOfLineBlocked
 	}
 	for _, t := range r.Tries[:max(len(r.Tries)-1, 0)] {
@@ -208,18 +210,18 @@
 // for which no target had a free slot.
 func causeOfNoSlot(r Request) Cause {
 	switch {
-	case r.Deadline > 0 && r.Deadline < r.Warm && r.Used < r.Warm:
+	case r.Deadline > 0 && r.Deadline < r.WarmRunTime && r.TimeUsed < r.WarmRunTime:
 		return DeadlineTooShort
-	case r.Aim > 0 && r.Used+r.Warm > r.Aim:
+	case r.Aim > 0 && r.TimeUsed+r.WarmRunTime > r.Aim:
 		return CallerLate
 	}
-	return Predicted
+	return NoSlotPredicted
 }
 
 // causeOfFailedTry returns the cause if a try brought no usable response.
 func causeOfFailedTry(t Try) (Cause, bool) {
-	if t.Spoiled {
-		return Spoiled, true
+	if t.InvalidResponse {
+		return InvalidResponse, true
 	}
 	switch t.Outcome {
 	case placement.Shed:
@@ -227,7 +229,7 @@
 	case placement.Failed:
 		return TargetFailing, true
 	case placement.Unreachable, placement.Broken, placement.Replaced:
-		return Gone, true
+		return TargetLost, true
 	case placement.Silent, placement.Abandoned:
 		return TargetSlow, true
 	}
@@ -237,18 +239,18 @@
 // causeOfLateRun returns the cause of a response that came late, given its try.
 func causeOfLateRun(r Request, t Try) Cause {
 	switch {
-	case r.Aim > 0 && r.Used+r.Warm > r.Aim:
+	case r.Aim > 0 && r.TimeUsed+r.WarmRunTime > r.Aim:
 		return CallerLate
-	case t.Saturated || t.Wait > r.Warm/2 && t.Wait > 0:
-		return Waited
-	case r.Warm <= 0:
-		return Cold // no request of the service has run yet
-	case float64(t.Latency) > coldFactor*float64(r.Warm):
+	case t.Saturated || t.Wait > r.WarmRunTime/2 && t.Wait > 0:
+		return WaitedForSlot
+	case r.WarmRunTime <= 0:
+		return ColdKey // no request of the service has run yet
+	case float64(t.Latency) > coldFactor*float64(r.WarmRunTime):
 		return TargetSlow
-	case float64(t.Latency) > warmFactor*float64(r.Warm):
-		return Cold
-	case t.Away:
-		return Away
+	case float64(t.Latency) > warmFactor*float64(r.WarmRunTime):
+		return ColdKey
+	case t.OtherRegion:
+		return OtherRegion
 	}
 	return Other
 }
--- a/steering/losses/losses_test.go
+++ b/steering/losses/losses_test.go
@@ -17,7 +17,7 @@
 )
 
 func lateRequest(took time.Duration, change func(*Request, *Try)) Request {
-	r := Request{Outcome: Late, Aim: aim, Deadline: 2 * time.Second, Warm: warm, Ready: took, Latency: took}
+	r := Request{Outcome: Late, Aim: aim, Deadline: 2 * time.Second, WarmRunTime: warm, Ready: took, Latency: took}
 	t := Try{Outcome: placement.Served, Latency: took}
 	if change != nil {
 		change(&r, &t)
@@ -31,7 +31,7 @@
 func TestCauseOf(t *testing.T) {
 	const late = 500 * time.Millisecond
 	refusedOrFailed := func(o Outcome, reason steering.Reason, tries ...placement.Outcome) Request {
-		r := Request{Outcome: o, Reason: reason, Aim: aim, Deadline: 2 * time.Second, Warm: warm}
+		r := Request{Outcome: o, Reason: reason, Aim: aim, Deadline: 2 * time.Second, WarmRunTime: warm}
 		for _, outcome := range tries {
 			r.Tries = append(r.Tries, Try{Outcome: outcome})
 		}
@@ -41,40 +41,40 @@
 		r    Request
 		want Cause
 	}{
-		"cold run":              {lateRequest(late, nil), Cold},
-		"no warm run yet":       {lateRequest(late, func(r *Request, _ *Try) { r.Warm = 0 }), Cold},
+		"cold run":              {lateRequest(late, nil), ColdKey},
+		"no warm run yet":       {lateRequest(late, func(r *Request, _ *Try) { r.WarmRunTime = 0 }), ColdKey},
 		"slow target":           {lateRequest(coldFactor*warm+time.Millisecond, nil), TargetSlow},
-		"full target":           {lateRequest(late, func(_ *Request, t *Try) { t.Saturated = true }), Waited},
-		"predicted wait":        {lateRequest(late, func(_ *Request, t *Try) { t.Wait = warm }), Waited},
-		"other region":          {lateRequest(late, func(_ *Request, t *Try) { t.Latency, t.Away = warm, true }), Away},
-		"caller late":           {lateRequest(late, func(r *Request, _ *Try) { r.Used = 350 * time.Millisecond }), CallerLate},
+		"full target":           {lateRequest(late, func(_ *Request, t *Try) { t.Saturated = true }), WaitedForSlot},
+		"predicted wait":        {lateRequest(late, func(_ *Request, t *Try) { t.Wait = warm }), WaitedForSlot},
+		"other region":          {lateRequest(late, func(_ *Request, t *Try) { t.Latency, t.OtherRegion = warm, true }), OtherRegion},
+		"caller late":           {lateRequest(late, func(r *Request, _ *Try) { r.TimeUsed = 350 * time.Millisecond }), CallerLate},
 		"head-of-line blocked":  {lateRequest(late, func(r *Request, _ *Try) { r.Ready = warm }), HeadOfLineBlocked},
 		"no other cause":        {lateRequest(late, func(_ *Request, t *Try) { t.Latency = warm }), Other},
-		"no slot":               {refusedOrFailed(Refused, steering.ReasonNoSlot), Predicted},
+		"no slot":               {refusedOrFailed(Refused, steering.ReasonNoSlot), NoSlotPredicted},
 		"no target":             {refusedOrFailed(Refused, steering.ReasonNoTarget), NoTarget},
 		"no retry budget":       {refusedOrFailed(Refused, steering.ReasonRetryBudget), RetryBudgetSpent},
 		"shed, no retry budget": {refusedOrFailed(Refused, steering.ReasonRetryBudget, placement.Shed), TargetShedding},
 		"shed":                  {refusedOrFailed(Refused, steering.ReasonShed, placement.Shed), TargetShedding},
-		"failed, then no slot":  {refusedOrFailed(Refused, steering.ReasonNoSlot, placement.Unreachable), Gone},
+		"failed, then no slot":  {refusedOrFailed(Refused, steering.ReasonNoSlot, placement.Unreachable), TargetLost},
 		"VM starting":           {refusedOrFailed(Refused, steering.ReasonNotReady), VMStarting},
 		"config behind":         {refusedOrFailed(Refused, steering.ReasonConfigBehind), ConfigBehind},
 		"poison":                {refusedOrFailed(Refused, steering.ReasonPoison), PoisonRequest},
 		"caller disconnected":   {refusedOrFailed(Failed, steering.ReasonCancelled, placement.Abandoned), CallerDisconnected},
 		"no answer in time":     {refusedOrFailed(Failed, steering.ReasonDeadline, placement.Silent), TargetSlow},
-		"target crashed":        {refusedOrFailed(Failed, steering.ReasonTargetDied, placement.Broken), Gone},
+		"target crashed":        {refusedOrFailed(Failed, steering.ReasonTargetDied, placement.Broken), TargetLost},
 		"server error":          {refusedOrFailed(Failed, "", placement.Failed), TargetFailing},
-		"broken, then silent":   {refusedOrFailed(Failed, steering.ReasonDeadline, placement.Broken, placement.Silent), Gone},
+		"broken, then silent":   {refusedOrFailed(Failed, steering.ReasonDeadline, placement.Broken, placement.Silent), TargetLost},
 	} {
 		t.Run(name, func(t *testing.T) { assert.Equal(t, CauseOf(c.r), c.want) })
 	}
 	spoiled := refusedOrFailed(Failed, steering.ReasonAnswerCrossed)
-	spoiled.Tries = []Try{{Outcome: placement.Broken, Spoiled: true}}
-	assert.Equal(t, CauseOf(spoiled), Spoiled)
+	spoiled.Tries = []Try{{Outcome: placement.Broken, InvalidResponse: true}}
+	assert.Equal(t, CauseOf(spoiled), InvalidResponse)
 	short := refusedOrFailed(Refused, steering.ReasonNoSlot)
 	short.Deadline = warm / 2
 	assert.Equal(t, CauseOf(short), DeadlineTooShort)
 	tooLate := refusedOrFailed(Refused, steering.ReasonNoSlot)
-	tooLate.Used = aim
+	tooLate.TimeUsed = aim
 	assert.Equal(t, CauseOf(tooLate), CallerLate)
 }
 
@@ -85,8 +85,8 @@
 		span := func(name string) time.Duration {
 			return time.Duration(rapid.IntRange(0, 5000).Draw(t, name)) * time.Millisecond
 		}
-		r := Request{Outcome: Outcome(rapid.IntRange(1, 3).Draw(t, "outcome")), Aim: span("aim"), Used: span("used"), Deadline: span("deadline"),
-			Warm: span("warm"), Ready: span("ready"), Latency: span("took"),
+		r := Request{Outcome: Outcome(rapid.IntRange(1, 3).Draw(t, "outcome")), Aim: span("aim"), TimeUsed: span("used"), Deadline: span("deadline"),
+			WarmRunTime: span("warm"), Ready: span("ready"), Latency: span("took"),
 			Reason: steering.Reason(rapid.SampledFrom([]string{"", "no_slot", "not_ready", "deadline", "shed"}).Draw(t, "reason"))}
 		for range rapid.IntRange(0, 3).Draw(t, "tries") {
 			r.Tries = append(r.Tries, Try{Outcome: placement.Outcome(rapid.IntRange(0, 7).Draw(t, "try")), Latency: span("try took"), Wait: span("wait")})
@@ -100,10 +100,10 @@
 func TestUsedTimeFromRemainingDeadline(t *testing.T) {
 	tally := NewTally()
 	k := Kind{Service: "s"}
-	assert.Equal(t, tally.Used(k, 6*time.Second), time.Duration(0))
-	assert.Equal(t, tally.Used(k, 5*time.Second), time.Duration(0), "another caller's first attempt")
-	assert.Assert(t, tally.Used(k, 4*time.Second) > 500*time.Millisecond)
-	assert.Equal(t, tally.Used(k, 0), time.Duration(0), "no deadline")
+	assert.Equal(t, tally.TimeUsed(k, 6*time.Second), time.Duration(0))
+	assert.Equal(t, tally.TimeUsed(k, 5*time.Second), time.Duration(0), "another caller's first attempt")
+	assert.Assert(t, tally.TimeUsed(k, 4*time.Second) > 500*time.Millisecond)
+	assert.Equal(t, tally.TimeUsed(k, 0), time.Duration(0), "no deadline")
 }
 
 // Guards against a tally that grows with the number of kinds, and against requests that are
@@ -112,8 +112,8 @@
 	tally := NewTally()
 	for n := range 10 * maxKinds {
 		k := Kind{AimMs: int64(n + 1)}
-		tally.Used(k, time.Second)
-		tally.Add(k, Late, Cold, false)
+		tally.TimeUsed(k, time.Second)
+		tally.Add(k, Late, ColdKey, false)
 	}
 	assert.Assert(t, len(tally.longestDeadline) <= maxKinds)
 	all := tally.Take()
--- a/steering/losses/tally.go
+++ b/steering/losses/tally.go
@@ -92,11 +92,11 @@
 // longest deadline of its kind: the deadlines of callers differ by a sixth.
 const minDeadlineFraction = 0.82
 
-// Used returns a lower bound of the time that a caller had used before its request
+// TimeUsed returns a lower bound of the time that a caller had used before its request
 // arrived, given the time left until its deadline: a repeated request has less time left
 // than any first attempt of its kind. It returns 0 for a first attempt, and if deadline is 0
 // because the caller sent none.
-func (t *Tally) Used(k Kind, deadline time.Duration) time.Duration {
+func (t *Tally) TimeUsed(k Kind, deadline time.Duration) time.Duration {
 	if deadline <= 0 {
 		return 0
 	}
