--- a/node/dynamic/audit.go
+++ b/node/dynamic/audit.go
@@ -61,7 +61,7 @@
 	s.confirm()
 	if reply.GetVersion() > local.Version() {
 		s.adopt(s.sourceOf(address), func(set *config.Set) (*config.Set, config.Verdict) {
-			return set.Adopt(offerOf(reply))
+			return set.ApplyOffer(offerOf(reply))
 		})
 		return
 	}
--- a/node/dynamic/blocks_test.go
+++ b/node/dynamic/blocks_test.go
@@ -53,13 +53,13 @@
 			}
 			return fmt.Sprint("place-", i%7)
 		}
-		set, _ := new(config.Set).Listed(storedForm(t, blocksObject(n, place), 1), 1)
+		set, _ := new(config.Set).ApplyList(storedForm(t, blocksObject(n, place), 1), 1)
 		current := compile(set, nil, nil)
 		assert.Equal(t, current.snapshot.Blocks.Len(), n)
 		for version := int64(2); version < 4; version++ {
 			moved[rapid.IntRange(0, n-1).Draw(t, "moved")] = true
 			n += rapid.IntRange(-2, 2).Draw(t, "added")
-			next, _ := set.Listed(storedForm(t, blocksObject(n, place), version), version)
+			next, _ := set.ApplyList(storedForm(t, blocksObject(n, place), version), version)
 			current = compile(next, set, current)
 			set = next
 		}
@@ -120,7 +120,7 @@
 		stored = append(stored, config.Object{ID: config.ID{Kind: KindShard, Name: shard.Name}, Version: 1, Value: shard.Value})
 	}
 	stored = append(stored, config.Object{ID: config.ID{Kind: KindClientBlocks, Name: "clients"}, Version: 1, Value: split.Manifest})
-	set, _ := new(config.Set).Listed(stored, 1)
+	set, _ := new(config.Set).ApplyList(stored, 1)
 	out := compile(set, nil, nil)
 	assert.Equal(t, len(out.problems), 1)
 	assert.Assert(t, out.snapshot.Blocks.Len() > 0 && out.snapshot.Blocks.Len() < 8000)
--- a/node/dynamic/dynamic.go
+++ b/node/dynamic/dynamic.go
@@ -33,10 +33,11 @@
 	// Facts returns what the zone's status reports besides the configuration
 	// version. If it is nil, the status reports the version alone.
 	Facts func() runtime.ZoneFacts
-	// Terms is the timing of the reader lease; zero means config.DefaultTerms.
-	Terms config.Terms
-	Scope tally.Scope
-	Log   log.Logger
+	// LeaseTiming is the timing of the reader lease; zero means
+	// config.DefaultLeaseTiming.
+	LeaseTiming config.LeaseTiming
+	Scope       tally.Scope
+	Log         log.Logger
 }
 
 // Spread keeps the configuration of this entry VM up to date and serves it to
@@ -77,8 +78,8 @@
 	case c.Peer == nil:
 		return nil, errors.New("dynamic: no peer clients given; set Config.Peer")
 	}
-	if c.Terms == (config.Terms{}) {
-		c.Terms = config.DefaultTerms
+	if c.LeaseTiming == (config.LeaseTiming{}) {
+		c.LeaseTiming = config.DefaultLeaseTiming
 	}
 	if c.Scope == nil {
 		c.Scope = tally.NoopScope
@@ -95,7 +96,7 @@
 		announce: make(chan int64, 1),
 	}
 	s.set.Store(new(config.Set))
-	s.lease.lease = config.NewLease(self.VM, self.Incarnation, c.Terms)
+	s.lease.lease = config.NewLease(self.VM, self.Incarnation, c.LeaseTiming)
 	s.peerVersions.init()
 	return s, nil
 }
@@ -186,7 +187,7 @@
 	current := s.set.Load()
 	next, verdict := change(current)
 	s.scope.Tagged(map[string]string{"source": string(from), "verdict": string(verdict)}).Counter("offers").Inc(1)
-	if verdict == config.SumMismatch {
+	if verdict == config.ChecksumMismatch {
 		level.Warn(s.log).Log("msg", "configuration from a peer does not match its checksum", "source", from, "version", current.Version())
 	}
 	if next == current {
--- a/node/dynamic/golden_internal_test.go
+++ b/node/dynamic/golden_internal_test.go
@@ -174,7 +174,7 @@
 	all = append(all,
 		config.Object{ID: config.ID{Kind: "ShiftProgress", Name: "move"}, Version: 31, Value: golden.Get(t, "../../shiftdriver/testdata/golden/progress-full.json")},
 		config.Object{ID: config.ID{Kind: "CapSeats", Name: "limit"}, Version: 32, Value: valueIn(t, "../../capshare/testdata/golden/seats-full.txt")})
-	set, _ := new(config.Set).Listed(all, 40)
+	set, _ := new(config.Set).ApplyList(all, 40)
 	compiled := compile(set, nil, nil)
 	assert.Equal(t, len(compiled.problems), 0, "%v", compiled.problems)
 	s := compiled.snapshot
--- a/node/dynamic/lease.go
+++ b/node/dynamic/lease.go
@@ -158,7 +158,7 @@
 			s.leaseFailed("decode", decodeErr)
 		}
 	}
-	s.lease.update(func(l *config.Lease) { l.Observed(time.Now(), record, stored.Version) })
+	s.lease.update(func(l *config.Lease) { l.ObserveRecord(time.Now(), record, stored.Version) })
 }
 
 func (s *Spread) writeLease(ctx context.Context, action config.Action) {
@@ -179,7 +179,7 @@
 		s.leaseFailed("write", err)
 	}
 	previousEpoch, wasHolder := s.Leader()
-	s.lease.update(func(l *config.Lease) { l.Written(time.Now(), writeResult(err), stored.Version) })
+	s.lease.update(func(l *config.Lease) { l.ObserveWrite(time.Now(), writeResult(err), stored.Version) })
 	if epoch, isHolder := s.Leader(); isHolder && (!wasHolder || epoch != previousEpoch) {
 		s.scope.Counter("lease_taken").Inc(1)
 		level.Info(s.log).Log("msg", "acquired the zone's reader lease", "epoch", epoch)
--- a/node/dynamic/peers.go
+++ b/node/dynamic/peers.go
@@ -176,7 +176,7 @@
 // answered with a configuration that matches its checksum.
 func (s *Spread) fetch(ctx context.Context, address string) bool {
 	verdict, err := s.fetchSince(ctx, address, s.set.Load().Version())
-	if err == nil && verdict == config.SumMismatch {
+	if err == nil && verdict == config.ChecksumMismatch {
 		verdict, err = s.fetchSince(ctx, address, 0)
 	}
 	if err != nil {
@@ -184,7 +184,7 @@
 		level.Debug(s.log).Log("msg", "fetch failed", "peer", address, "err", err)
 		return false
 	}
-	return verdict != config.SumMismatch
+	return verdict != config.ChecksumMismatch
 }
 
 func (s *Spread) fetchSince(ctx context.Context, address string, have int64) (config.Verdict, error) {
@@ -201,7 +201,7 @@
 	}
 	s.confirm()
 	return s.adopt(s.sourceOf(address), func(set *config.Set) (*config.Set, config.Verdict) {
-		return set.Adopt(offerOf(reply))
+		return set.ApplyOffer(offerOf(reply))
 	}), nil
 }
 
--- a/node/dynamic/reader.go
+++ b/node/dynamic/reader.go
@@ -123,7 +123,7 @@
 	for _, e := range events {
 		changes = append(changes, objectOf(e.Object, e.Deleted))
 	}
-	s.adopt(sourcePlatform, func(set *config.Set) (*config.Set, config.Verdict) { return set.Watched(changes) })
+	s.adopt(sourcePlatform, func(set *config.Set) (*config.Set, config.Verdict) { return set.ApplyWatch(changes) })
 	return revision, nil
 }
 
@@ -137,7 +137,7 @@
 	for _, o := range stored {
 		objects = append(objects, objectOf(o, false))
 	}
-	s.adopt(sourcePlatform, func(set *config.Set) (*config.Set, config.Verdict) { return set.Listed(objects, revision) })
+	s.adopt(sourcePlatform, func(set *config.Set) (*config.Set, config.Verdict) { return set.ApplyList(objects, revision) })
 	if version := s.set.Load().Version(); revision < version {
 		return 0, errors.Errorf("list returned revision %d, older than version %d", revision, version)
 	}
--- a/steering/config/adopt.go
+++ b/steering/config/adopt.go
@@ -10,9 +10,9 @@
 	// NotNewer means that the input is not newer than the set, as with a stale
 	// reading or a delayed or repeated message. The set stays as it is.
 	NotNewer Verdict = "not_newer"
-	// SumMismatch means that the resulting set does not have the checksum of the
-	// offer. The set stays as it is, and the caller should fetch a full set.
-	SumMismatch Verdict = "sum_mismatch"
+	// ChecksumMismatch means that the resulting set does not have the checksum of
+	// the offer. The set stays as it is, and the caller should fetch a full set.
+	ChecksumMismatch Verdict = "sum_mismatch"
 	// Repaired means that a platform reading at the version of the set differed
 	// from the set. The set was wrong, and the reading is in force.
 	Repaired Verdict = "repaired"
@@ -27,10 +27,10 @@
 	Objects []Object
 }
 
-// Adopt applies a peer's offer. The checksum of the result must equal that of
+// ApplyOffer applies a peer's offer. The checksum of the result must equal that of
 // the offer: a delta that was computed for another version would otherwise leave
 // a node that reports the current version and silently lacks an object.
-func (s *Set) Adopt(o Offer) (*Set, Verdict) {
+func (s *Set) ApplyOffer(o Offer) (*Set, Verdict) {
 	if o.Version <= s.version {
 		return s, NotNewer
 	}
@@ -41,15 +41,15 @@
 		next = s.withChanges(o.Objects, o.Version)
 	}
 	if next.sum != o.Sum {
-		return s, SumMismatch
+		return s, ChecksumMismatch
 	}
 	return next, Adopted
 }
 
-// Listed applies the result of a list call to the platform at a revision. A result
-// that is older than the set comes from a lagging replica or was delayed in the
-// network, and is ignored. So is revision 0.
-func (s *Set) Listed(objects []Object, revision int64) (*Set, Verdict) {
+// ApplyList applies the result of a list call to the platform at a revision. A
+// result that is older than the set comes from a lagging replica or was delayed in
+// the network, and is ignored. So is revision 0.
+func (s *Set) ApplyList(objects []Object, revision int64) (*Set, Verdict) {
 	if revision < s.version || revision == 0 {
 		return s, NotNewer
 	}
@@ -63,12 +63,12 @@
 	return next, Adopted
 }
 
-// Watched applies the platform's changes after a revision at which the set was
+// ApplyWatch applies the platform's changes after a revision at which the set was
 // complete. The new version is that of the newest change, not the platform
 // revision of the response: writes to other kinds of objects increase the revision
 // all the time, and a version that followed it would be propagated to all nodes
 // without any change.
-func (s *Set) Watched(changes []Object) (*Set, Verdict) {
+func (s *Set) ApplyWatch(changes []Object) (*Set, Verdict) {
 	newest := s.version
 	for _, change := range changes {
 		newest = max(newest, change.Version)
--- a/steering/config/lease.go
+++ b/steering/config/lease.go
@@ -6,8 +6,8 @@
 	"heatherlock/steering"
 )
 
-// Terms are the timing parameters of a reader lease.
-type Terms struct {
+// LeaseTiming are the timing parameters of a reader lease.
+type LeaseTiming struct {
 	// TTL is the time for which the record must have stayed unchanged, on the
 	// observer's clock, before another VM may take over. The holder stops using
 	// the lease Margin earlier.
@@ -20,9 +20,9 @@
 	Margin time.Duration
 }
 
-// DefaultTerms cost a zone with two candidates one write and two reads every three
-// seconds.
-var DefaultTerms = Terms{TTL: 10 * time.Second, Renew: 3 * time.Second, Poll: 3 * time.Second, Margin: 500 * time.Millisecond}
+// DefaultLeaseTiming cost a zone with two candidates one write and two reads every
+// three seconds.
+var DefaultLeaseTiming = LeaseTiming{TTL: 10 * time.Second, Renew: 3 * time.Second, Poll: 3 * time.Second, Margin: 500 * time.Millisecond}
 
 // Record is the stored form of the lease.
 type Record struct {
@@ -42,10 +42,10 @@
 const (
 	// Wait means to call Next again at Action.At.
 	Wait Step = iota
-	// Read means to read the record and call Observed.
+	// Read means to read the record and call ObserveRecord.
 	Read
 	// Write means to write Action.Record on condition that the stored version is
-	// Action.Version (create it if that is 0), and to call Written.
+	// Action.Version (create it if that is 0), and to call ObserveWrite.
 	Write
 )
 
@@ -72,12 +72,12 @@
 )
 
 // Lease is the state machine of one entry VM for the reader lease of its zone. It
-// does no I/O: Next returns the step to take, and Observed and Written receive its
-// result. It is not safe for concurrent use.
+// does no I/O: Next returns the step to take, and ObserveRecord and ObserveWrite
+// receive its result. It is not safe for concurrent use.
 type Lease struct {
 	vm          steering.VM
 	incarnation steering.Incarnation
-	terms       Terms
+	terms       LeaseTiming
 
 	record        Record
 	version       int64     // of record; 0 if none is stored
@@ -91,7 +91,7 @@
 }
 
 // NewLease returns the lease of one incarnation of an entry VM. It is not held.
-func NewLease(vm steering.VM, incarnation steering.Incarnation, terms Terms) *Lease {
+func NewLease(vm steering.VM, incarnation steering.Incarnation, terms LeaseTiming) *Lease {
 	return &Lease{vm: vm, incarnation: incarnation, terms: terms}
 }
 
@@ -161,10 +161,10 @@
 	return l.write(now, Record{Epoch: l.record.Epoch, Beat: l.record.Beat + 1}), true
 }
 
-// Observed handles a reading of the record; version 0 means that none is stored. A
-// reading that is older than the known record comes from a lagging replica and is
-// ignored.
-func (l *Lease) Observed(now time.Time, r Record, version int64) {
+// ObserveRecord handles a reading of the record; version 0 means that none is
+// stored. A reading that is older than the known record comes from a lagging replica
+// and is ignored.
+func (l *Lease) ObserveRecord(now time.Time, r Record, version int64) {
 	if l.hasRead && version < l.version {
 		return
 	}
@@ -204,9 +204,9 @@
 	l.nextWrite = sent.Add(l.terms.Renew)
 }
 
-// Written handles the result of the last write; version is the stored version and is
-// only used with WriteOK.
-func (l *Lease) Written(now time.Time, result WriteResult, version int64) {
+// ObserveWrite handles the result of the last write; version is the stored version
+// and is only used with WriteOK.
+func (l *Lease) ObserveWrite(now time.Time, result WriteResult, version int64) {
 	if l.pendingSentAt.IsZero() {
 		return
 	}
--- a/steering/config/lease_test.go
+++ b/steering/config/lease_test.go
@@ -29,7 +29,7 @@
 	record  Record
 }
 
-var testTerms = Terms{TTL: 10 * time.Second, Renew: 3 * time.Second, Poll: 3 * time.Second, Margin: 500 * time.Millisecond}
+var testTerms = LeaseTiming{TTL: 10 * time.Second, Renew: 3 * time.Second, Poll: 3 * time.Second, Margin: 500 * time.Millisecond}
 
 func newLeaseMachine(candidates int) *leaseMachine {
 	m := &leaseMachine{now: time.Unix(1000, 0), records: []Record{{}}, epochs: map[int64]int{}}
@@ -110,18 +110,18 @@
 	if m.rarely(t, "pause in call") {
 		m.Advance(t)
 	}
-	l.Observed(m.now, m.records[at], at)
+	l.ObserveRecord(m.now, m.records[at], at)
 }
 
 func (m *leaseMachine) write(t *rapid.T, l *Lease, a Action) {
 	result := rapid.SampledFrom([]string{"ok", "ok", "ok", "ok", "ok", "ok", "refused", "lost", "late"}).Draw(t, "fate")
 	switch result {
 	case "refused":
-		l.Written(m.now, WriteRefused, 0)
+		l.ObserveWrite(m.now, WriteRefused, 0)
 		return
 	case "late":
 		m.delayedWrites = append(m.delayedWrites, delayedWrite{a.Version, a.Record})
-		l.Written(m.now, WriteUnknown, 0)
+		l.ObserveWrite(m.now, WriteUnknown, 0)
 		return
 	}
 	stored := m.store(a.Version, a.Record)
@@ -131,11 +131,11 @@
 	}
 	switch {
 	case result == "lost":
-		l.Written(m.now, WriteUnknown, 0)
+		l.ObserveWrite(m.now, WriteUnknown, 0)
 	case stored:
-		l.Written(m.now, WriteOK, version)
+		l.ObserveWrite(m.now, WriteOK, version)
 	default:
-		l.Written(m.now, WriteConflict, 0)
+		l.ObserveWrite(m.now, WriteConflict, 0)
 	}
 }
 
@@ -205,12 +205,12 @@
 		action := l.Next(m.now, true)
 		switch action.Step {
 		case Read:
-			l.Observed(m.now, m.records[m.version()], m.version())
+			l.ObserveRecord(m.now, m.records[m.version()], m.version())
 		case Write:
 			if m.store(action.Version, action.Record) {
-				l.Written(m.now, WriteOK, m.version())
+				l.ObserveWrite(m.now, WriteOK, m.version())
 			} else {
-				l.Written(m.now, WriteConflict, 0)
+				l.ObserveWrite(m.now, WriteConflict, 0)
 			}
 		case Wait:
 			return
--- a/steering/config/set_test.go
+++ b/steering/config/set_test.go
@@ -57,7 +57,7 @@
 func (m *replicationMachine) List(t *rapid.T) {
 	i := m.node(t)
 	at := rapid.Int64Range(0, m.revision()).Draw(t, "at")
-	next, _ := m.nodes[i].Listed(slices.Collect(maps.Values(m.history[at])), at)
+	next, _ := m.nodes[i].ApplyList(slices.Collect(maps.Values(m.history[at])), at)
 	m.adopt(t, i, next)
 	if at >= m.nodes[i].Version() {
 		m.cursors[i] = max(m.cursors[i], at)
@@ -76,7 +76,7 @@
 	if to < m.nodes[i].Version() && to > m.cursors[i] {
 		m.cursors[i] = to
 	}
-	next, _ := m.nodes[i].Watched(m.events[since:to])
+	next, _ := m.nodes[i].ApplyWatch(m.events[since:to])
 	m.adopt(t, i, next)
 	m.cursors[i] = max(m.cursors[i], m.nodes[i].Version())
 }
@@ -101,7 +101,7 @@
 	}
 	i := m.node(t)
 	offer := rapid.SampledFrom(m.offers).Draw(t, "offer")
-	next, verdict := m.nodes[i].Adopt(offer)
+	next, verdict := m.nodes[i].ApplyOffer(offer)
 	assert.Equal(t, verdict == Adopted, next != m.nodes[i])
 	m.adopt(t, i, next)
 }
@@ -140,13 +140,13 @@
 // assertConverges asserts that all nodes reach the configuration of the platform once
 // a reader has listed it and the nodes can fetch from the reader.
 func (m *replicationMachine) assertConverges(t *rapid.T) {
-	reader, _ := m.nodes[0].Listed(slices.Collect(maps.Values(m.history[m.revision()])), m.revision())
+	reader, _ := m.nodes[0].ApplyList(slices.Collect(maps.Values(m.history[m.revision()])), m.revision())
 	for i := range m.nodes {
 		delta := reader.Since(m.nodes[i].Version())
-		next, verdict := m.nodes[i].Adopt(Offer(delta))
-		if verdict == SumMismatch {
+		next, verdict := m.nodes[i].ApplyOffer(Offer(delta))
+		if verdict == ChecksumMismatch {
 			whole := reader.Since(0)
-			next, verdict = m.nodes[i].Adopt(Offer{Whole: true, Version: whole.Version, Sum: whole.Sum, Objects: whole.Objects})
+			next, verdict = m.nodes[i].ApplyOffer(Offer{Whole: true, Version: whole.Version, Sum: whole.Sum, Objects: whole.Objects})
 		}
 		assert.Assert(t, verdict == Adopted || m.nodes[i].Version() == m.revision(), "%s", verdict)
 		m.nodes[i] = next
@@ -159,11 +159,11 @@
 // deletions than a set keeps, a delta for an old version would lack some of them.
 func TestSinceReturnsFullSetWithoutOldTombstones(t *testing.T) {
 	set := new(Set)
-	set, _ = set.Listed([]Object{{ID: ID{"Service", "kept"}, Version: 1}}, 1)
+	set, _ = set.ApplyList([]Object{{ID: ID{"Service", "kept"}, Version: 1}}, 1)
 	version := int64(1)
 	for i := range maxTombstones + 10 {
 		id := ID{"Shift", fmt.Sprint(i)}
-		set, _ = set.Watched([]Object{{ID: id, Version: version + 1}, {ID: id, Version: version + 2, Deleted: true}})
+		set, _ = set.ApplyWatch([]Object{{ID: id, Version: version + 1}, {ID: id, Version: version + 2, Deleted: true}})
 		version += 2
 	}
 	assert.Assert(t, set.Since(3).Whole)
@@ -175,8 +175,8 @@
 // Guards against a node that permanently lacks an object: a platform reading at the
 // same version with other objects has to replace the set.
 func TestListRepairsDivergentSet(t *testing.T) {
-	wrong, _ := new(Set).Listed([]Object{{ID: ID{"Cap", "a"}, Version: 2}}, 5)
-	right, verdict := wrong.Listed([]Object{{ID: ID{"Cap", "a"}, Version: 2}, {ID: ID{"Cap", "b"}, Version: 4}}, 5)
+	wrong, _ := new(Set).ApplyList([]Object{{ID: ID{"Cap", "a"}, Version: 2}}, 5)
+	right, verdict := wrong.ApplyList([]Object{{ID: ID{"Cap", "a"}, Version: 2}, {ID: ID{"Cap", "b"}, Version: 4}}, 5)
 	assert.Equal(t, verdict, Repaired)
 	assert.Equal(t, right.Len(), 2)
 }
