--- a/node/admit/target_health.go
+++ b/node/admit/target_health.go
@@ -157,7 +157,7 @@
 // applyLoad applies the load that a target reported to its health and to the pool.
 func (p *poolState) applyLoad(now time.Time, target steering.Target, load Load) {
 	p.applyHealth(now, p.targetHealth.tracker.Report(now, target, !load.Draining))
-	p.applyHealth(now, p.targetHealth.tracker.Answered(now, target))
+	p.applyHealth(now, p.targetHealth.tracker.ObserveReachable(now, target))
 	p.applyEffects(p.pool.Report(now, target, load.InFlight, load.Slots))
 }
 
--- a/steering/health/tracker.go
+++ b/steering/health/tracker.go
@@ -177,11 +177,11 @@
 	return t.changes
 }
 
-// Answered records that a target responded to a request for its load. A target
+// ObserveReachable records that a target responded to a request for its load. A target
 // that was ejected as unreachable is put on trial at once instead of at the end of
 // its ejection. If that trial fails, further calls have no effect until a trial has
 // passed: the load endpoint may respond although the target accepts no requests.
-func (t *Tracker) Answered(now time.Time, name steering.Target) []Change {
+func (t *Tracker) ObserveReachable(now time.Time, name steering.Target) []Change {
 	t.begin(now)
 	tgt, known := t.targets[name]
 	if known && tgt.state == Ejected && tgt.evidence.showsUnreachable(&t.cfg) && !tgt.earlyTrialUsed {
--- a/steering/health/tracker_test.go
+++ b/steering/health/tracker_test.go
@@ -67,7 +67,7 @@
 				tr.Report(now, rapid.SampledFrom(all).Draw(t, "target"), rapid.Bool().Draw(t, "well"))
 			},
 			"answered": func(t *rapid.T) {
-				tr.Answered(now, rapid.SampledFrom(all).Draw(t, "target"))
+				tr.ObserveReachable(now, rapid.SampledFrom(all).Draw(t, "target"))
 			},
 			"pass": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
