--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -105,9 +105,9 @@
 	g.relay = relay.New(relay.Config{Region: settings.Region, Zone: settings.Zone, Pool: g.pool,
 		Balancer: placement.NewBalancer(settings.VM, settings.Region),
 		Retry:    retry.NewSharedBudget(retryConfig(b)),
-		Log:      logger, TargetBeat: time.Duration(settings.HeartbeatMs) * time.Millisecond,
-		Events: relay.NewEvents(scope), StoreAge: func() time.Duration { return time.Duration(g.reader.Digest().AgeMs) * time.Millisecond },
-		Members: func() int { return g.fleet.Size() }, Behind: func() bool { _, _, behind := g.reader.Behind(); return behind }, Outdated: g.outdated,
+		Log:      logger, TargetHeartbeatInterval: time.Duration(settings.HeartbeatMs) * time.Millisecond,
+		Metrics: relay.NewMetrics(scope), StoreAge: func() time.Duration { return time.Duration(g.reader.Digest().AgeMs) * time.Millisecond },
+		MemberCount: func() int { return g.fleet.Size() }, Behind: func() bool { _, _, behind := g.reader.Behind(); return behind }, ConfigOutdated: g.outdated,
 		Meter: g.meter, Allowances: g.allowanceService})
 	g.callers = callers.NewServer(g.relay, g.relay.Limits, maxCallerConnections)
 	state := feed.NewState(time.Duration(settings.HeartbeatMs)*time.Millisecond, settings.Zones)
@@ -146,7 +146,7 @@
 		seeds = append(seeds, platform.PeerAddressOf(host, g.settings.PeerPorts))
 	}
 	g.fleet = fleet.New(fleet.Config{Self: g.self(), Seeds: seeds, Log: g.log, Own: g.fillHeartbeat,
-		Suspects: func(all bool) []poison.Fact { return g.relay.TakeFacts(time.Now(), all) },
+		Suspects: func(all bool) []poison.Fact { return g.relay.TakePoisonFacts(time.Now(), all) },
 		Heard:    g.handleHeartbeat, Changed: g.updateMembership,
 		Sent: func(to fleet.Member, bytes int) { g.meter.Count(volume.Heartbeats, locationOf(to), int64(bytes)) }}, conn)
 	return nil
@@ -202,7 +202,7 @@
 	g.logTargets(targets)
 	g.pool.Retain(generationOf)
 	g.metrics.Scope.Gauge("gateway_targets").Update(float64(len(targets)))
-	g.relay.SetReady()
+	g.relay.SetTargetsKnown()
 	g.becameReady()
 }
 
@@ -241,7 +241,7 @@
 	stop()
 	g.closeServers()
 	g.workers.Wait()
-	g.relay.LogSums()
+	g.relay.LogOutcomeCounts()
 	g.logTraffic()
 	g.logWorkspaces()
 	_ = g.log.Log("msg", "stopped", "vm", g.settings.VM)
@@ -265,7 +265,7 @@
 		g.updateRegionSplit()
 		g.updateMembership()
 		g.updateGauges()
-		g.relay.LogSums()
+		g.relay.LogOutcomeCounts()
 		if time.Since(lastTraffic) >= trafficLogInterval {
 			lastTraffic = time.Now()
 			g.logTraffic()
--- a/node/gateway/peersync.go
+++ b/node/gateway/peersync.go
@@ -70,7 +70,7 @@
 // newer revision.
 func (g *Gateway) handleHeartbeat(b fleet.Beat) {
 	if len(b.Suspects) > 0 {
-		g.relay.LearnFacts(time.Now(), b.Suspects)
+		g.relay.MergePoisonFacts(time.Now(), b.Suspects)
 	}
 	if len(b.Tight) > 0 {
 		g.allowanceService.LearnTight(b.Tight)
--- a/node/gateway/relay/attempts.go
+++ b/node/gateway/relay/attempts.go
@@ -136,7 +136,7 @@
 	if service == nil || service.MaxConnections <= 0 {
 		return 0
 	}
-	return max(service.MaxConnections/max(x.f.cfg.Members(), 1), 1)
+	return max(service.MaxConnections/max(x.f.cfg.MemberCount(), 1), 1)
 }
 
 func (x *exchange) targetRequest(pick placement.Pick) *upstream.Request {
@@ -217,7 +217,7 @@
 // target takes a retry from the budget.
 func (x *exchange) retry(ctx context.Context, e attemptResult) bool {
 	if !e.unsent && !x.f.takeRetry(x.service) {
-		x.f.cfg.Events.Refused(steering.ReasonRetryBudget)
+		x.f.cfg.Metrics.Refused(steering.ReasonRetryBudget)
 		x.noRetryReason = noRetryBudget
 		return false
 	}
@@ -231,7 +231,7 @@
 	if !e.notRun {
 		x.f.cfg.Allowances.RecordExtraRun(x.workspace)
 	}
-	x.f.cfg.Events.Retried(retryReason(e))
+	x.f.cfg.Metrics.Retried(retryReason(e))
 	return true
 }
 
@@ -262,7 +262,7 @@
 		return
 	}
 	x.f.cfg.Allowances.RecordExtraRun(x.workspace)
-	x.f.cfg.Events.Retried("overdue")
+	x.f.cfg.Metrics.Retried("overdue")
 }
 
 // hedgeDelay returns how long to wait for the first response before the request is hedged.
--- a/node/gateway/relay/exchange.go
+++ b/node/gateway/relay/exchange.go
@@ -94,7 +94,7 @@
 		case <-deadline.C:
 			return x.timedOut()
 		case <-ctx.Done():
-			x.f.cfg.Events.Refused(steering.ReasonCancelled)
+			x.f.cfg.Metrics.Refused(steering.ReasonCancelled)
 			x.recordOutcome(losses.Failed, steering.ReasonCancelled)
 			return nil
 		}
--- a/node/gateway/relay/golden_internal_test.go
+++ b/node/gateway/relay/golden_internal_test.go
@@ -27,7 +27,7 @@
 func TestGoldenSumsLine(t *testing.T) {
 	golden.Assert(t, logged(func(f *Relay) {
 		f.outcomeCounts.tally.Add(losses.Kind{Service: "tickets", Repeats: "once", AimMs: 400}, losses.Late, losses.WaitedForSlot, true)
-		f.LogSums()
+		f.LogOutcomeCounts()
 	}), "golden/sums-line.json")
 }
 
--- a/node/gateway/relay/locks_test.go
+++ b/node/gateway/relay/locks_test.go
@@ -38,7 +38,7 @@
 		})
 		workers.Go(func() {
 			for range 2000 {
-				f.TakeFacts(time.Now(), true)
+				f.TakePoisonFacts(time.Now(), true)
 			}
 		})
 		workers.Wait()
--- a/node/gateway/relay/outcomes.go
+++ b/node/gateway/relay/outcomes.go
@@ -45,9 +45,9 @@
 	s.tally.Add(k, r.Outcome, cause, r.TimeUsed > 0)
 }
 
-// LogSums logs the counts of the requests that ended since the last call in one line, or nothing if
-// there were none.
-func (f *Relay) LogSums() {
+// LogOutcomeCounts logs the counts of the requests that ended since the last call in one line, or
+// nothing if there were none.
+func (f *Relay) LogOutcomeCounts() {
 	f.outcomeCounts.mu.Lock()
 	all := f.outcomeCounts.tally.Take()
 	f.outcomeCounts.mu.Unlock()
--- a/node/gateway/relay/poison.go
+++ b/node/gateway/relay/poison.go
@@ -153,13 +153,13 @@
 	}
 }
 
-// TakeFacts returns the facts about poison requests to send to peers: those that changed since the
-// last call and, if all is set, also earlier ones that peers may have missed.
+// TakePoisonFacts returns the facts about poison requests to send to peers: those that changed
+// since the last call and, if all is set, also earlier ones that peers may have missed.
 //
 // The age of the store read is requested before the lock is taken. The store reader holds its own
 // lock while it passes targets to SetTargets, so asking for the age under the lock would deadlock:
 // the VM would serve no requests and send no heartbeats.
-func (f *Relay) TakeFacts(now time.Time, all bool) []poison.Fact {
+func (f *Relay) TakePoisonFacts(now time.Time, all bool) []poison.Fact {
 	readAt := now.Add(-f.storeAge())
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -174,8 +174,8 @@
 	return append(facts, f.poisonFilter.list.Facts(now, maxSharedFacts-len(facts))...)
 }
 
-// LearnFacts merges a peer's facts about poison requests.
-func (f *Relay) LearnFacts(now time.Time, facts []poison.Fact) {
+// MergePoisonFacts merges a peer's facts about poison requests.
+func (f *Relay) MergePoisonFacts(now time.Time, facts []poison.Fact) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.poisonFilter.list.MergeFacts(now, facts)
--- a/node/gateway/relay/relay.go
+++ b/node/gateway/relay/relay.go
@@ -54,19 +54,21 @@
 	Balancer *placement.Balancer
 	Retry    *retry.SharedBudget
 	Log      log.Logger
-	Events   *Events
+	Metrics  *Metrics
 	// StoreAge returns the age of the last store read, on which placement is based. It may be nil,
 	// which counts as 0.
 	StoreAge func() time.Duration
-	// TargetBeat is the interval at which targets write heartbeats to the store.
-	TargetBeat time.Duration
-	// Members returns the number of entry VMs among which the connections to a target are divided.
-	Members func() int
+	// TargetHeartbeatInterval is the interval at which targets write heartbeats to the store.
+	TargetHeartbeatInterval time.Duration
+	// MemberCount returns the number of entry VMs among which the connections to a target are
+	// divided.
+	MemberCount func() int
 	// Behind reports whether a newer configuration than the one in force is known to exist. It may
 	// be nil.
 	Behind func() bool
-	// Outdated reports whether the configuration in force must no longer be used. It may be nil.
-	Outdated func() bool
+	// ConfigOutdated reports whether the configuration in force must no longer be used. It may be
+	// nil.
+	ConfigOutdated func() bool
 	// Meter counts the bytes exchanged with targets. It may be nil.
 	Meter *volume.Meter
 	// Allowances limits the requests of workspaces; nil means no limits.
@@ -118,7 +120,7 @@
 	if cfg.Allowances == nil {
 		cfg.Allowances = unlimited{}
 	}
-	return &Relay{cfg: cfg, poisonFilter: newPoisonFilter(cfg.TargetBeat, cfg.Log), outcomeCounts: newOutcomeCounts(), started: make(chan struct{})}
+	return &Relay{cfg: cfg, poisonFilter: newPoisonFilter(cfg.TargetHeartbeatInterval, cfg.Log), outcomeCounts: newOutcomeCounts(), started: make(chan struct{})}
 }
 
 // SetTable puts a configuration in force if it is newer than the current one, and reports whether
@@ -166,8 +168,8 @@
 	}
 }
 
-// SetReady records that the targets are known.
-func (f *Relay) SetReady() {
+// SetTargetsKnown records that the targets are known.
+func (f *Relay) SetTargetsKnown() {
 	f.ready.Store(true)
 	f.signalStart()
 }
@@ -241,11 +243,11 @@
 // here may be in that one, and a caller does not retry after a 404.
 func (f *Relay) configBehind() bool { return f.cfg.Behind != nil && f.cfg.Behind() }
 
-func (f *Relay) configOutdated() bool { return f.cfg.Outdated != nil && f.cfg.Outdated() }
+func (f *Relay) configOutdated() bool { return f.cfg.ConfigOutdated != nil && f.cfg.ConfigOutdated() }
 
 // Problem implements callers.Handler.
 func (f *Relay) Problem(status int, detail string) *callers.Response {
-	f.cfg.Events.Refused(steering.ReasonBadRequest)
+	f.cfg.Metrics.Refused(steering.ReasonBadRequest)
 	return localResponse(status, steering.ReasonBadRequest, detail, 0)
 }
 
@@ -260,7 +262,7 @@
 
 // refuse returns the response to a request that has not run.
 func (f *Relay) refuse(s requestInfo, reason steering.Reason, retryAfter time.Duration, detail []any) *callers.Response {
-	f.cfg.Events.Refused(reason)
+	f.cfg.Metrics.Refused(reason)
 	f.logRequest("refused", s, reason, detail)
 	status := steering.Reasons[reason].Status
 	if reason == steering.ReasonPoison {
--- a/node/gateway/relay/relay_test.go
+++ b/node/gateway/relay/relay_test.go
@@ -181,7 +181,7 @@
 	behind := true
 	g := &rig{t: t, relay: relay.New(relay.Config{Region: "centro", Log: log.NewNopLogger(), Behind: func() bool { return behind }})}
 	g.relay.SetTable(routes.NewTable(1, nil, nil, routes.Limits{}))
-	g.relay.SetReady()
+	g.relay.SetTargetsKnown()
 	g.listen()
 	got := g.ask("GET", "/added/1", "", time.Second)
 	assert.Equal(t, got.status, 503)
@@ -252,7 +252,7 @@
 	assert.Assert(t, refused >= copies-3, "%d of %d refused", refused, copies)
 	assert.Equal(t, g.ask("POST", "/buy/other", "y", time.Second).status, 200)
 	peer := newRig(t, 1, nil)
-	peer.relay.LearnFacts(time.Now(), g.relay.TakeFacts(time.Now(), true))
+	peer.relay.MergePoisonFacts(time.Now(), g.relay.TakePoisonFacts(time.Now(), true))
 	assert.Equal(t, peer.ask("POST", "/buy/culprit", "x", time.Second).status, 503)
 	assert.Equal(t, len(peer.runs()), 0)
 }
--- a/node/gateway/relay/responses.go
+++ b/node/gateway/relay/responses.go
@@ -49,7 +49,7 @@
 
 // outcomeUnknown returns the response to a request that may have run.
 func (x *exchange) outcomeUnknown(reason steering.Reason) *callers.Response {
-	x.f.cfg.Events.Refused(reason)
+	x.f.cfg.Metrics.Refused(reason)
 	x.recordOutcome(losses.Failed, reason)
 	x.f.logRequest("outcome unknown", x.requestInfo(x.call), reason, x.detail())
 	status := http.StatusBadGateway
@@ -81,7 +81,7 @@
 
 // deliver passes a target's response on to the caller.
 func (x *exchange) deliver(e attemptResult) *callers.Response {
-	x.f.cfg.Events.Served(x.route.Kind, e.response.Status, time.Since(x.r.Received))
+	x.f.cfg.Metrics.Served(x.route.Kind, e.response.Status, time.Since(x.r.Received))
 	ready := time.Since(x.r.Received)
 	if len(x.history) > 1 || e.response.Status >= http.StatusInternalServerError {
 		x.f.logRequest("passed on", x.requestInfo(x.call), "", append(x.detail(), "status", e.response.Status))
--- a/node/gateway/relay/rig_test.go
+++ b/node/gateway/relay/rig_test.go
@@ -35,7 +35,7 @@
 	address string
 	targets []*endpoint.Endpoint
 	number  atomic.Int64
-	// outdated is returned by relay.Config.Outdated.
+	// outdated is returned by relay.Config.ConfigOutdated.
 	outdated atomic.Bool
 	// behind is returned by relay.Config.Behind.
 	behind atomic.Bool
@@ -92,7 +92,7 @@
 	balancer.SetTargets(placed)
 	g.relay = relay.New(relay.Config{Region: "centro", Pool: upstream.NewPool(upstream.Dial, platform.RequestIDOf), Balancer: balancer,
 		Retry: retry.NewSharedBudget(retry.SharedBudgetConfig{Ratio: 0.2, Slack: 64, Window: 10 * time.Second}),
-		Log:   log.NewNopLogger(), Members: func() int { return 1 }, Outdated: g.outdated.Load, Behind: g.behind.Load, Allowances: g})
+		Log:   log.NewNopLogger(), MemberCount: func() int { return 1 }, ConfigOutdated: g.outdated.Load, Behind: g.behind.Load, Allowances: g})
 	route := func(name string, kind routes.Kind) *routes.Route {
 		return &routes.Route{Name: name, Host: "shop.example", Prefix: "/" + name + "/", Kind: kind, Timeout: time.Second,
 			Aim: 400 * time.Millisecond, MaxAttempts: 3, KeyAffinity: true, Parts: []routes.Part{{Service: service, Weight: 1}}}
@@ -100,7 +100,7 @@
 	g.relay.SetTable(routes.NewTable(1, []*routes.Route{route("read", routes.Idempotent), route("buy", routes.Once), route("upload", routes.Upload)},
 		[]*routes.Service{{Name: service, MaxConnections: 50}},
 		routes.Limits{HeaderBytes: 8 << 10, BodyBytes: 1 << 20, HeaderTimeout: 300 * time.Millisecond, IdleTimeout: 2 * time.Second}))
-	g.relay.SetReady()
+	g.relay.SetTargetsKnown()
 	g.listen()
 	return g
 }
