--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -96,7 +96,7 @@
 		return nil, err
 	}
 	g.pool = upstream.NewPool(upstream.Dial, platform.RequestIDOf)
-	g.pool.Opened = func() { scope.Counter("gateway_target_connections_opened").Inc(1) }
+	g.pool.OnOpen = func() { scope.Counter("gateway_target_connections_opened").Inc(1) }
 	g.store.Called = func(call string, err error) {
 		scope.Tagged(map[string]string{"fault": faultName(err)}).Counter("gateway_store_calls").Inc(1)
 	}
@@ -200,7 +200,7 @@
 func (g *Gateway) Placed(targets []placement.Target, generationOf func(steering.Target) (steering.Generation, bool)) {
 	g.relay.SetTargets(targets)
 	g.logTargets(targets)
-	g.pool.Retain(generationOf)
+	g.pool.CloseStale(generationOf)
 	g.metrics.Scope.Gauge("gateway_targets").Update(float64(len(targets)))
 	g.relay.SetTargetsKnown()
 	g.becameReady()
--- a/node/gateway/relay/attempts.go
+++ b/node/gateway/relay/attempts.go
@@ -113,7 +113,7 @@
 	response, err := x.f.cfg.Pool.Do(ctx, upstream.Call{
 		Target: pick.Target.Name, Generation: pick.Target.Generation, Address: pick.Target.Address,
 		MaxConnections: x.maxConnections(), DialTimeout: min(dialTimeout, max(time.Until(x.deadline), time.Millisecond)),
-		BeforeSend: func() { sentAt = time.Now() }, Opened: x.f.metered(pick.Target),
+		BeforeSend: func() { sentAt = time.Now() }, OnOpen: x.f.metered(pick.Target),
 	}, x.targetRequest(pick))
 	e := x.classify(pick, response, err)
 	e.report = x.f.reportResult(ctx, x, e, sentAt)
--- a/node/gateway/upstream/exchange.go
+++ b/node/gateway/upstream/exchange.go
@@ -84,9 +84,9 @@
 	DialTimeout time.Duration
 	// BeforeSend, if set, is called before the first byte is written.
 	BeforeSend func()
-	// Opened, if set, is given each connection that is opened for the call, and returns the one to
+	// OnOpen, if set, is given each connection that is opened for the call, and returns the one to
 	// use.
-	Opened func(net.Conn) net.Conn
+	OnOpen func(net.Conn) net.Conn
 }
 
 // Do sends a request and returns the response. A non-nil error is an *Error.
--- a/node/gateway/upstream/pool.go
+++ b/node/gateway/upstream/pool.go
@@ -31,8 +31,8 @@
 type Pool struct {
 	dial        DialFunc
 	requestIDOf func(http.Header) string
-	// Opened, if set, is called after each connection is opened.
-	Opened func()
+	// OnOpen, if set, is called after each connection is opened.
+	OnOpen func()
 
 	mu      sync.Mutex
 	targets map[steering.Target]*targetPool
@@ -66,14 +66,14 @@
 	return h
 }
 
-// Retain closes the idle connections of targets that are unknown or have restarted. generationOf
-// returns the generation of a target, and whether the target is known.
+// CloseStale closes the idle connections of targets that are unknown or have restarted.
+// generationOf returns the generation of a target, and whether the target is known.
 //
 // A target that restarts behind a network partition never closes the connections of its previous
 // generation. A request sent on one of these may hang or be reset, and a request that must run at
 // most once is then lost. Requests in flight are left alone, since their connections may already
 // lead to the new generation; a dead connection is detected by keep-alive probes.
-func (p *Pool) Retain(generationOf func(steering.Target) (steering.Generation, bool)) {
+func (p *Pool) CloseStale(generationOf func(steering.Target) (steering.Generation, bool)) {
 	var stale []*targetPool
 	p.mu.Lock()
 	for name, h := range p.targets {
@@ -157,11 +157,11 @@
 		h.mu.Unlock()
 		return nil, err
 	}
-	if p.Opened != nil {
-		p.Opened()
+	if p.OnOpen != nil {
+		p.OnOpen()
 	}
-	if call.Opened != nil {
-		raw = call.Opened(raw)
+	if call.OnOpen != nil {
+		raw = call.OnOpen(raw)
 	}
 	c := newConn(raw, h, p.requestIDOf)
 	go c.readLoop()
