--- a/node/gateway/feed/exchange.go
+++ b/node/gateway/feed/exchange.go
@@ -100,9 +100,9 @@
 	Gone    []steering.Target `json:"gone,omitempty"`
 }
 
-// Position returns the revision to send to a peer to request the changes after it; 0 requests all
-// targets.
-func (s *State) Position() (since int64) {
+// KnownRevision returns the revision to send to a peer to request the changes after it; 0 requests
+// all targets.
+func (s *State) KnownRevision() (since int64) {
 	if s.inconsistent {
 		return 0
 	}
--- a/node/gateway/feed/reader.go
+++ b/node/gateway/feed/reader.go
@@ -25,7 +25,8 @@
 	// targets a small VM takes longer for a read than the delay between two ranks, and without this
 	// wait all VMs ranked after it would read as well.
 	peerReadTimeout = 700 * time.Millisecond
-	// boundFraction is the fraction of a bound set by SetBound that may pass before the next read.
+	// boundFraction is the fraction of a bound set by SetPropagationBound that may pass before the
+	// next read.
 	boundFraction = 0.4
 	// minReadInterval keeps a bound that is set far too short from flooding the store.
 	minReadInterval = 200 * time.Millisecond
@@ -60,22 +61,23 @@
 	EvacuationChanges(ctx context.Context, since int64, wait time.Duration) ([]platform.EvacuationChange, int64, error)
 }
 
-// Sink receives what a Reader learns. Configured and Placed are called with the Reader's lock held.
+// Sink receives what a Reader learns. ConfigChanged and TargetsChanged are called with the Reader's
+// lock held.
 type Sink interface {
-	// Configured is called with each newer configuration and with how long this VM has known that
-	// it exists.
-	Configured(t *routes.Table, known time.Duration)
-	// Placed is called with the targets when they, the evacuated zones or the configuration
+	// ConfigChanged is called with each newer configuration and with how long this VM has known
+	// that it exists.
+	ConfigChanged(t *routes.Table, known time.Duration)
+	// TargetsChanged is called with the targets when they, the evacuated zones or the configuration
 	// changed. known returns the generation of a target, and false for a target that is not in the
 	// state.
-	Placed(targets []placement.Target, known func(steering.Target) (steering.Generation, bool))
-	// Unusable is called after each read that found target entries from which no usable target can
-	// be read.
-	Unusable(entries []platform.BadEntry)
-	// Reading is called when a read of the store begins, except while reads fail, and Refreshed
-	// when a read has succeeded.
-	Reading()
-	Refreshed()
+	TargetsChanged(targets []placement.Target, known func(steering.Target) (steering.Generation, bool))
+	// InvalidEntries is called after each read that found target entries from which no usable
+	// target can be read.
+	InvalidEntries(entries []platform.BadEntry)
+	// ReadStarted is called when a read of the store begins, except while reads fail, and
+	// ReadSucceeded when a read has succeeded.
+	ReadStarted()
+	ReadSucceeded()
 }
 
 // Peers is what a Reader needs to know about the other entry VMs.
@@ -83,9 +85,9 @@
 	// ReadRank returns how many entry VMs read the store before this one. fails says whether this
 	// VM's reads fail.
 	ReadRank(fails bool) int
-	// ReadBegun returns when an entry VM that reads before this one last reported the start of a
-	// read, or the zero time.
-	ReadBegun() time.Time
+	// LastReadStart returns when an entry VM that reads before this one last reported the start of
+	// a read, or the zero time.
+	LastReadStart() time.Time
 }
 
 // Reader keeps a State up to date by reading the store and by applying what peers send. It is safe
@@ -129,7 +131,7 @@
 
 // untilDue returns how long it is until this VM must read the store; 0 or less means now.
 func (r *Reader) untilDue(now time.Time) time.Duration {
-	rank, begun := r.Rank(), r.peers.ReadBegun()
+	rank, begun := r.Rank(), r.peers.LastReadStart()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	age, ok := r.state.Age(now)
@@ -146,9 +148,9 @@
 // Reading reports whether a read of the store is in progress.
 func (r *Reader) Reading() bool { return r.reading.Load() }
 
-// SetBound sets the time within which a change in the store must be known on all VMs. 0 means that
-// the default read interval is short enough.
-func (r *Reader) SetBound(bound time.Duration) {
+// SetPropagationBound sets the time within which a change in the store must be known on all VMs. 0
+// means that the default read interval is short enough.
+func (r *Reader) SetPropagationBound(bound time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.interval = maxReadInterval
@@ -180,12 +182,12 @@
 	return pull
 }
 
-// Position returns the revision to send to a peer when requesting an update; 0 requests all
+// KnownRevision returns the revision to send to a peer when requesting an update; 0 requests all
 // targets.
-func (r *Reader) Position() (since int64) {
+func (r *Reader) KnownRevision() (since int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.state.Position()
+	return r.state.KnownRevision()
 }
 
 // UpdateSince returns the update for a peer whose targets are those of revision since.
@@ -208,10 +210,10 @@
 	_, known, _ := r.state.Behind(time.Now())
 	changed := change()
 	if r.state.version() > version {
-		r.sink.Configured(r.state.Table(), known)
+		r.sink.ConfigChanged(r.state.Table(), known)
 	}
 	if r.state.Complete() && (changed || !complete) {
-		r.sink.Placed(r.state.Placement(), r.state.Generation)
+		r.sink.TargetsChanged(r.state.Placement(), r.state.Generation)
 	}
 }
 
@@ -222,7 +224,7 @@
 	r.reading.Store(true)
 	defer r.reading.Store(false)
 	if !r.Failing() {
-		r.sink.Reading()
+		r.sink.ReadStarted()
 	}
 	if r.Failing() {
 		// One call is enough to find out whether the store is still unavailable.
@@ -277,7 +279,7 @@
 	if again {
 		_ = r.log.Log("msg", "store answers again") // the log writer counts the lines that it drops
 	}
-	r.sink.Refreshed()
+	r.sink.ReadSucceeded()
 }
 
 func (r *Reader) readFailed(ctx context.Context, err error) {
@@ -328,7 +330,7 @@
 	bad = append(bad, r.state.inUnknownZones(read)...)
 	r.mu.Unlock()
 	if len(bad) > 0 {
-		r.sink.Unusable(bad)
+		r.sink.InvalidEntries(bad)
 	}
 }
 
--- a/node/gateway/feed/state_test.go
+++ b/node/gateway/feed/state_test.go
@@ -163,7 +163,7 @@
 	a.MarkRead(start)
 	pull, _ := b.Merge(start, a.Digest(start))
 	assert.Assert(t, pull)
-	assert.Assert(t, b.Apply(start, a.UpdateSince(start, b.Position())))
+	assert.Assert(t, b.Apply(start, a.UpdateSince(start, b.KnownRevision())))
 	assert.Assert(t, placedByName(b)["x"].ColdUntil.After(start.Add(2*time.Second)))
 }
 
@@ -187,7 +187,7 @@
 	assert.Assert(t, !pull, "both have no target")
 	exchange := func() {
 		if pull, _ := between.Merge(start, before.Digest(start)); pull {
-			between.Apply(start, before.UpdateSince(start, between.Position()))
+			between.Apply(start, before.UpdateSince(start, between.KnownRevision()))
 		}
 	}
 	exchange()
@@ -304,7 +304,7 @@
 			}
 		}
 		tell := func(from, to int) feed.Update {
-			raw, err := json.Marshal(states[from].UpdateSince(now, states[to].Position()))
+			raw, err := json.Marshal(states[from].UpdateSince(now, states[to].KnownRevision()))
 			assert.NilError(t, err)
 			var k feed.Update
 			assert.NilError(t, json.Unmarshal(raw, &k))
--- a/node/gateway/fleet/fleet.go
+++ b/node/gateway/fleet/fleet.go
@@ -262,12 +262,12 @@
 	return f.roster.ReadRank(time.Now(), fails)
 }
 
-// ReadBegun returns when a live VM that reads before this one last reported the start of a read of
-// the store.
-func (f *Fleet) ReadBegun() time.Time {
+// LastReadStart returns when a live VM that reads before this one last reported the start of a
+// read of the store.
+func (f *Fleet) LastReadStart() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.roster.ReadBegun(time.Now())
+	return f.roster.LastReadStart(time.Now())
 }
 
 // DarkZones returns the zones that seem to be unreachable from this VM.
--- a/node/gateway/fleet/roster_test.go
+++ b/node/gateway/fleet/roster_test.go
@@ -163,7 +163,7 @@
 			r.Heard(start, fleet.Beat{From: member(other, "x"), Incarnation: 1, Number: 1, Reads: true, StoreFails: other == "d"})
 		}
 		rank = r.ReadRank(start, false)
-		begun := !r.ReadBegun(start.Add(time.Second)).IsZero()
+		begun := !r.LastReadStart(start.Add(time.Second)).IsZero()
 		assert.Equal(t, begun, rank > 0, "%s has rank %d", self, rank)
 	}
 }
@@ -193,10 +193,10 @@
 		if r.ReadRank(start, false) == 0 {
 			continue // the other VM waits for this one
 		}
-		assert.Equal(t, r.ReadBegun(start.Add(700*time.Millisecond)), start)
+		assert.Equal(t, r.LastReadStart(start.Add(700*time.Millisecond)), start)
 		beat(900, false)
 		beat(1200, true)
-		assert.Equal(t, r.ReadBegun(start.Add(1300*time.Millisecond)), start.Add(1200*time.Millisecond))
+		assert.Equal(t, r.LastReadStart(start.Add(1300*time.Millisecond)), start.Add(1200*time.Millisecond))
 	}
 }
 
--- a/node/gateway/fleet/views.go
+++ b/node/gateway/fleet/views.go
@@ -186,9 +186,9 @@
 	return rank
 }
 
-// ReadBegun returns when a live VM that reads before this one first reported its last read of the
-// store.
-func (r *Roster) ReadBegun(now time.Time) time.Time {
+// LastReadStart returns when a live VM that reads before this one first reported its last read of
+// the store.
+func (r *Roster) LastReadStart(now time.Time) time.Time {
 	var last time.Time
 	for _, h := range r.members {
 		if r.live(now, h) && !h.leaving && h.before(r.self) {
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -185,8 +185,8 @@
 	})
 }
 
-// Configured implements feed.Sink.
-func (g *Gateway) Configured(t *routes.Table, known time.Duration) {
+// ConfigChanged implements feed.Sink.
+func (g *Gateway) ConfigChanged(t *routes.Table, known time.Duration) {
 	if g.relay.SetTable(t) {
 		_ = g.log.Log("msg", "configuration in force", "config", t.Version, "routes", len(t.Routes), "known_ms", known.Milliseconds()) // the log writer counts dropped lines
 		g.allowanceService.Configure(t.Workspaces)
@@ -196,8 +196,8 @@
 	}
 }
 
-// Placed implements feed.Sink.
-func (g *Gateway) Placed(targets []placement.Target, generationOf func(steering.Target) (steering.Generation, bool)) {
+// TargetsChanged implements feed.Sink.
+func (g *Gateway) TargetsChanged(targets []placement.Target, generationOf func(steering.Target) (steering.Generation, bool)) {
 	g.relay.SetTargets(targets)
 	g.logTargets(targets)
 	g.pool.CloseStale(generationOf)
--- a/node/gateway/peersync.go
+++ b/node/gateway/peersync.go
@@ -57,14 +57,14 @@
 // ReadRank implements feed.Peers.
 func (f readerPeers) ReadRank(fails bool) int { return f.g.fleet.ReadRank(fails) }
 
-// ReadBegun implements feed.Peers.
-func (f readerPeers) ReadBegun() time.Time { return f.g.fleet.ReadBegun() }
+// LastReadStart implements feed.Peers.
+func (f readerPeers) LastReadStart() time.Time { return f.g.fleet.LastReadStart() }
 
-// Reading implements feed.Sink.
-func (g *Gateway) Reading() { g.fleet.Announce() }
+// ReadStarted implements feed.Sink.
+func (g *Gateway) ReadStarted() { g.fleet.Announce() }
 
-// Refreshed implements feed.Sink.
-func (g *Gateway) Refreshed() { g.fleet.Announce() }
+// ReadSucceeded implements feed.Sink.
+func (g *Gateway) ReadSucceeded() { g.fleet.Announce() }
 
 // handleHeartbeat merges what a peer reports, and pulls target updates from the peer if it has a
 // newer revision.
@@ -148,7 +148,7 @@
 // pull fetches and applies all target updates that a peer has and this VM lacks. It returns the
 // number of bytes received, also on error.
 func (g *Gateway) pull(address string) (bytes int64, err error) {
-	query := url.Values{paramSince: {strconv.FormatInt(g.reader.Position(), 10)}}
+	query := url.Values{paramSince: {strconv.FormatInt(g.reader.KnownRevision(), 10)}}
 	ctx, stall := platform.WithStallTimeout(context.Background(), pullTimeout)
 	defer stall.Release()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+pathKnown+"?"+query.Encode(), nil)
--- a/node/gateway/targetlog.go
+++ b/node/gateway/targetlog.go
@@ -110,9 +110,9 @@
 // log nor the memory.
 const maxUnusable = 64
 
-// Unusable implements feed.Sink: it counts entries that describe no valid target, and logs each
-// with its reason unless that was the last reason logged for it.
-func (g *Gateway) Unusable(entries []platform.BadEntry) {
+// InvalidEntries implements feed.Sink: it counts entries that describe no valid target, and logs
+// each with its reason unless that was the last reason logged for it.
+func (g *Gateway) InvalidEntries(entries []platform.BadEntry) {
 	g.metrics.Scope.Counter("gateway_entries_unusable").Inc(int64(len(entries)))
 	b := &g.targetLog
 	b.mu.Lock()
