--- a/cmd/internal/vmstatus/vmstatus.go
+++ b/cmd/internal/vmstatus/vmstatus.go
@@ -126,7 +126,7 @@
 	fmt.Fprintln(w, "VM\tZONE\tSTATE\tCONFIG\tSTORE READ\tPEERS\tRUNNING\tDARK ZONES")
 	for _, a := range answers {
 		if s := a.Status; s != nil {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%d of %d\t%d\t%s\n", s.VM, s.Zone, stateText(s), s.ConfigVersion, storeReadText(s), s.PeersLive, s.PeersKnown, s.RequestsRunning, joinNames(s.DarkZones, "none"))
+			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%d of %d\t%d\t%s\n", s.VM, s.Zone, stateText(s), s.ConfigVersion, storeReadText(s), s.PeersLive, s.PeersKnown, s.RequestsRunning, joinNames(s.UnreachableZones, "none"))
 			continue
 		}
 		fmt.Fprintf(w, "%s\t\tno answer: %s\n", a.Control, a.Problem)
--- a/node/gateway/config.go
+++ b/node/gateway/config.go
@@ -31,7 +31,7 @@
 	if !behind || table == nil || behindFor < g.staleLimit() {
 		return false
 	}
-	return len(g.fleet.Holders(table.Version)) > 0
+	return len(g.fleet.ConfigHolders(table.Version)) > 0
 }
 
 // staleLimit returns for how long a VM that has learned of a newer configuration may still serve
@@ -54,7 +54,7 @@
 // recordNewest records the sender of a heartbeat that announces a newer version than any known
 // before.
 func (g *Gateway) recordNewest(before uint64, b fleet.Beat) {
-	if announced := max(b.Known.Config, b.Known.Newest); announced > before {
+	if announced := max(b.StoreDigest.Config, b.StoreDigest.Newest); announced > before {
 		g.newest.Store(&newestConfig{announced, b.From.Name})
 	}
 }
@@ -76,7 +76,7 @@
 // peersWithNewer returns the live VMs whose configuration is newer than a version.
 func (g *Gateway) peersWithNewer(above uint64) []catchup.Peer {
 	var all []catchup.Peer
-	for _, h := range g.fleet.Holders(above) {
+	for _, h := range g.fleet.ConfigHolders(above) {
 		all = append(all, catchup.Peer{Address: h.Control,
 			Source: spread.Source{VM: h.Name, Zone: h.Zone, Region: h.Region, Version: h.Version}})
 	}
@@ -86,6 +86,6 @@
 // requester returns the zone and region of this VM, and how many live VMs in each of them fetch
 // before it.
 func (g *Gateway) requester() spread.Requester {
-	zone, region := g.fleet.AskRank()
+	zone, region := g.fleet.RequestRank()
 	return spread.Requester{Zone: g.settings.Zone, Region: g.settings.Region, ZoneRank: zone, RegionRank: region}
 }
--- a/node/gateway/fleet/beat.go
+++ b/node/gateway/fleet/beat.go
@@ -24,10 +24,10 @@
 	Serving bool
 	// Leaving is set once the VM is shutting down.
 	Leaving bool
-	// StoreFails is set while the VM's own reads of the store fail.
-	StoreFails bool
-	// Reads is set while the VM reads the store.
-	Reads bool
+	// StoreReadsFail is set while the VM's own reads of the store fail.
+	StoreReadsFail bool
+	// ReadingStore is set while the VM reads the store.
+	ReadingStore bool
 	// WantsReply is set by a VM that has never received a heartbeat from the receiver; it requests
 	// one.
 	WantsReply bool
@@ -36,8 +36,8 @@
 	// Crowd is a hash of the set of VMs that the sender considers live. Two VMs with different sets
 	// have, most likely, different hashes.
 	Crowd uint32
-	// Known says what the VM knows of the store.
-	Known feed.Digest
+	// StoreDigest says what the VM knows of the store.
+	StoreDigest feed.Digest
 	// ConfigContent is a hash of the content of the configuration in force. 0 means that it is
 	// unknown or as reported before.
 	ConfigContent uint32
@@ -135,13 +135,13 @@
 
 // encode returns the datagram for a heartbeat, with or without the sender's addresses.
 func encode(b Beat, addresses bool) ([]byte, error) {
-	k := b.Known
+	k := b.StoreDigest
 	d := datagram{Sender: idOf(b.From.Name), Incarnation: b.Incarnation, Number: b.Number, Revision: k.Revision, Content: k.Content, Config: k.Config, NewestLead: max(k.Newest, k.Config) - k.Config, Content32: b.ConfigContent, Wait: uint8(b.ConfigWait),
 		ConfigLag: k.Revision - k.ConfigRevision, EvacLag: k.Revision - k.EvacuationRevision, ColdLag: k.Revision - k.ColdRevision, AgeMs: k.AgeMs, Crowd: b.Crowd, Evacuated: k.Evacuated, Demand: b.Demand, Mates: packShortIDs(b.Mates), Replaced: b.Replaced, Suspects: b.Suspects, Introduced: b.Members, Tight: b.Tight}
 	for _, f := range []struct {
 		flag uint8
 		set  bool
-	}{{flagServing, b.Serving}, {flagLeaving, b.Leaving}, {flagStoreFails, b.StoreFails}, {flagWantsMembers, b.WantsMembers}, {flagReads, b.Reads}, {flagWantsReply, b.WantsReply}} {
+	}{{flagServing, b.Serving}, {flagLeaving, b.Leaving}, {flagStoreFails, b.StoreReadsFail}, {flagWantsMembers, b.WantsMembers}, {flagReads, b.ReadingStore}, {flagWantsReply, b.WantsReply}} {
 		if f.set {
 			d.Flags |= f.flag
 		}
@@ -164,8 +164,8 @@
 		return Beat{}, 0, errors.Wrap(err, "fleet: decode heartbeat")
 	}
 	b := Beat{Incarnation: d.Incarnation, Number: d.Number, Members: d.Introduced, Mates: unpackShortIDs(d.Mates), Replaced: d.Replaced, Suspects: d.Suspects, Tight: d.Tight,
-		Serving: d.Flags&flagServing != 0, Leaving: d.Flags&flagLeaving != 0, StoreFails: d.Flags&flagStoreFails != 0, WantsMembers: d.Flags&flagWantsMembers != 0, Reads: d.Flags&flagReads != 0, WantsReply: d.Flags&flagWantsReply != 0, Crowd: d.Crowd, Demand: d.Demand, ConfigContent: d.Content32, ConfigWait: catchup.Wait(d.Wait),
-		Known: feed.Digest{Revision: d.Revision, Content: d.Content, Config: d.Config, Newest: d.Config + d.NewestLead, ConfigRevision: d.Revision - d.ConfigLag,
+		Serving: d.Flags&flagServing != 0, Leaving: d.Flags&flagLeaving != 0, StoreReadsFail: d.Flags&flagStoreFails != 0, WantsMembers: d.Flags&flagWantsMembers != 0, ReadingStore: d.Flags&flagReads != 0, WantsReply: d.Flags&flagWantsReply != 0, Crowd: d.Crowd, Demand: d.Demand, ConfigContent: d.Content32, ConfigWait: catchup.Wait(d.Wait),
+		StoreDigest: feed.Digest{Revision: d.Revision, Content: d.Content, Config: d.Config, Newest: d.Config + d.NewestLead, ConfigRevision: d.Revision - d.ConfigLag,
 			EvacuationRevision: d.Revision - d.EvacLag, ColdRevision: d.Revision - d.ColdLag, AgeMs: d.AgeMs, Evacuated: d.Evacuated}}
 	if d.From != nil {
 		b.From = *d.From
--- a/node/gateway/fleet/beat_internal_test.go
+++ b/node/gateway/fleet/beat_internal_test.go
@@ -13,9 +13,9 @@
 
 func TestBeatRoundTrip(t *testing.T) {
 	m := Member{Name: "front-a-1", Zone: "a", Region: "r", Peer: "10.0.0.1:1", Control: "10.0.0.1:2", Callers: "10.0.0.1:3"}
-	b := Beat{From: m, Incarnation: 9, Number: 77, Serving: true, StoreFails: true, WantsMembers: true, WantsReply: true, Crowd: 1 << 31, Mates: []uint32{1<<24 - 2, 7},
-		Known:  feed.Digest{Revision: 500, Content: 1 << 63, Config: 7, Newest: 9, ConfigRevision: 499, EvacuationRevision: 300, AgeMs: 12, Evacuated: []steering.Zone{"z"}},
-		Demand: placement.DemandOf{"s": {Rate: 1.5, RunMs: 110, Runs: 7}}, Members: []Member{m}}
+	b := Beat{From: m, Incarnation: 9, Number: 77, Serving: true, StoreReadsFail: true, WantsMembers: true, WantsReply: true, Crowd: 1 << 31, Mates: []uint32{1<<24 - 2, 7},
+		StoreDigest: feed.Digest{Revision: 500, Content: 1 << 63, Config: 7, Newest: 9, ConfigRevision: 499, EvacuationRevision: 300, AgeMs: 12, Evacuated: []steering.Zone{"z"}},
+		Demand:      placement.DemandOf{"s": {Rate: 1.5, RunMs: 110, Runs: 7}}, Members: []Member{m}}
 	raw, err := encode(b, true)
 	assert.NilError(t, err)
 	got, id, err := decode(raw)
@@ -28,7 +28,7 @@
 // largest part of the traffic between regions.
 func TestUsualBeatIsShort(t *testing.T) {
 	b := Beat{From: Member{Name: "front-puerto-montt-a-14", Zone: "puerto-montt-a", Region: "sur", Peer: "10.0.0.1:12345"}, Incarnation: 1 << 31, Number: 100000, Serving: true,
-		Known: feed.Digest{Revision: 1 << 20, Content: 1 << 63, Config: 300, Newest: 300, ConfigRevision: 1 << 19, EvacuationRevision: 1 << 19, AgeMs: 900}}
+		StoreDigest: feed.Digest{Revision: 1 << 20, Content: 1 << 63, Config: 300, Newest: 300, ConfigRevision: 1 << 19, EvacuationRevision: 1 << 19, AgeMs: 900}}
 	raw, err := encode(b, false)
 	assert.NilError(t, err)
 	assert.Assert(t, len(raw) <= 64, "%d bytes", len(raw))
--- a/node/gateway/fleet/bench_test.go
+++ b/node/gateway/fleet/bench_test.go
@@ -27,7 +27,7 @@
 		if i%zones == 1 {
 			beat.Mates = peerIDs
 		}
-		r.Heard(now, beat)
+		r.HandleBeat(now, beat)
 		beats = append(beats, beat)
 	}
 	return r, beats
@@ -40,7 +40,7 @@
 	for n := range b.N {
 		beat := beats[0]
 		beat.Number = uint64(n) + 2
-		r.Heard(now, beat)
+		r.HandleBeat(now, beat)
 	}
 }
 
@@ -56,7 +56,7 @@
 // BenchmarkDecode measures decoding a heartbeat from another zone.
 func BenchmarkDecode(b *testing.B) {
 	_, beats := benchRoster(b, time.Unix(1000, 0))
-	beats[0].Known.Revision, beats[0].Known.Content = 123456, 1<<60
+	beats[0].StoreDigest.Revision, beats[0].StoreDigest.Content = 123456, 1<<60
 	raw, err := encode(beats[0], false)
 	if err != nil {
 		b.Fatal(err)
--- a/node/gateway/fleet/fleet.go
+++ b/node/gateway/fleet/fleet.go
@@ -25,18 +25,18 @@
 	Self  Member
 	Seeds []string // peer addresses of the seeds
 	Log   log.Logger
-	// Own sets the fields of the next heartbeat that describe this VM.
-	Own func(*Beat)
+	// FillBeat sets the fields of the next heartbeat that describe this VM.
+	FillBeat func(*Beat)
 	// Suspects returns the facts on suspects to send; with all set also those that were sent
 	// before.
 	Suspects func(all bool) []poison.Fact
-	// Heard is called for each heartbeat received.
-	Heard func(Beat)
-	// Changed is called when members became live or are no longer.
-	Changed func()
-	// Sent, if set, is called for each datagram sent with the receiver, of which only the address
-	// may be known, and the number of bytes.
-	Sent func(to Member, bytes int)
+	// HandleBeat is called for each heartbeat received.
+	HandleBeat func(Beat)
+	// OnMembersChange is called when members became live or are no longer.
+	OnMembersChange func()
+	// OnSend, if set, is called for each datagram sent with the receiver, of which only the
+	// address may be known, and the number of bytes.
+	OnSend func(to Member, bytes int)
 }
 
 // Fleet exchanges heartbeats. It is safe for concurrent use.
@@ -86,26 +86,26 @@
 	f.wakeSender()
 }
 
-// AskRank returns how many live VMs of this VM's zone, and of its region, rank before this VM in
-// requesting data from peers.
-func (f *Fleet) AskRank() (zone, region int) {
+// RequestRank returns how many live VMs of this VM's zone, and of its region, rank before this VM
+// in requesting data from peers.
+func (f *Fleet) RequestRank() (zone, region int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.roster.AskRank(time.Now())
+	return f.roster.RequestRank(time.Now())
 }
 
-// Holders returns the live VMs whose configuration is newer than the version above.
-func (f *Fleet) Holders(above uint64) []Holder {
+// ConfigHolders returns the live VMs whose configuration is newer than the version above.
+func (f *Fleet) ConfigHolders(above uint64) []ConfigHolder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.roster.Holders(time.Now(), above)
+	return f.roster.ConfigHolders(time.Now(), above)
 }
 
-// Following returns which configuration each other VM on record uses.
-func (f *Fleet) Following() []Following {
+// ConfigStatus returns which configuration each other VM on record uses.
+func (f *Fleet) ConfigStatus() []ConfigStatus {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.roster.Following(time.Now())
+	return f.roster.ConfigStatus(time.Now())
 }
 
 // Announce sends a heartbeat to all live members without waiting for the next interval, because
@@ -175,7 +175,7 @@
 		}
 	}
 	if changed && ctx.Err() == nil {
-		f.cfg.Changed()
+		f.cfg.OnMembersChange()
 	}
 }
 
@@ -208,9 +208,9 @@
 	return f.roster.Live(time.Now(), false)
 }
 
-// Size returns the number of VMs that were live at the last tick, this VM included. It is called
-// for each try of a request, so it must not list the VMs.
-func (f *Fleet) Size() int { return max(int(f.size.Load()), 1) }
+// LiveCount returns the number of VMs that were live at the last tick, this VM included. It is
+// called for each try of a request, so it must not list the VMs.
+func (f *Fleet) LiveCount() int { return max(int(f.size.Load()), 1) }
 
 // Serving returns the members that take requests. selfServes says whether this VM does.
 func (f *Fleet) Serving(selfServes bool) []Member {
@@ -219,25 +219,25 @@
 	return f.roster.Serving(time.Now(), selfServes)
 }
 
-// PlaceOf returns the place of a member, or the zero value if it is not known.
-func (f *Fleet) PlaceOf(name steering.VM) volume.Place {
+// LocationOf returns the place of a member, or the zero value if it is not known.
+func (f *Fleet) LocationOf(name steering.VM) volume.Place {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.roster.PlaceOf(name)
+	return f.roster.LocationOf(name)
 }
 
-// Standing returns the number of VMs on record that have not left, this VM included.
-func (f *Fleet) Standing() int {
+// MemberCount returns the number of VMs on record that have not left, this VM included.
+func (f *Fleet) MemberCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.roster.Standing(time.Now())
+	return f.roster.MemberCount(time.Now())
 }
 
-// Known returns the number of members on record, this VM included.
-func (f *Fleet) Known() int {
+// RecordCount returns the number of members on record, this VM included.
+func (f *Fleet) RecordCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.roster.Known()
+	return f.roster.RecordCount()
 }
 
 // Demand returns the demand of the callers of all other VMs, by region.
@@ -270,9 +270,9 @@
 	return f.roster.LastReadStart(time.Now())
 }
 
-// DarkZones returns the zones that seem to be unreachable from this VM.
-func (f *Fleet) DarkZones() map[steering.Zone]bool {
+// UnreachableZones returns the zones that seem to be unreachable from this VM.
+func (f *Fleet) UnreachableZones() map[steering.Zone]bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.roster.DarkZones(time.Now())
+	return f.roster.UnreachableZones(time.Now())
 }
--- a/node/gateway/fleet/following_test.go
+++ b/node/gateway/fleet/following_test.go
@@ -21,15 +21,15 @@
 	r := NewRoster(member("self"))
 	r.Add(now, member("silent"))
 	number := uint64(0)
-	heard := func(config, newest uint64, content uint32, wait catchup.Wait) Following {
+	heard := func(config, newest uint64, content uint32, wait catchup.Wait) ConfigStatus {
 		number++
 		now = now.Add(300 * time.Millisecond)
-		r.Heard(now, Beat{From: member("other"), Incarnation: 1, Number: number, Serving: true, ConfigContent: content, ConfigWait: wait,
-			Known: feed.Digest{Config: config, Newest: newest}})
-		all := r.Following(now)
+		r.HandleBeat(now, Beat{From: member("other"), Incarnation: 1, Number: number, Serving: true, ConfigContent: content, ConfigWait: wait,
+			StoreDigest: feed.Digest{Config: config, Newest: newest}})
+		all := r.ConfigStatus(now)
 		assert.Equal(t, len(all), 2)
 		assert.Equal(t, all[1].Name, steering.VM("silent"))
-		assert.Assert(t, all[1].ToldAt.IsZero() && !all[1].Live)
+		assert.Assert(t, all[1].LastHeartbeat.IsZero() && !all[1].Live)
 		return all[0]
 	}
 	first := heard(5, 5, 77, catchup.Nothing)
@@ -39,7 +39,7 @@
 	assert.Equal(t, second.Content, uint32(77), "as reported before")
 	assert.Equal(t, second.Newest, uint64(7))
 	assert.Equal(t, second.Wait, catchup.Room)
-	assert.Assert(t, second.Since.Equal(since) && second.ToldAt.Equal(now))
+	assert.Assert(t, second.Since.Equal(since) && second.LastHeartbeat.Equal(now))
 	third := heard(7, 7, 0, catchup.Nothing)
 	assert.Equal(t, third.Content, uint32(0), "unknown for the new version")
 	assert.Assert(t, third.Since.Equal(now))
--- a/node/gateway/fleet/golden_internal_test.go
+++ b/node/gateway/fleet/golden_internal_test.go
@@ -40,8 +40,8 @@
 func fullBeat() Beat {
 	return Beat{
 		From:        Member{Name: "vm-1", Zone: "norte-a", Region: "norte", Peer: "10.0.0.1:7640", Control: "10.0.0.1:7633", Callers: "10.0.0.1:7631", Capacity: 1250.5},
-		Incarnation: 1<<31 + 1, Number: 1<<40 + 2, Serving: true, Leaving: true, StoreFails: true, Reads: true, WantsReply: true, WantsMembers: true, Crowd: 1<<30 + 3,
-		Known: feed.Digest{Revision: 5000, Content: 1<<63 + 4, ColdRevision: 4990, Config: 17, Newest: 22, ConfigRevision: 4980,
+		Incarnation: 1<<31 + 1, Number: 1<<40 + 2, Serving: true, Leaving: true, StoreReadsFail: true, ReadingStore: true, WantsReply: true, WantsMembers: true, Crowd: 1<<30 + 3,
+		StoreDigest: feed.Digest{Revision: 5000, Content: 1<<63 + 4, ColdRevision: 4990, Config: 17, Newest: 22, ConfigRevision: 4980,
 			Evacuated: []steering.Zone{"norte-b", "sur-b"}, EvacuationRevision: 4970, AgeMs: 905},
 		ConfigContent: 1<<29 + 6, ConfigWait: catchup.Holder,
 		Demand: placement.DemandOf{"tickets": {Rate: 1.5, RunMs: 110.25, Runs: 7, Bound: map[steering.Region]float32{"sur": 0.75}}},
@@ -72,8 +72,8 @@
 		"sparse":             {sparse, false},
 		"sparse-serving":     {flag(func(b *Beat) { b.Serving = true }), false},
 		"sparse-leaving":     {flag(func(b *Beat) { b.Leaving = true }), false},
-		"sparse-store-fails": {flag(func(b *Beat) { b.StoreFails = true }), false},
-		"sparse-reads":       {flag(func(b *Beat) { b.Reads = true }), false},
+		"sparse-store-fails": {flag(func(b *Beat) { b.StoreReadsFail = true }), false},
+		"sparse-reads":       {flag(func(b *Beat) { b.ReadingStore = true }), false},
 		"sparse-meets":       {flag(func(b *Beat) { b.WantsReply = true }), false},
 		"sparse-asks":        {flag(func(b *Beat) { b.WantsMembers = true }), false},
 	} {
--- a/node/gateway/fleet/receive.go
+++ b/node/gateway/fleet/receive.go
@@ -60,7 +60,7 @@
 	now := time.Now()
 	f.mu.Lock()
 	contacted := f.roster.Contacted(b.From.Name)
-	fresh := f.roster.Heard(now, b)
+	fresh := f.roster.HandleBeat(now, b)
 	for _, m := range b.Members {
 		if f.roster.Add(now, m) {
 			f.queryBackoff.reset()
@@ -73,7 +73,7 @@
 	}
 	reply.WantsMembers = f.queryBackoff.noteBeat(now, b.Crowd == f.liveSetHash)
 	f.mu.Unlock()
-	f.cfg.Heard(b)
+	f.cfg.HandleBeat(b)
 	switch {
 	case b.WantsMembers:
 		f.fillBeat(&reply)
@@ -83,7 +83,7 @@
 		f.send(reply, b.From.Peer)
 	}
 	if fresh {
-		f.cfg.Changed()
+		f.cfg.OnMembersChange()
 	}
 }
 
--- a/node/gateway/fleet/replaced_test.go
+++ b/node/gateway/fleet/replaced_test.go
@@ -47,13 +47,13 @@
 				Peer: fmt.Sprintf("10.0.%d.%d:7620", i/250, i%250+1), Control: "c", Callers: "c"}
 			k := &testVM{balancer: placement.NewBalancer(self.Name, "here")}
 			k.balancer.SetTargets([]placement.Target{target})
-			k.fleet = New(Config{Self: self, Log: log.NewNopLogger(), Changed: func() {}, Suspects: func(bool) []poison.Fact { return nil },
-				Own: func(b *Beat) {
+			k.fleet = New(Config{Self: self, Log: log.NewNopLogger(), OnMembersChange: func() {}, Suspects: func(bool) []poison.Fact { return nil },
+				FillBeat: func(b *Beat) {
 					k.mu.Lock()
 					defer k.mu.Unlock()
 					b.Serving, b.Replaced = true, k.balancer.ReplacedToReport(time.Now())
 				},
-				Heard: func(b Beat) {
+				HandleBeat: func(b Beat) {
 					k.mu.Lock()
 					defer k.mu.Unlock()
 					k.balancer.MarkReplaced(time.Now(), b.Replaced)
--- a/node/gateway/fleet/roster.go
+++ b/node/gateway/fleet/roster.go
@@ -143,8 +143,9 @@
 	}
 }
 
-// Heard applies a heartbeat. It reports whether the member was not live before or has restarted.
-func (r *Roster) Heard(now time.Time, b Beat) bool {
+// HandleBeat applies a heartbeat. It reports whether the member was not live before or has
+// restarted.
+func (r *Roster) HandleBeat(now time.Time, b Beat) bool {
 	if b.From.Name == r.self.Name {
 		return false
 	}
@@ -162,16 +163,16 @@
 	} else if h.beat.Incarnation == b.Incarnation {
 		b.Demand = h.beat.Demand // as reported before
 	}
-	if b.Known.Config != h.beat.Known.Config || h.beat.Incarnation != b.Incarnation {
+	if b.StoreDigest.Config != h.beat.StoreDigest.Config || h.beat.Incarnation != b.Incarnation {
 		h.configSince = now
 	} else if b.ConfigContent == 0 {
 		b.ConfigContent = h.beat.ConfigContent // as reported before
 	}
 	h.lastBeatAt = now
-	stillReading := h.beat.Reads && h.beat.Incarnation == b.Incarnation
+	stillReading := h.beat.ReadingStore && h.beat.Incarnation == b.Incarnation
 	r.updateMember(h, b.From)
 	h.lastSeen, h.leaving, h.beat = now, b.Leaving, b
-	if b.Reads && !b.StoreFails && !stillReading {
+	if b.ReadingStore && !b.StoreReadsFail && !stillReading {
 		h.readBegan = now
 	}
 	r.refreshZone(now, b)
--- a/node/gateway/fleet/roster_test.go
+++ b/node/gateway/fleet/roster_test.go
@@ -20,7 +20,7 @@
 
 // receiveBeat gives r a heartbeat of a member.
 func receiveBeat(r *fleet.Roster, now time.Time, m fleet.Member, number uint64) bool {
-	return r.Heard(now, fleet.Beat{From: m, Incarnation: 7, Number: number, Serving: true})
+	return r.HandleBeat(now, fleet.Beat{From: m, Incarnation: 7, Number: number, Serving: true})
 }
 
 func live(r *fleet.Roster, now time.Time) []steering.VM {
@@ -40,9 +40,9 @@
 	assert.DeepEqual(t, live(r, start.Add(time.Second)), []steering.VM{"other"})
 	gone := start.Add(3 * time.Second)
 	assert.Equal(t, len(live(r, gone)), 0)
-	assert.Assert(t, r.DarkZones(gone)["b"])
+	assert.Assert(t, r.UnreachableZones(gone)["b"])
 	assert.Assert(t, receiveBeat(r, gone, other, 2), "it was gone before")
-	assert.Assert(t, !r.DarkZones(gone)["b"])
+	assert.Assert(t, !r.UnreachableZones(gone)["b"])
 }
 
 // Guards against a VM that was suspended, considers all others gone and names only itself to
@@ -68,10 +68,10 @@
 	r := fleet.NewRoster(member("self", "a"))
 	m := member("other", "b")
 	receiveBeat(r, start, m, 5)
-	r.Heard(start, fleet.Beat{From: m, Incarnation: 7, Number: 6, Leaving: true})
+	r.HandleBeat(start, fleet.Beat{From: m, Incarnation: 7, Number: 6, Leaving: true})
 	receiveBeat(r, start, m, 4)
 	assert.Equal(t, len(live(r, start)), 0)
-	assert.Assert(t, r.Heard(start, fleet.Beat{From: m, Incarnation: 8, Number: 1}), "a new incarnation")
+	assert.Assert(t, r.HandleBeat(start, fleet.Beat{From: m, Incarnation: 8, Number: 1}), "a new incarnation")
 	assert.DeepEqual(t, live(r, start), []steering.VM{"other"})
 }
 
@@ -89,7 +89,7 @@
 	for i, m := range members {
 		rosters[i] = fleet.NewRoster(m)
 		for _, other := range members {
-			rosters[i].Heard(start, fleet.Beat{From: other, Incarnation: 1, Number: 1, Serving: true})
+			rosters[i].HandleBeat(start, fleet.Beat{From: other, Incarnation: 1, Number: 1, Serving: true})
 		}
 	}
 	const ended = 7
@@ -111,7 +111,7 @@
 				}
 				n, err := strconv.Atoi(to.Peer)
 				assert.NilError(t, err)
-				rosters[n].Heard(now, b)
+				rosters[n].HandleBeat(now, b)
 			}
 		}
 		announced = announced || now.After(start.Add(500*time.Millisecond))
@@ -160,7 +160,7 @@
 			if other == self {
 				continue
 			}
-			r.Heard(start, fleet.Beat{From: member(other, "x"), Incarnation: 1, Number: 1, Reads: true, StoreFails: other == "d"})
+			r.HandleBeat(start, fleet.Beat{From: member(other, "x"), Incarnation: 1, Number: 1, ReadingStore: true, StoreReadsFail: other == "d"})
 		}
 		rank = r.ReadRank(start, false)
 		begun := !r.LastReadStart(start.Add(time.Second)).IsZero()
@@ -185,7 +185,7 @@
 		number := uint64(0)
 		beat := func(ms int, reads bool) {
 			number++
-			r.Heard(start.Add(time.Duration(ms)*time.Millisecond), fleet.Beat{From: member(other, "x"), Incarnation: 1, Number: number, Reads: reads})
+			r.HandleBeat(start.Add(time.Duration(ms)*time.Millisecond), fleet.Beat{From: member(other, "x"), Incarnation: 1, Number: number, ReadingStore: reads})
 		}
 		beat(0, true)
 		beat(300, true)
@@ -209,7 +209,7 @@
 		for _, self := range members {
 			r := fleet.NewRoster(self)
 			for _, m := range members {
-				r.Heard(start, fleet.Beat{From: m, Incarnation: 1, Number: 1, StoreFails: m.Name == failing})
+				r.HandleBeat(start, fleet.Beat{From: m, Incarnation: 1, Number: 1, StoreReadsFail: m.Name == failing})
 			}
 			byRank[r.ReadRank(start, self.Name == failing)] = self.Name
 		}
@@ -231,7 +231,7 @@
 	rank := func(self fleet.Member) int {
 		r := fleet.NewRoster(self)
 		for _, m := range members {
-			r.Heard(start, fleet.Beat{From: m, Incarnation: 1, Number: 1})
+			r.HandleBeat(start, fleet.Beat{From: m, Incarnation: 1, Number: 1})
 		}
 		return r.ReadRank(start, false)
 	}
@@ -255,13 +255,13 @@
 	restarted := fleet.NewRoster(member(names[0], "b"))
 	for n, name := range names {
 		moved := fleet.Beat{From: member(name, "b"), Incarnation: 8, Number: 1, Serving: true}
-		r.Heard(start, moved)
+		r.HandleBeat(start, moved)
 		if n > 0 {
-			restarted.Heard(start, moved)
+			restarted.HandleBeat(start, moved)
 		}
 	}
 	assert.Equal(t, r.Interval(), 300*time.Millisecond)
 	later := start.Add(1900 * time.Millisecond)
-	r.Heard(later, fleet.Beat{From: member(names[0], "b"), Incarnation: 8, Number: 2, Serving: true, Mates: restarted.ZonePeerIDs(start)})
+	r.HandleBeat(later, fleet.Beat{From: member(names[0], "b"), Incarnation: 8, Number: 2, Serving: true, Mates: restarted.ZonePeerIDs(start)})
 	assert.Equal(t, len(live(r, later.Add(time.Second))), 29)
 }
--- a/node/gateway/fleet/send.go
+++ b/node/gateway/fleet/send.go
@@ -75,7 +75,7 @@
 
 // fillBeat sets the fields of a heartbeat that describe this VM and its set of live VMs.
 func (f *Fleet) fillBeat(b *Beat) {
-	f.cfg.Own(b)
+	f.cfg.FillBeat(b)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.leaving, b.Crowd = b.Leaving, f.liveSetHash
@@ -106,8 +106,8 @@
 		_ = f.cfg.Log.Log("msg", "heartbeat not sent", "to", m.Peer, "err", err)
 		return
 	}
-	if f.cfg.Sent != nil {
-		f.cfg.Sent(m, len(raw))
+	if f.cfg.OnSend != nil {
+		f.cfg.OnSend(m, len(raw))
 	}
 	// A datagram that cannot be sent counts as lost: the receiver notices a missing heartbeat
 	// whatever the reason.
--- a/node/gateway/fleet/size_test.go
+++ b/node/gateway/fleet/size_test.go
@@ -111,7 +111,7 @@
 	for i := range size {
 		self := Member{Name: steering.VM(fmt.Sprintf("vm-%d", i)), Zone: steering.Zone(fmt.Sprintf("zone-%d", i%zones)), Region: "here",
 			Peer: fmt.Sprintf("10.0.%d.%d:7620", i/250, i%250+1), Control: fmt.Sprintf("10.0.%d.%d:8649", i/250, i%250+1), Callers: fmt.Sprintf("10.0.%d.%d:8641", i/250, i%250+1)}
-		f := New(Config{Self: self, Log: log.NewNopLogger(), Own: c.fillBeat, Heard: func(Beat) {}, Changed: func() {},
+		f := New(Config{Self: self, Log: log.NewNopLogger(), FillBeat: c.fillBeat, HandleBeat: func(Beat) {}, OnMembersChange: func() {},
 			Suspects: func(bool) []poison.Fact { return nil }}, c.network.listen(self.Peer))
 		f.Add(records)
 		records = append(records, self)
@@ -177,7 +177,7 @@
 					synctest.Wait()
 					for _, f := range c.fleets {
 						assert.Equal(t, len(f.Live()), size, "%s does not list a live VM", f.cfg.Self.Name)
-						assert.Equal(t, f.Size(), size, "%s counts a different number of VMs than it lists", f.cfg.Self.Name)
+						assert.Equal(t, f.LiveCount(), size, "%s counts a different number of VMs than it lists", f.cfg.Self.Name)
 					}
 				}
 				count, steady := c.network.takeCounts()
@@ -204,7 +204,7 @@
 		_, ok := c.waitForLive(5*time.Second, 12, -1)
 		assert.Assert(t, ok)
 		late := Member{Name: "late", Zone: "zone-0", Region: "here", Peer: "10.0.9.9:7620", Control: "10.0.9.9:8649", Callers: "10.0.9.9:8641"}
-		f := New(Config{Self: late, Log: log.NewNopLogger(), Own: func(b *Beat) { b.Serving = true }, Heard: func(Beat) {}, Changed: func() {},
+		f := New(Config{Self: late, Log: log.NewNopLogger(), FillBeat: func(b *Beat) { b.Serving = true }, HandleBeat: func(Beat) {}, OnMembersChange: func() {},
 			Suspects: func(bool) []poison.Fact { return nil }}, c.network.listen(late.Peer))
 		f.Add([]Member{c.fleets[1].cfg.Self})
 		go f.Run(ctx)
@@ -266,7 +266,7 @@
 		time.Sleep(5 * time.Second)
 		for n := range 40 { // VMs of another zone that start one after the other
 			late := Member{Name: steering.VM(fmt.Sprint("late-", n)), Zone: "zone-late", Region: "there", Peer: fmt.Sprintf("10.0.8.%d:7620", n+1)}
-			f := New(Config{Self: late, Log: log.NewNopLogger(), Own: func(b *Beat) { b.Serving = true }, Heard: func(Beat) {}, Changed: func() {},
+			f := New(Config{Self: late, Log: log.NewNopLogger(), FillBeat: func(b *Beat) { b.Serving = true }, HandleBeat: func(Beat) {}, OnMembersChange: func() {},
 				Suspects: func(bool) []poison.Fact { return nil }}, c.network.listen(late.Peer))
 			f.Add([]Member{c.fleets[0].cfg.Self, c.fleets[3].cfg.Self})
 			go f.Run(ctx)
--- a/node/gateway/fleet/views.go
+++ b/node/gateway/fleet/views.go
@@ -104,8 +104,8 @@
 	return sum
 }
 
-// Following says which configuration another entry VM uses, as far as this VM knows.
-type Following struct {
+// ConfigStatus says which configuration another entry VM uses, as far as this VM knows.
+type ConfigStatus struct {
 	Member
 	// Live is set while the VM is live, Leaving once it is shutting down.
 	Live    bool
@@ -117,19 +117,19 @@
 	// Content is a hash of the content in force; 0 if it is not known.
 	Content uint32
 	Wait    catchup.Wait
-	// Since is when the first heartbeat with this version was received, ToldAt when the last
+	// Since is when the first heartbeat with this version was received, LastHeartbeat when the last
 	// heartbeat was; zero if none was. VMs of other zones rarely send heartbeats.
-	Since  time.Time
-	ToldAt time.Time
+	Since         time.Time
+	LastHeartbeat time.Time
 }
 
-// Following returns which configuration each other VM on record uses, by zone and name.
-func (r *Roster) Following(now time.Time) []Following {
-	all := make([]Following, 0, len(r.members))
+// ConfigStatus returns which configuration each other VM on record uses, by zone and name.
+func (r *Roster) ConfigStatus(now time.Time) []ConfigStatus {
+	all := make([]ConfigStatus, 0, len(r.members))
 	for _, h := range r.members {
-		k := h.beat.Known
-		all = append(all, Following{Member: h.Member, Live: r.live(now, h), Leaving: h.leaving, Serving: h.beat.Serving, Version: k.Config,
-			Newest: max(k.Newest, k.Config), Content: h.beat.ConfigContent, Wait: h.beat.ConfigWait, Since: h.configSince, ToldAt: h.lastBeatAt})
+		k := h.beat.StoreDigest
+		all = append(all, ConfigStatus{Member: h.Member, Live: r.live(now, h), Leaving: h.leaving, Serving: h.beat.Serving, Version: k.Config,
+			Newest: max(k.Newest, k.Config), Content: h.beat.ConfigContent, Wait: h.beat.ConfigWait, Since: h.configSince, LastHeartbeat: h.lastBeatAt})
 	}
 	sort.Slice(all, func(i, j int) bool {
 		if all[i].Zone != all[j].Zone {
@@ -140,26 +140,26 @@
 	return all
 }
 
-// Holder is a live VM and the version of the configuration that it has in force.
-type Holder struct {
+// ConfigHolder is a live VM and the version of the configuration that it has in force.
+type ConfigHolder struct {
 	Member
 	Version uint64
 }
 
-// Holders returns the live VMs whose configuration is newer than the version above.
-func (r *Roster) Holders(now time.Time, above uint64) []Holder {
-	var all []Holder
+// ConfigHolders returns the live VMs whose configuration is newer than the version above.
+func (r *Roster) ConfigHolders(now time.Time, above uint64) []ConfigHolder {
+	var all []ConfigHolder
 	for _, h := range r.members {
-		if version := h.beat.Known.Config; version > above && r.live(now, h) && !h.leaving {
-			all = append(all, Holder{Member: h.Member, Version: version})
+		if version := h.beat.StoreDigest.Config; version > above && r.live(now, h) && !h.leaving {
+			all = append(all, ConfigHolder{Member: h.Member, Version: version})
 		}
 	}
 	return all
 }
 
-// AskRank returns how many live VMs of this VM's zone, and of its region, rank before this VM in
-// requesting data from peers.
-func (r *Roster) AskRank(now time.Time) (zone, region int) {
+// RequestRank returns how many live VMs of this VM's zone, and of its region, rank before this VM
+// in requesting data from peers.
+func (r *Roster) RequestRank(now time.Time) (zone, region int) {
 	for _, h := range r.members {
 		if h.Region != r.self.Region || !r.live(now, h) || h.leaving || !h.before(r.self) {
 			continue
@@ -176,10 +176,10 @@
 func (r *Roster) ReadRank(now time.Time, fails bool) int {
 	rank := 0
 	for _, h := range r.members {
-		if !r.live(now, h) || h.leaving || h.beat.StoreFails && !fails {
+		if !r.live(now, h) || h.leaving || h.beat.StoreReadsFail && !fails {
 			continue
 		}
-		if fails && !h.beat.StoreFails || h.before(r.self) {
+		if fails && !h.beat.StoreReadsFail || h.before(r.self) {
 			rank++
 		}
 	}
@@ -214,8 +214,8 @@
 // readOrder is a hash, so that the order does not depend on how VMs are named.
 func readOrder(name steering.VM) uint64 { return xxhash.Sum64String("read\x00" + string(name)) }
 
-// PlaceOf returns the place of a VM, or the zero value if it is not known.
-func (r *Roster) PlaceOf(name steering.VM) volume.Place {
+// LocationOf returns the place of a VM, or the zero value if it is not known.
+func (r *Roster) LocationOf(name steering.VM) volume.Place {
 	if name == r.self.Name {
 		return volume.Place{Zone: r.self.Zone, Region: r.self.Region}
 	}
@@ -225,9 +225,9 @@
 	return volume.Place{}
 }
 
-// Standing returns the number of VMs on record that have not left, this VM included. A VM has left
-// once it reported that it is leaving and is no longer live.
-func (r *Roster) Standing(now time.Time) int {
+// MemberCount returns the number of VMs on record that have not left, this VM included. A VM has
+// left once it reported that it is leaving and is no longer live.
+func (r *Roster) MemberCount(now time.Time) int {
 	standing := 1
 	for _, h := range r.members {
 		if !h.leaving || r.live(now, h) {
@@ -237,12 +237,12 @@
 	return standing
 }
 
-// Known returns the number of members on record, this VM included.
-func (r *Roster) Known() int { return 1 + len(r.members) }
+// RecordCount returns the number of members on record, this VM included.
+func (r *Roster) RecordCount() int { return 1 + len(r.members) }
 
-// DarkZones returns the other zones whose entry VMs were seen live before and from which no
+// UnreachableZones returns the other zones whose entry VMs were seen live before and from which no
 // heartbeat has come for unreachableMissedBeats. Targets there are most likely unreachable as well.
-func (r *Roster) DarkZones(now time.Time) map[steering.Zone]bool {
+func (r *Roster) UnreachableZones(now time.Time) map[steering.Zone]bool {
 	unreachable, reachable := make(map[steering.Zone]bool), map[steering.Zone]bool{r.self.Zone: true}
 	for _, h := range r.members {
 		switch {
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -107,7 +107,7 @@
 		Retry:    retry.NewSharedBudget(retryConfig(b)),
 		Log:      logger, TargetHeartbeatInterval: time.Duration(settings.HeartbeatMs) * time.Millisecond,
 		Metrics: relay.NewMetrics(scope), StoreAge: func() time.Duration { return time.Duration(g.reader.Digest().AgeMs) * time.Millisecond },
-		MemberCount: func() int { return g.fleet.Size() }, Behind: func() bool { _, _, behind := g.reader.Behind(); return behind }, ConfigOutdated: g.outdated,
+		MemberCount: func() int { return g.fleet.LiveCount() }, Behind: func() bool { _, _, behind := g.reader.Behind(); return behind }, ConfigOutdated: g.outdated,
 		Meter: g.meter, Allowances: g.allowanceService})
 	g.callers = callers.NewServer(g.relay, g.relay.Limits, maxCallerConnections)
 	state := feed.NewState(time.Duration(settings.HeartbeatMs)*time.Millisecond, settings.Zones)
@@ -145,10 +145,10 @@
 		}
 		seeds = append(seeds, platform.PeerAddressOf(host, g.settings.PeerPorts))
 	}
-	g.fleet = fleet.New(fleet.Config{Self: g.self(), Seeds: seeds, Log: g.log, Own: g.fillHeartbeat,
-		Suspects: func(all bool) []poison.Fact { return g.relay.TakePoisonFacts(time.Now(), all) },
-		Heard:    g.handleHeartbeat, Changed: g.updateMembership,
-		Sent: func(to fleet.Member, bytes int) { g.meter.Count(volume.Heartbeats, locationOf(to), int64(bytes)) }}, conn)
+	g.fleet = fleet.New(fleet.Config{Self: g.self(), Seeds: seeds, Log: g.log, FillBeat: g.fillHeartbeat,
+		Suspects:   func(all bool) []poison.Fact { return g.relay.TakePoisonFacts(time.Now(), all) },
+		HandleBeat: g.handleHeartbeat, OnMembersChange: g.updateMembership,
+		OnSend: func(to fleet.Member, bytes int) { g.meter.Count(volume.Heartbeats, locationOf(to), int64(bytes)) }}, conn)
 	return nil
 }
 
@@ -157,9 +157,9 @@
 func (g *Gateway) fillHeartbeat(b *fleet.Beat) {
 	b.Leaving = g.leaving.Load()
 	b.Serving = g.relay.Ready() && !b.Leaving
-	b.Known = g.reader.Digest()
-	b.StoreFails = g.reader.Failing()
-	b.Reads = g.reader.Reading()
+	b.StoreDigest = g.reader.Digest()
+	b.StoreReadsFail = g.reader.Failing()
+	b.ReadingStore = g.reader.Reading()
 	b.ConfigContent, b.ConfigWait = uint32(g.reader.ContentHash()), g.fetcher.Progress().Wait
 	now := time.Now()
 	g.relay.WithBalancer(func(balancer *placement.Balancer, _ *retry.SharedBudget) {
@@ -175,8 +175,8 @@
 	for _, m := range g.fleet.Live() {
 		peers[m.Region] = append(peers[m.Region], m.Name)
 	}
-	dark := g.fleet.DarkZones()
-	known := g.fleet.Known()
+	dark := g.fleet.UnreachableZones()
+	known := g.fleet.RecordCount()
 	g.updateAllowancePeers()
 	g.relay.WithBalancer(func(balancer *placement.Balancer, budget *retry.SharedBudget) {
 		balancer.SetPeers(peers)
@@ -328,7 +328,7 @@
 	g.logReplaced(replaced)
 	scope.Gauge("gateway_targets_ejected").Update(float64(len(ejected)))
 	scope.Gauge("gateway_targets_replaced").Update(float64(len(replaced)))
-	scope.Gauge("gateway_peers").Update(float64(g.fleet.Size()))
+	scope.Gauge("gateway_peers").Update(float64(g.fleet.LiveCount()))
 	newest, behindFor, _ := g.reader.Behind()
 	scope.Gauge("gateway_config_newest").Update(float64(newest))
 	scope.Gauge("gateway_config_behind_ms").Update(float64(behindFor.Milliseconds()))
--- a/node/gateway/peersync.go
+++ b/node/gateway/peersync.go
@@ -81,7 +81,7 @@
 		})
 	}
 	newest, _, _ := g.reader.Behind()
-	pull := g.reader.Merge(b.Known)
+	pull := g.reader.Merge(b.StoreDigest)
 	g.recordNewest(newest, b)
 	if _, _, behind := g.reader.Behind(); behind {
 		g.fetcher.Wake()
@@ -91,12 +91,12 @@
 	}
 	go func() {
 		defer g.pulling.Store(false)
-		if zoneRank, _ := g.fleet.AskRank(); b.From.Zone != g.settings.Zone && zoneRank >= pullersPerZone {
+		if zoneRank, _ := g.fleet.RequestRank(); b.From.Zone != g.settings.Zone && zoneRank >= pullersPerZone {
 			// A peer of this zone is about to announce the same update. The flag is cleared before
 			// the second check, so that the heartbeat of that peer can start the pull instead.
 			time.Sleep(zonePeerWait)
 			g.pulling.Store(false)
-			if !g.reader.Merge(b.Known) || !g.pulling.CompareAndSwap(false, true) {
+			if !g.reader.Merge(b.StoreDigest) || !g.pulling.CompareAndSwap(false, true) {
 				return
 			}
 		}
--- a/node/gateway/showstatus.go
+++ b/node/gateway/showstatus.go
@@ -41,9 +41,9 @@
 	known := g.reader.Digest()
 	result := status.Status{VM: s.VM, Zone: s.Zone, Region: s.Region, Ready: g.relay.Ready() && !g.leaving.Load(), Leaving: g.leaving.Load(),
 		StoreAgeMs: known.AgeMs, StoreFails: g.reader.Failing(), ReadRank: g.reader.Rank(),
-		PeersLive: len(g.fleet.Live()), PeersKnown: g.fleet.Known(), EvacuatedZones: known.Evacuated,
-		DarkZones:       slices.Sorted(maps.Keys(g.fleet.DarkZones())),
-		RequestsRunning: g.callers.Running(), CallerConnections: g.callers.Connections()}
+		PeersLive: len(g.fleet.Live()), PeersKnown: g.fleet.RecordCount(), EvacuatedZones: known.Evacuated,
+		UnreachableZones: slices.Sorted(maps.Keys(g.fleet.UnreachableZones())),
+		RequestsRunning:  g.callers.Running(), CallerConnections: g.callers.Connections()}
 	if known.Revision == 0 {
 		result.StoreAgeMs = -1
 	}
@@ -51,7 +51,7 @@
 		result.ConfigVersion = t.Version
 	}
 	result.Workspaces = g.allowanceService.Rows()
-	result.Config, result.Fleet = g.configStatus(now), peerRows(now, g.fleet.Following())
+	result.Config, result.Fleet = g.configStatus(now), peerRows(now, g.fleet.ConfigStatus())
 	g.relay.WithBalancer(func(b *placement.Balancer, budget *retry.SharedBudget) {
 		result.Services = serviceRows(now, b, budget, g.regionSplit, s.Region)
 	})
@@ -85,13 +85,13 @@
 	return fmt.Sprintf("%08x", hash)
 }
 
-func peerRows(now time.Time, all []fleet.Following) []status.Peer {
+func peerRows(now time.Time, all []fleet.ConfigStatus) []status.Peer {
 	peers := make([]status.Peer, 0, len(all))
 	for _, f := range all {
 		p := status.Peer{VM: f.Name, Zone: f.Zone, Region: f.Region, Control: f.Control, Live: f.Live, Ready: f.Serving && f.Live && !f.Leaving,
 			Leaving: f.Leaving, ConfigVersion: f.Version, Newest: f.Newest, Content: contentText(f.Content), Wait: f.Wait.String(), ToldMs: -1}
-		if !f.ToldAt.IsZero() {
-			p.ToldMs, p.InForceMs = now.Sub(f.ToldAt).Milliseconds(), now.Sub(f.Since).Milliseconds()
+		if !f.LastHeartbeat.IsZero() {
+			p.ToldMs, p.InForceMs = now.Sub(f.LastHeartbeat).Milliseconds(), now.Sub(f.Since).Milliseconds()
 		}
 		peers = append(peers, p)
 	}
--- a/node/gateway/status/golden_test.go
+++ b/node/gateway/status/golden_test.go
@@ -22,7 +22,7 @@
 			Wait: "parts under way", Rejected: &status.Rejected{Version: "r20", Reason: "route x names no service"}},
 		Fleet: []status.Peer{{VM: "vm-2", Zone: "sur-a", Region: "sur", Control: "10.0.1.1:7633", Live: true, Ready: true, Leaving: true, ConfigVersion: 16,
 			Newest: 18, Content: "deadbeef", Wait: "no VM that has it has room", InForceMs: 8001, ToldMs: 301}, {VM: "vm-3"}},
-		StoreAgeMs: 904, StoreFails: true, ReadRank: 5, PeersLive: 6, PeersKnown: 7, DarkZones: []steering.Zone{"oeste-a"}, EvacuatedZones: []steering.Zone{"sur-b"},
+		StoreAgeMs: 904, StoreFails: true, ReadRank: 5, PeersLive: 6, PeersKnown: 7, UnreachableZones: []steering.Zone{"oeste-a"}, EvacuatedZones: []steering.Zone{"sur-b"},
 		RequestsRunning: 10, CallerConnections: 11,
 		Services: []status.Service{{Name: "tickets", Targets: 12, Closed: 13, Cold: 14, Ejected: []steering.Target{"t1"}, KeysKept: 0.5, TriesLeft: 15.5,
 			RequestsPerSecond: 16.5, RunMs: 110.25}},
--- a/node/gateway/status/status.go
+++ b/node/gateway/status/status.go
@@ -33,8 +33,9 @@
 	// PeersLive and PeersKnown count live entry VMs and those on record, this one included.
 	PeersLive  int `json:"peers_live"`
 	PeersKnown int `json:"peers_known"`
-	// DarkZones holds the zones from whose entry VMs this VM receives no heartbeats any more.
-	DarkZones []steering.Zone `json:"dark_zones"`
+	// UnreachableZones holds the zones from whose entry VMs this VM receives no heartbeats any
+	// more.
+	UnreachableZones []steering.Zone `json:"dark_zones"`
 	// EvacuatedZones holds the zones under evacuation, whose targets get no new requests.
 	EvacuatedZones []steering.Zone `json:"evacuated_zones"`
 	// RequestsRunning and CallerConnections count the requests in flight and the open connections
--- a/node/gateway/workspaces.go
+++ b/node/gateway/workspaces.go
@@ -30,7 +30,7 @@
 }
 
 func (g *Gateway) countAllowanceTraffic(to steering.VM, bytes int) {
-	g.meter.Count(volume.Allowances, g.fleet.PlaceOf(to), int64(bytes))
+	g.meter.Count(volume.Allowances, g.fleet.LocationOf(to), int64(bytes))
 }
 
 // updateAllowancePeers passes the live VMs and the number of entry VMs to the allowance service.
@@ -45,7 +45,7 @@
 		}
 		peers = append(peers, allowances.Peer{Name: m.Name, Address: address, Weight: float64(m.Capacity)})
 	}
-	g.allowanceService.SetFleet(peers, g.fleet.Standing())
+	g.allowanceService.SetFleet(peers, g.fleet.MemberCount())
 }
 
 // logWorkspaces logs in one line how many requests of workspaces with an allowance were admitted,
