--- a/node/gateway/callers/conn.go
+++ b/node/gateway/callers/conn.go
@@ -229,7 +229,7 @@
 		return false
 	}
 	request := &Request{Method: r.Method, Path: r.RequestURI, Host: r.Host, Header: r.Header,
-		Body: body, Rest: rest, Length: lengthOf(r, body, rest), Received: received}
+		Body: body, BodyRest: rest, Length: lengthOf(r, body, rest), Received: received}
 	wantsClose := r.Close
 	c.bodyStreaming = rest != nil
 	if !c.start(ctx, request, r, wantsClose) {
@@ -342,10 +342,10 @@
 		defer close(own)
 		response := c.server.handler.Serve(ctx, request)
 		<-previous
-		if response != nil && response.Turn != nil {
-			response.Turn()
+		if response != nil && response.BeforeWrite != nil {
+			response.BeforeWrite()
 		}
-		c.write(response, r, c.announceClose(own, response, wantsClose || request.Rest != nil))
+		c.write(response, r, c.announceClose(own, response, wantsClose || request.BodyRest != nil))
 	}()
 	return true
 }
@@ -363,7 +363,7 @@
 // refuse answers a request that cannot be read and closes the connection after the response.
 func (c *conn) refuse(status int, detail string) {
 	<-c.lastAnswer()
-	c.write(c.server.handler.Problem(status, detail), &http.Request{Method: http.MethodGet, ProtoMajor: 1, ProtoMinor: 1}, true)
+	c.write(c.server.handler.ErrorResponse(status, detail), &http.Request{Method: http.MethodGet, ProtoMajor: 1, ProtoMinor: 1}, true)
 	c.linger()
 }
 
--- a/node/gateway/callers/server.go
+++ b/node/gateway/callers/server.go
@@ -70,8 +70,8 @@
 	s.mu.Unlock()
 }
 
-// Leave makes the server close each connection after its next response.
-func (s *Server) Leave() { s.leaving.Store(true) }
+// StartDrain makes the server close each connection after its next response.
+func (s *Server) StartDrain() { s.leaving.Store(true) }
 
 // CloseIdle closes the connections that have no request running.
 func (s *Server) CloseIdle() {
@@ -86,8 +86,8 @@
 	}
 }
 
-// Running returns the number of requests in flight.
-func (s *Server) Running() int { return int(s.running.Load()) }
+// InFlight returns the number of requests in flight.
+func (s *Server) InFlight() int { return int(s.running.Load()) }
 
 // Connections returns the number of open connections.
 func (s *Server) Connections() int {
--- a/node/gateway/callers/types.go
+++ b/node/gateway/callers/types.go
@@ -16,9 +16,9 @@
 	Path   string
 	Host   string
 	Header http.Header
-	// Body is the whole body, or its beginning if Rest is set, which yields the remainder.
-	Body []byte
-	Rest io.Reader
+	// Body is the whole body, or its beginning if BodyRest is set, which yields the remainder.
+	Body     []byte
+	BodyRest io.Reader
 	// Length is the length of the whole body; it is negative for a chunked body.
 	Length int64
 	// Received is when the first byte of the request arrived.
@@ -29,16 +29,17 @@
 type Response struct {
 	Status int
 	Header http.Header
-	// Body is the whole body, or its beginning if Rest is set, which yields the remainder.
-	Body []byte
-	Rest io.ReadCloser
-	// Length is the length of the whole body, or negative if it is unknown. It is only used if Rest
-	// is set or the request's method is HEAD.
+	// Body is the whole body, or its beginning if BodyRest is set, which yields the remainder.
+	Body     []byte
+	BodyRest io.ReadCloser
+	// Length is the length of the whole body, or negative if it is unknown. It is only used if
+	// BodyRest is set or the request's method is HEAD.
 	Length int64
 	// Close closes the connection after the response.
 	Close bool
-	// Turn, if set, is called when all earlier responses on the connection have been written.
-	Turn func()
+	// BeforeWrite, if set, is called when all earlier responses on the connection have been
+	// written.
+	BeforeWrite func()
 }
 
 // Handler answers requests.
@@ -46,8 +47,9 @@
 	// Serve returns the response to a request. ctx is done when the caller closes the connection.
 	// If it returns nil, the connection is closed without a response.
 	Serve(ctx context.Context, r *Request) *Response
-	// Problem returns the response to a request that cannot be read or is refused by its header.
-	Problem(status int, detail string) *Response
+	// ErrorResponse returns the response to a request that cannot be read or is refused by its
+	// header.
+	ErrorResponse(status int, detail string) *Response
 }
 
 // LimitsFunc returns the limits in force. Limits without HeaderBytes mean that no configuration is
--- a/node/gateway/callers/write.go
+++ b/node/gateway/callers/write.go
@@ -40,8 +40,8 @@
 // abort closes the connection without a complete response.
 func (c *conn) abort(a *Response) {
 	c.unwritable.Store(true)
-	if a != nil && a.Rest != nil {
-		_ = a.Rest.Close()
+	if a != nil && a.BodyRest != nil {
+		_ = a.BodyRest.Close()
 	}
 	_ = c.raw.Close()
 }
@@ -66,12 +66,12 @@
 		_, err := w.WriteString("\r\n")
 		return err
 	}
-	if a.Rest == nil {
+	if a.BodyRest == nil {
 		_, _ = w.WriteString("Content-Length: " + strconv.Itoa(len(a.Body)) + "\r\n\r\n")
 		_, err := w.Write(a.Body)
 		return err
 	}
-	defer a.Rest.Close()
+	defer a.BodyRest.Close()
 	if a.Length >= 0 {
 		return writeSized(w, a)
 	}
@@ -100,6 +100,6 @@
 	if _, err := w.Write(a.Body); err != nil {
 		return err
 	}
-	_, err := io.Copy(w, a.Rest)
+	_, err := io.Copy(w, a.BodyRest)
 	return err
 }
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -334,7 +334,7 @@
 	scope.Gauge("gateway_config_behind_ms").Update(float64(behindFor.Milliseconds()))
 	scope.Gauge("gateway_store_age_ms").Update(float64(g.reader.Digest().AgeMs))
 	scope.Gauge("gateway_read_rank").Update(float64(g.reader.Rank()))
-	scope.Gauge("gateway_requests_running").Update(float64(g.callers.Running()))
+	scope.Gauge("gateway_requests_running").Update(float64(g.callers.InFlight()))
 	scope.Gauge("gateway_caller_connections").Update(float64(g.callers.Connections()))
 	for service, left := range tries {
 		scope.Tagged(map[string]string{"service": string(service)}).Gauge("gateway_tries_left").Update(left)
--- a/node/gateway/relay/attempts.go
+++ b/node/gateway/relay/attempts.go
@@ -150,7 +150,7 @@
 	}
 	platform.MarkForTarget(header, expected, time.Until(x.deadline))
 	return &upstream.Request{Method: x.r.Method, Path: x.r.Path, Host: x.r.Host, Header: header,
-		Body: x.r.Body, Rest: x.r.Rest, Length: x.r.Length, ID: x.call.ID}
+		Body: x.r.Body, BodyRest: x.r.BodyRest, Length: x.r.Length, ID: x.call.ID}
 }
 
 // classify returns the result of an attempt, with what the response or the error proves.
@@ -190,7 +190,7 @@
 	switch {
 	case x.maybeRan && !x.route.Kind.Retryable() && planted.Defect != planted.Twice:
 		x.noRetryReason = noRetryMayHaveRun
-	case x.r.Rest != nil && !e.unsent:
+	case x.r.BodyRest != nil && !e.unsent:
 		x.noRetryReason = noRetryBodySent
 	case !x.attemptsLeft() || x.attempts >= x.route.MaxAttempts+maxExtraAttempts:
 		x.noRetryReason = noRetryMaxAttempts
@@ -251,7 +251,7 @@
 
 // hedge sends an overdue idempotent request to a second target, if the retry budget allows.
 func (x *exchange) hedge(ctx context.Context) {
-	if !x.route.Kind.Retryable() || x.r.Rest != nil || x.running != 1 || !x.attemptsLeft() {
+	if !x.route.Kind.Retryable() || x.r.BodyRest != nil || x.running != 1 || !x.attemptsLeft() {
 		return
 	}
 	if !x.f.takeRetry(x.service) {
--- a/node/gateway/relay/connections_test.go
+++ b/node/gateway/relay/connections_test.go
@@ -125,7 +125,7 @@
 	}
 	send(0)
 	assert.Equal(t, readResponses(t, conn, 1)[0].Close, false)
-	g.server.Leave()
+	g.server.StartDrain()
 	send(1)
 	assert.Equal(t, readResponses(t, conn, 1)[0].Close, true)
 	send(2)
--- a/node/gateway/relay/exchange.go
+++ b/node/gateway/relay/exchange.go
@@ -66,7 +66,7 @@
 // returns nil if the caller left.
 func (x *exchange) run(ctx context.Context) *callers.Response {
 	x.f.recordRequest(x.service, x.singleHome())
-	if x.r.Rest != nil && x.r.Length > x.table.Limits.BodyBytes {
+	if x.r.BodyRest != nil && x.r.Length > x.table.Limits.BodyBytes {
 		return x.refuse(steering.ReasonBodyTooLarge, 0)
 	}
 	if retryAfter, held := x.checkPoison(); held {
--- a/node/gateway/relay/poison.go
+++ b/node/gateway/relay/poison.go
@@ -55,7 +55,7 @@
 func fingerprintsOf(service steering.Service, r *callers.Request, call platform.Call) poison.Fingerprints {
 	body := r.Body[:min(len(r.Body), poison.FingerprintBytes)]
 	content := poison.Content{Service: service, Method: r.Method, URI: r.Path, Headers: []string{call.Key}, Length: r.Length, Body: body}
-	return poison.Fingerprints{Content: content.Sum(), BodyComplete: r.Rest == nil && len(r.Body) == len(body)}
+	return poison.Fingerprints{Content: content.Sum(), BodyComplete: r.BodyRest == nil && len(r.Body) == len(body)}
 }
 
 // admit decides whether a request may be sent.
--- a/node/gateway/relay/relay.go
+++ b/node/gateway/relay/relay.go
@@ -245,8 +245,8 @@
 
 func (f *Relay) configOutdated() bool { return f.cfg.ConfigOutdated != nil && f.cfg.ConfigOutdated() }
 
-// Problem implements callers.Handler.
-func (f *Relay) Problem(status int, detail string) *callers.Response {
+// ErrorResponse implements callers.Handler.
+func (f *Relay) ErrorResponse(status int, detail string) *callers.Response {
 	f.cfg.Metrics.Refused(steering.ReasonBadRequest)
 	return localResponse(status, steering.ReasonBadRequest, detail, 0)
 }
--- a/node/gateway/relay/responses.go
+++ b/node/gateway/relay/responses.go
@@ -87,8 +87,8 @@
 		x.f.logRequest("passed on", x.requestInfo(x.call), "", append(x.detail(), "status", e.response.Status))
 	}
 	return &callers.Response{Status: e.response.Status, Header: endToEnd(e.response.Header), Body: e.response.Body,
-		Rest: e.response.Rest, Length: e.response.Length, Close: x.r.Rest != nil,
-		Turn: func() { x.recordResponse(outcomeOfStatus(e.response.Status), ready) }}
+		BodyRest: e.response.BodyRest, Length: e.response.Length, Close: x.r.BodyRest != nil,
+		BeforeWrite: func() { x.recordResponse(outcomeOfStatus(e.response.Status), ready) }}
 }
 
 func formatSeconds(d time.Duration) string {
--- a/node/gateway/showstatus.go
+++ b/node/gateway/showstatus.go
@@ -43,7 +43,7 @@
 		StoreAgeMs: known.AgeMs, StoreFails: g.reader.Failing(), ReadRank: g.reader.Rank(),
 		PeersLive: len(g.fleet.Live()), PeersKnown: g.fleet.RecordCount(), EvacuatedZones: known.Evacuated,
 		UnreachableZones: slices.Sorted(maps.Keys(g.fleet.UnreachableZones())),
-		RequestsRunning:  g.callers.Running(), CallerConnections: g.callers.Connections()}
+		RequestsRunning:  g.callers.InFlight(), CallerConnections: g.callers.Connections()}
 	if known.Revision == 0 {
 		result.StoreAgeMs = -1
 	}
--- a/node/gateway/shutdown.go
+++ b/node/gateway/shutdown.go
@@ -28,13 +28,13 @@
 // a request accepted later would be cut off when the process is killed. It returns when no
 // request runs and no connection is open, or shortly before the process would be killed.
 func (g *Gateway) shutdown(listener net.Listener) {
-	_ = g.log.Log("msg", "leaving", "running", g.callers.Running(), "connections", g.callers.Connections()) // the log writer counts dropped lines
+	_ = g.log.Log("msg", "leaving", "running", g.callers.InFlight(), "connections", g.callers.Connections()) // the log writer counts dropped lines
 	if planted.Defect == planted.ImmediateExit {
 		return
 	}
 	began := time.Now()
 	g.leaving.Store(true)
-	g.callers.Leave()
+	g.callers.StartDrain()
 	g.fleet.Announce()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	g.workers.Go(func() {
@@ -50,7 +50,7 @@
 		if time.Since(began) > acceptFor {
 			_ = listener.Close() // closing it again in later rounds has no effect
 			g.callers.CloseIdle()
-			if g.callers.Running() == 0 && g.callers.Connections() == 0 {
+			if g.callers.InFlight() == 0 && g.callers.Connections() == 0 {
 				break
 			}
 		}
--- a/node/gateway/upstream/conn.go
+++ b/node/gateway/upstream/conn.go
@@ -126,7 +126,7 @@
 		e.done <- result{err: err}
 		return false
 	}
-	if response.Rest != nil {
+	if response.BodyRest != nil {
 		return c.streamResponse(e, response, last)
 	}
 	keep := c.finish(response, last)
@@ -137,7 +137,7 @@
 // streamResponse passes on a response whose body is read while it is passed on to the caller.
 func (c *conn) streamResponse(e *exchange, response *Answer, last bool) bool {
 	ended := make(chan bool, 1)
-	response.Rest = &streamedBody{ReadCloser: response.Rest, ended: ended, abort: c.close}
+	response.BodyRest = &streamedBody{ReadCloser: response.BodyRest, ended: ended, abort: c.close}
 	e.done <- result{response: response}
 	if whole := <-ended; !whole {
 		return false
@@ -197,7 +197,7 @@
 		}
 		response = &Answer{Status: httpResponse.StatusCode, Header: httpResponse.Header, Body: body, Length: httpResponse.ContentLength}
 		if !whole {
-			response.Rest = httpResponse.Body
+			response.BodyRest = httpResponse.Body
 		}
 		c.setIdleTimeout(httpResponse.Header)
 		return response, last || httpResponse.Close, nil
--- a/node/gateway/upstream/exchange.go
+++ b/node/gateway/upstream/exchange.go
@@ -20,9 +20,9 @@
 	Path   string
 	Host   string
 	Header http.Header // end-to-end header fields only
-	// Body is the whole body, or its beginning if Rest holds more.
-	Body []byte
-	Rest io.Reader
+	// Body is the whole body, or its beginning if BodyRest holds more.
+	Body     []byte
+	BodyRest io.Reader
 	// Length is the length of the body; a negative length sends it in chunks.
 	Length int64
 	// ID is the request ID, which the response must repeat.
@@ -33,9 +33,9 @@
 type Answer struct {
 	Status int
 	Header http.Header
-	// Body is the whole body, or its beginning when Rest holds more.
-	Body []byte
-	Rest io.ReadCloser
+	// Body is the whole body, or its beginning when BodyRest holds more.
+	Body     []byte
+	BodyRest io.ReadCloser
 	// Length is the stated length; negative if none was stated.
 	Length int64
 }
@@ -191,8 +191,8 @@
 	if _, err := w.Write(r.Body); err != nil {
 		return err
 	}
-	if r.Rest != nil {
-		if _, err := io.Copy(w, r.Rest); err != nil {
+	if r.BodyRest != nil {
+		if _, err := io.Copy(w, r.BodyRest); err != nil {
 			return err
 		}
 	}
@@ -204,8 +204,8 @@
 	if _, err := chunks.Write(r.Body); err != nil {
 		return err
 	}
-	if r.Rest != nil {
-		if _, err := io.Copy(chunks, r.Rest); err != nil {
+	if r.BodyRest != nil {
+		if _, err := io.Copy(chunks, r.BodyRest); err != nil {
 			return err
 		}
 	}
