--- a/cmd/internal/vmstatus/fleet.go
+++ b/cmd/internal/vmstatus/fleet.go
@@ -33,7 +33,7 @@
 }
 
 // writeFleet writes a view, and fails if not all VMs use the same configuration.
-func (o *options) writeFleet(view status.View, out command.IO) error {
+func (o *options) writeFleet(view status.FleetView, out command.IO) error {
 	var err error
 	if o.format == formatJSON {
 		encoder := json.NewEncoder(out.Out)
@@ -53,7 +53,7 @@
 
 // checkFollowing fails with a documented exit code unless every zone answered and all VMs use
 // the same configuration.
-func checkFollowing(v status.View) error {
+func checkFollowing(v status.FleetView) error {
 	switch {
 	case len(v.Silent) > 0:
 		return command.Failf(command.Unreachable, "check whether VMs run there, and the way to them", "no entry VM answered in %d zones", len(v.Silent))
@@ -65,17 +65,17 @@
 
 // fetchFleet queries the given VMs in order until one answers, and then one VM of each other
 // zone.
-func fetchFleet(ctx context.Context, controls []string) (status.View, error) {
-	first, err := status.AskAny(ctx, http.DefaultClient, controls)
+func fetchFleet(ctx context.Context, controls []string) (status.FleetView, error) {
+	first, err := status.FetchAny(ctx, http.DefaultClient, controls)
 	if err != nil {
-		return status.View{}, command.Failf(command.Unreachable, "check the addresses, and whether those entry VMs run", "none of %d entry VMs answered: %v", len(controls), err)
+		return status.FleetView{}, command.Failf(command.Unreachable, "check the addresses, and whether those entry VMs run", "none of %d entry VMs answered: %v", len(controls), err)
 	}
 	return status.Gather(ctx, http.DefaultClient, first), nil
 }
 
 // writeFleetTables prints the configuration versions by zone, and the VMs that do not use the
 // newest one.
-func writeFleetTables(v status.View, out io.Writer) error {
+func writeFleetTables(v status.FleetView, out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "configuration %d is the newest; %d entry VMs live, %d on record are gone; %d asked\n\n", v.Newest, v.Live, v.Gone, len(v.Asked))
 	fmt.Fprintln(w, "ZONE\tVERSION\tCONTENT\tVMS\tIN FORCE ON ALL OF THEM")
--- a/cmd/internal/vmstatus/vmstatus.go
+++ b/cmd/internal/vmstatus/vmstatus.go
@@ -98,7 +98,7 @@
 }
 
 func fetchEach(ctx context.Context, addresses []string) []answer {
-	statuses, errs := status.AskEach(ctx, http.DefaultClient, addresses)
+	statuses, errs := status.FetchEach(ctx, http.DefaultClient, addresses)
 	answers := make([]answer, len(addresses))
 	for i, address := range addresses {
 		answers[i] = answer{Control: address, Status: statuses[i]}
--- a/cmd/internal/vmstatus/vmstatus_test.go
+++ b/cmd/internal/vmstatus/vmstatus_test.go
@@ -134,7 +134,7 @@
 	out.Reset()
 	o.format = formatJSON
 	assert.Equal(t, command.CodeOf(runFleet(t.Context(), o, command.IO{Out: &out})), command.Other)
-	var view status.View
+	var view status.FleetView
 	assert.NilError(t, json.Unmarshal(out.Bytes(), &view))
 	assert.Equal(t, len(view.Outliers), 9)
 }
--- a/cmd/internal/workspaces/command.go
+++ b/cmd/internal/workspaces/command.go
@@ -78,7 +78,7 @@
 // fetchView requests the status of one VM and then that of each VM that the first one lists
 // as live.
 func (o *options) fetchView(ctx context.Context) (View, error) {
-	first, err := status.AskAny(ctx, http.DefaultClient, o.controls)
+	first, err := status.FetchAny(ctx, http.DefaultClient, o.controls)
 	if err != nil {
 		return View{}, command.Failf(command.Unreachable, "check the addresses, and whether those entry VMs run", "none of %d entry VMs answered: %v", len(o.controls), err)
 	}
@@ -88,7 +88,7 @@
 			liveControls = append(liveControls, p.Control)
 		}
 	}
-	answers, errs := status.AskEach(ctx, http.DefaultClient, liveControls)
+	answers, errs := status.FetchEach(ctx, http.DefaultClient, liveControls)
 	all, unanswered := []*status.Status{first}, []string(nil)
 	for n, s := range answers {
 		if errs[n] != nil {
--- a/node/gateway/golden_internal_test.go
+++ b/node/gateway/golden_internal_test.go
@@ -45,7 +45,7 @@
 		Rejected: []status.Rejected{{Version: "r20", Reason: "route x names no service"}}}
 	apart := o
 	apart.Outliers = []status.Outlier{{Row: behind, Why: "behind"}}
-	for name, view := range map[string]status.View{"agree": {Overview: o}, "apart": {Overview: apart, Silent: []steering.Zone{"oeste-a"}}} {
+	for name, view := range map[string]status.FleetView{"agree": {Overview: o}, "apart": {Overview: apart, Silent: []steering.Zone{"oeste-a"}}} {
 		var page bytes.Buffer
 		assert.NilError(t, pageTemplate.Execute(&page, view))
 		golden.Assert(t, page.String(), "golden/page-"+name+".html")
--- a/node/gateway/status/gather.go
+++ b/node/gateway/status/gather.go
@@ -23,8 +23,8 @@
 	maxTriesPerZone = 3
 )
 
-// Ask requests the status of the entry VM whose control listener is at the host:port control.
-func Ask(ctx context.Context, client *http.Client, control string) (*Status, error) {
+// Fetch requests the status of the entry VM whose control listener is at the host:port control.
+func Fetch(ctx context.Context, client *http.Client, control string) (*Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+control+Path, nil)
@@ -49,16 +49,16 @@
 // maxConcurrentRequests bounds how many VMs are asked at the same time.
 const maxConcurrentRequests = 32
 
-// AskEach requests the status of several VMs concurrently. The statuses and errors are in the order
-// of controls.
-func AskEach(ctx context.Context, client *http.Client, controls []string) ([]*Status, []error) {
+// FetchEach requests the status of several VMs concurrently. The statuses and errors are in the
+// order of controls.
+func FetchEach(ctx context.Context, client *http.Client, controls []string) ([]*Status, []error) {
 	answers, problems := make([]*Status, len(controls)), make([]error, len(controls))
 	room := make(chan struct{}, maxConcurrentRequests)
 	var all sync.WaitGroup
 	for n, control := range controls {
 		room <- struct{}{}
 		all.Go(func() {
-			answers[n], problems[n] = Ask(ctx, client, control)
+			answers[n], problems[n] = Fetch(ctx, client, control)
 			<-room
 		})
 	}
@@ -66,20 +66,20 @@
 	return answers, problems
 }
 
-// AskAny asks VMs in order until one answers. If none does it returns the error of the last one.
-func AskAny(ctx context.Context, client *http.Client, controls []string) (*Status, error) {
+// FetchAny asks VMs in order until one answers. If none does it returns the error of the last one.
+func FetchAny(ctx context.Context, client *http.Client, controls []string) (*Status, error) {
 	err := errors.New("status: no entry VM to ask")
 	for _, control := range controls {
 		var s *Status
-		if s, err = Ask(ctx, client, control); err == nil {
+		if s, err = Fetch(ctx, client, control); err == nil {
 			return s, nil
 		}
 	}
 	return nil, err
 }
 
-// View says which configuration each VM of a fleet uses, and which VMs were asked.
-type View struct {
+// FleetView says which configuration each VM of a fleet uses, and which VMs were asked.
+type FleetView struct {
 	Overview
 	// Asked holds the VMs that answered, Silent the zones in which none did.
 	Asked  []steering.VM   `json:"asked"`
@@ -88,14 +88,14 @@
 
 // Gather completes the status of one VM with that of one VM of each other zone. One VM per zone is
 // enough, since the VMs of a zone exchange heartbeats several times a second.
-func Gather(ctx context.Context, client *http.Client, first *Status) View {
-	view := View{Asked: []steering.VM{first.VM}}
+func Gather(ctx context.Context, client *http.Client, first *Status) FleetView {
+	view := FleetView{Asked: []steering.VM{first.VM}}
 	rows := first.Rows()
 	zones := first.otherZones()
 	answers := make([]*Status, len(zones))
 	var all sync.WaitGroup
 	for n, zone := range zones {
-		all.Go(func() { answers[n], _ = AskAny(ctx, client, first.liveControls(zone)) }) // zones without an answer are reported in Silent
+		all.Go(func() { answers[n], _ = FetchAny(ctx, client, first.liveControls(zone)) }) // zones without an answer are reported in Silent
 	}
 	all.Wait()
 	for n, s := range answers {
--- a/node/gateway/status/golden_test.go
+++ b/node/gateway/status/golden_test.go
@@ -31,7 +31,7 @@
 }
 
 // Guards against a status that operators' tools can decode only in part, since these may be older
-// or newer than the VM. It is encoded as in showstatus.go and decoded by Ask.
+// or newer than the VM. It is encoded as in showstatus.go and decoded by Fetch.
 func TestGoldenStatus(t *testing.T) {
 	for name, s := range map[string]status.Status{"full": fullStatus(), "empty": {}} {
 		t.Run(name, func(t *testing.T) {
@@ -44,7 +44,7 @@
 				_, _ = w.Write(golden.Get(t, file)) // the test sees what the client got
 			}))
 			defer vm.Close()
-			got, err := status.Ask(t.Context(), http.DefaultClient, strings.TrimPrefix(vm.URL, "http://"))
+			got, err := status.Fetch(t.Context(), http.DefaultClient, strings.TrimPrefix(vm.URL, "http://"))
 			assert.NilError(t, err)
 			assert.DeepEqual(t, *got, s)
 		})
@@ -55,7 +55,7 @@
 func TestGoldenView(t *testing.T) {
 	s := fullStatus()
 	rows := s.Rows()
-	view := status.View{Overview: status.Overview{Newest: 31, Live: 32, Gone: 33,
+	view := status.FleetView{Overview: status.Overview{Newest: 31, Live: 32, Gone: 33,
 		Zones:    []status.ZoneVersion{{Zone: "norte-a", Version: 34, Content: "0badcafe", VMs: 35, InForceMs: 36}},
 		Outliers: []status.Outlier{{Row: rows[0], Why: "behind"}, {Row: rows[1], Why: "does not know of the newest"}},
 		Rejected: []status.Rejected{{Version: "r20", Reason: "route x names no service"}}},
@@ -63,7 +63,7 @@
 	raw, err := json.Marshal(view)
 	assert.NilError(t, err)
 	golden.Assert(t, string(raw)+"\n", "golden/view.json")
-	var got status.View
+	var got status.FleetView
 	assert.NilError(t, json.Unmarshal(golden.Get(t, "golden/view.json"), &got))
 	assert.DeepEqual(t, got, view)
 }
--- a/node/gateway/status/status.go
+++ b/node/gateway/status/status.go
@@ -1,5 +1,5 @@
 // Package status defines the status that an entry VM on the users' platform reports to operators,
-// as JSON from GET /v1/status on its control listener. It also holds the client: Ask and its
+// as JSON from GET /v1/status on its control listener. It also holds the client: Fetch and its
 // variants request the status of VMs, Gather combines the statuses of one VM of each zone, and
 // Summarize derives from them which configuration each VM uses.
 package status
--- a/node/gateway/statuspage.go
+++ b/node/gateway/statuspage.go
@@ -20,7 +20,7 @@
 // statusPage caches the view of which configuration each VM follows.
 type statusPage struct {
 	mu   sync.Mutex
-	view status.View
+	view status.FleetView
 	at   time.Time
 }
 
@@ -49,7 +49,7 @@
 	}
 }
 
-func (p *statusPage) get(ctx context.Context, g *Gateway) status.View {
+func (p *statusPage) get(ctx context.Context, g *Gateway) status.FleetView {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if now := time.Now(); now.Sub(p.at) > viewTTL {
--- a/node/gateway/workspaces_test.go
+++ b/node/gateway/workspaces_test.go
@@ -49,7 +49,7 @@
 }
 
 func (s *testCluster) statusOf(v *vm) *status.Status {
-	got, err := status.Ask(s.t.Context(), http.DefaultClient, v.settings.Listen.Control)
+	got, err := status.Fetch(s.t.Context(), http.DefaultClient, v.settings.Listen.Control)
 	assert.NilError(s.t, err)
 	return got
 }
