--- a/cmd/internal/benchlookup/world.go
+++ b/cmd/internal/benchlookup/world.go
@@ -111,10 +111,10 @@
 // view gives the made-up members to the parts measured.
 type view struct{ members []seam.Member }
 
-func (v view) Self() seam.Member                  { return v.members[0] }
-func (v view) All() []seam.Member                 { return v.members }
-func (v view) InZone(steering.Zone) []seam.Member { return v.members[:1] }
-func (v view) Evidence(steering.VM, bool)         {}
+func (v view) Self() seam.Member                    { return v.members[0] }
+func (v view) All() []seam.Member                   { return v.members }
+func (v view) InZone(steering.Zone) []seam.Member   { return v.members[:1] }
+func (v view) RecordReachability(steering.VM, bool) {}
 func (v view) ByIncarnation(steering.Incarnation) (seam.Member, bool) {
 	return seam.Member{}, false
 }
--- a/node/admit/reachability.go
+++ b/node/admit/reachability.go
@@ -82,7 +82,7 @@
 		return false
 	}
 	a.setReachability(m, false)
-	a.cfg.Members.Evidence(m.VM, true)
+	a.cfg.Members.RecordReachability(m.VM, true)
 	return true
 }
 
@@ -127,7 +127,7 @@
 // calls that wait there.
 func (a *Admit) markUnreachable(m seam.Member) {
 	a.setReachability(m, true)
-	a.cfg.Members.Evidence(m.VM, false)
+	a.cfg.Members.RecordReachability(m.VM, false)
 	a.acquireCalls.cancelAll(m.VM)
 }
 
--- a/node/admit/zone_test.go
+++ b/node/admit/zone_test.go
@@ -118,9 +118,9 @@
 	}
 }
 
-func (v *zoneView) Self() seam.Member          { return v.self }
-func (v *zoneView) All() []seam.Member         { return v.read() }
-func (v *zoneView) Evidence(steering.VM, bool) {}
+func (v *zoneView) Self() seam.Member                    { return v.self }
+func (v *zoneView) All() []seam.Member                   { return v.read() }
+func (v *zoneView) RecordReachability(steering.VM, bool) {}
 func (v *zoneView) ByIncarnation(steering.Incarnation) (seam.Member, bool) {
 	return seam.Member{}, false
 }
--- a/node/capshare/borrow.go
+++ b/node/capshare/borrow.go
@@ -172,7 +172,7 @@
 	defer stop()
 	reply, err := k.config.Peer(lender.PeerAddress).Borrow(ctx, in)
 	if err == nil {
-		k.config.Members.Evidence(lender.VM, true)
+		k.config.Members.RecordReachability(lender.VM, true)
 	}
 	return reply, err
 }
--- a/node/capshare/capshare.go
+++ b/node/capshare/capshare.go
@@ -19,7 +19,7 @@
 // members come and go without one.
 const stepEvery = time.Second
 
-// Caps holds this entry VM's permits. It implements seam.CapGate.
+// Caps holds this entry VM's permits. It implements seam.CapLimiter.
 type Caps struct {
 	config  Config
 	self    seam.Member
@@ -38,7 +38,7 @@
 	spawn   func(func(context.Context))
 }
 
-var _ seam.CapGate = (*Caps)(nil)
+var _ seam.CapLimiter = (*Caps)(nil)
 
 // New returns a Caps without permits.
 func New(c Config) (*Caps, error) {
--- a/node/capshare/fleet_test.go
+++ b/node/capshare/fleet_test.go
@@ -236,7 +236,7 @@
 	return all[i], true
 }
 
-func (n *entryVM) Evidence(steering.VM, bool) {}
+func (n *entryVM) RecordReachability(steering.VM, bool) {}
 
 // peerCalls is the way to one entry VM.
 type peerCalls struct {
--- a/node/capshare/gate.go
+++ b/node/capshare/gate.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// Admit implements seam.CapGate.
+// Admit implements seam.CapLimiter.
 func (k *Caps) Admit(ctx context.Context, service steering.Service, home, place steering.Place) (seam.CapPermit, error) {
 	shares := k.bound.Load().of(service, home, place)
 	if len(shares) == 0 {
--- a/node/dynamic/fleet_test.go
+++ b/node/dynamic/fleet_test.go
@@ -263,7 +263,7 @@
 func (m *fleetNode) ByIncarnation(steering.Incarnation) (seam.Member, bool) {
 	return seam.Member{}, false
 }
-func (m *fleetNode) Evidence(steering.VM, bool) {}
+func (m *fleetNode) RecordReachability(steering.VM, bool) {}
 
 // waitWhilePaused blocks while the process at an address is paused, as a call to it
 // would.
--- a/node/forward/fakes_test.go
+++ b/node/forward/fakes_test.go
@@ -140,8 +140,8 @@
 	e := &entryVM{w: w, zone: m.Zone, allow: true, slots: map[steering.Target]int{},
 		down: map[steering.VM]bool{}, stored: map[steering.Key]*fakeRun{}, scope: tally.NewTestScope("", nil)}
 	e.Forwarder = New(Config{
-		Self: m, Limits: static.Settings{}.WithDefaults().Limits, Configs: e, Members: e, Admitter: e, Caps: e, Remote: e,
-		Looker: e, Leaver: e, Outcomes: e, Suspects: e, Retries: e, Dial: w.net.Dial, Scope: e.scope, Log: w.failOnErrorLog(log.NewJSONLogger(log.NewSyncWriter(&e.log))),
+		Self: m, Limits: static.Settings{}.WithDefaults().Limits, Configs: e, Members: e, Admitter: e, Caps: e, RemoteZones: e,
+		LookupResolver: e, Leaver: e, Outcomes: e, Suspects: e, Retries: e, Dial: w.net.Dial, Scope: e.scope, Log: w.failOnErrorLog(log.NewJSONLogger(log.NewSyncWriter(&e.log))),
 	})
 	w.serve([]string{callerA, callerB}[i], &http.Server{
 		Handler: e, ConnContext: e.ConnContext, ConnState: e.ConnState, DisableGeneralOptionsHandler: true,
@@ -203,7 +203,7 @@
 	}
 	return seam.Member{}, false
 }
-func (e *entryVM) Evidence(vm steering.VM, ok bool) {
+func (e *entryVM) RecordReachability(vm steering.VM, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.down[vm] = !ok
--- a/node/forward/forward.go
+++ b/node/forward/forward.go
@@ -22,18 +22,18 @@
 // Config holds the components that the data path depends on. All fields are required except PeerTLS
 // and Dial.
 type Config struct {
-	Self     seam.Member
-	Limits   static.Limits
-	Configs  seam.Configs
-	Members  seam.Members
-	Admitter seam.Admitter
-	Caps     seam.CapGate
-	Remote   seam.Remote
-	Looker   seam.Looker
-	Leaver   seam.Leaver
-	Outcomes Outcomes
-	Suspects Suspects
-	Retries  Retries
+	Self           seam.Member
+	Limits         static.Limits
+	Configs        seam.Configs
+	Members        seam.Members
+	Admitter       seam.Admitter
+	Caps           seam.CapLimiter
+	RemoteZones    seam.RemoteZones
+	LookupResolver seam.LookupResolver
+	Leaver         seam.Leaver
+	Outcomes       Outcomes
+	Suspects       Suspects
+	Retries        Retries
 	// PeerTLS enables TLS for requests handed over to peers; nil means plain HTTP.
 	PeerTLS *tls.Config
 	// Dial opens connections; nil means a net.Dialer.
@@ -49,9 +49,9 @@
 	configs  seam.Configs
 	members  seam.Members
 	admitter seam.Admitter
-	caps     seam.CapGate
-	remote   seam.Remote
-	looker   seam.Looker
+	caps     seam.CapLimiter
+	remote   seam.RemoteZones
+	looker   seam.LookupResolver
 	leaver   seam.Leaver
 	outcomes Outcomes
 	suspects Suspects
@@ -83,7 +83,7 @@
 	}
 	f := &Forwarder{
 		self: c.Self, limits: c.Limits, configs: c.Configs, members: c.Members, admitter: c.Admitter,
-		caps: c.Caps, remote: c.Remote, looker: c.Looker, leaver: c.Leaver, outcomes: c.Outcomes,
+		caps: c.Caps, remote: c.RemoteZones, looker: c.LookupResolver, leaver: c.Leaver, outcomes: c.Outcomes,
 		suspects: c.Suspects, retries: c.Retries, log: c.Log,
 		targets:          targetTransport(c.Dial, c.Limits.ConnectionsPerTarget),
 		peers:            peerTransport(c.Dial, c.PeerTLS),
--- a/node/forward/handover.go
+++ b/node/forward/handover.go
@@ -164,14 +164,14 @@
 	x.recordTryEnd(result)
 	switch result.kind {
 	case seam.OutcomeUnreachable:
-		x.f.members.Evidence(member.VM, false)
+		x.f.members.RecordReachability(member.VM, false)
 		if result.refusal.Reason == steering.ReasonTargetFailed {
 			result.refusal = steering.Refuse(steering.ReasonPeerDown, peerUnreachableRetry, result.refusal.Detail)
 		}
 	case seam.OutcomeBroken:
-		x.f.members.Evidence(member.VM, false)
+		x.f.members.RecordReachability(member.VM, false)
 	case seam.OutcomeOK, seam.OutcomeFailed, seam.OutcomeShed:
-		x.f.members.Evidence(member.VM, true)
+		x.f.members.RecordReachability(member.VM, true)
 	}
 	return result
 }
--- a/node/lookups/lookups.go
+++ b/node/lookups/lookups.go
@@ -42,8 +42,8 @@
 	Log         log.Logger
 }
 
-// Lookups answers look-ups from the current plan. It implements seam.Looker and
-// is safe for concurrent use.
+// Lookups answers look-ups from the current plan. It implements
+// seam.LookupResolver and is safe for concurrent use.
 type Lookups struct {
 	config  Config
 	current atomic.Pointer[servedPlan]
@@ -51,7 +51,7 @@
 	metrics metrics
 }
 
-var _ seam.Looker = (*Lookups)(nil)
+var _ seam.LookupResolver = (*Lookups)(nil)
 
 // servedPlan is a plan with its answers for the data path and as HTTP bodies.
 type servedPlan struct {
@@ -188,8 +188,8 @@
 	return v
 }
 
-// Lookup implements seam.Looker. The slice in the answer is shared and must not
-// be modified. The error is a *steering.Refusal.
+// Lookup implements seam.LookupResolver. The slice in the answer is shared and
+// must not be modified. The error is a *steering.Refusal.
 func (l *Lookups) Lookup(client netip.Addr, service steering.Service) (seam.LookupAnswer, error) {
 	v := l.current.Load()
 	if v == nil {
@@ -206,7 +206,7 @@
 	return steering.Refuse(steering.ReasonNotReady, notReadyRetryAfter, "no configuration yet")
 }
 
-// Home implements seam.Looker.
+// Home implements seam.LookupResolver.
 func (l *Lookups) Home(client netip.Addr) (steering.Place, bool) {
 	v := l.current.Load()
 	if v == nil {
--- a/node/lookups/lookups_test.go
+++ b/node/lookups/lookups_test.go
@@ -30,7 +30,7 @@
 func (f *fakeNode) ByIncarnation(steering.Incarnation) (seam.Member, bool) {
 	return seam.Member{}, false
 }
-func (f *fakeNode) Evidence(steering.VM, bool) {}
+func (f *fakeNode) RecordReachability(steering.VM, bool) {}
 
 func newFakeNode() *fakeNode {
 	place := &routing.Place{Name: "norte-1", Zone: "norte-a", Region: "norte", Targets: []routing.Target{{Name: "t1", Service: "tickets"}}}
--- a/node/member/members.go
+++ b/node/member/members.go
@@ -84,8 +84,8 @@
 
 type publishedMember struct {
 	seam.Member
-	// noted is when Evidence last recorded success, so that the data path
-	// takes the lock once a second per member at most.
+	// noted is when RecordReachability last recorded success, so that the data
+	// path takes the lock once a second per member at most.
 	noted atomic.Int64
 }
 
@@ -112,8 +112,8 @@
 // Zones returns what is known of each zone, in order of name.
 func (m *Members) Zones() []membership.ZoneStatus { return m.published.Load().zones }
 
-// Evidence implements seam.Members.
-func (m *Members) Evidence(vm steering.VM, reachable bool) {
+// RecordReachability implements seam.Members.
+func (m *Members) RecordReachability(vm steering.VM, reachable bool) {
 	now := time.Now()
 	known, ok := m.published.Load().byVM[vm]
 	if !ok {
--- a/node/member/remote.go
+++ b/node/member/remote.go
@@ -13,17 +13,17 @@
 	"heatherlock/steering/spill"
 )
 
-// RemoteConfig holds what Remote needs.
-type RemoteConfig struct {
+// RemoteZonesConfig holds what RemoteZones needs.
+type RemoteZonesConfig struct {
 	Members *Members
 	Configs seam.Configs
 	Params  spill.Params
 	Scope   tally.Scope // nil means none
 }
 
-// Remote keeps hints about places outside the own zone. It implements
-// seam.Remote; the decision is in steering/spill.
-type Remote struct {
+// RemoteZones keeps hints about places outside the own zone. It implements
+// seam.RemoteZones; the decision is in steering/spill.
+type RemoteZones struct {
 	members *Members
 	configs seam.Configs
 	scope   tally.Scope
@@ -36,19 +36,19 @@
 	sites   map[steering.Service][]*routing.Place
 }
 
-var _ seam.Remote = (*Remote)(nil)
+var _ seam.RemoteZones = (*RemoteZones)(nil)
 
-// NewRemote returns a Remote without hints.
-func NewRemote(c RemoteConfig) *Remote {
+// NewRemoteZones returns a RemoteZones without hints.
+func NewRemoteZones(c RemoteZonesConfig) *RemoteZones {
 	if c.Scope == nil {
 		c.Scope = tally.NoopScope
 	}
-	return &Remote{members: c.Members, configs: c.Configs, scope: c.Scope.SubScope("remote"),
+	return &RemoteZones{members: c.Members, configs: c.Configs, scope: c.Scope.SubScope("remote"),
 		table: spill.NewTable(c.Params), version: -1}
 }
 
 // OnPools takes in headroom that beats carried; give it to Hooks.OnPools.
-func (r *Remote) OnPools(facts []*peerpb.PoolFact) {
+func (r *RemoteZones) OnPools(facts []*peerpb.PoolFact) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,24 +57,24 @@
 	}
 }
 
-// Hint implements seam.Remote.
-func (r *Remote) Hint(place steering.Place, service steering.Service, free int) {
+// Hint implements seam.RemoteZones.
+func (r *RemoteZones) Hint(place steering.Place, service steering.Service, free int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.table.Learn(spill.Pool{Place: place, Service: service}, free, time.Now())
 }
 
-// Refused implements seam.Remote.
-func (r *Remote) Refused(place steering.Place, service steering.Service, refusal *steering.Refusal) {
+// Refused implements seam.RemoteZones.
+func (r *RemoteZones) Refused(place steering.Place, service steering.Service, refusal *steering.Refusal) {
 	r.scope.Counter("refused").Inc(1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.table.Refused(spill.Pool{Place: place, Service: service}, refusal.Reason, refusal.RetryAfter, time.Now())
 }
 
-// Candidates implements seam.Remote. Work is counted against the first place's
-// hint, because that is where it goes next.
-func (r *Remote) Candidates(service steering.Service, home steering.Place) []steering.Place {
+// Candidates implements seam.RemoteZones. Work is counted against the first
+// place's hint, because that is where it goes next.
+func (r *RemoteZones) Candidates(service steering.Service, home steering.Place) []steering.Place {
 	snapshot := r.configs.Snapshot()
 	if snapshot == nil {
 		return nil
@@ -93,7 +93,7 @@
 }
 
 // forget drops old hints once a second.
-func (r *Remote) forget(now time.Time) {
+func (r *RemoteZones) forget(now time.Time) {
 	if now.Sub(r.forgot) > time.Second {
 		r.forgot = now
 		r.table.Forget(now)
@@ -102,7 +102,7 @@
 
 // candidates lists the places outside the own zone that have targets for the
 // service and an entry VM to hand work to.
-func (r *Remote) candidates(snapshot *routing.Snapshot, service steering.Service, home steering.Place) []spill.Candidate {
+func (r *RemoteZones) candidates(snapshot *routing.Snapshot, service steering.Service, home steering.Place) []spill.Candidate {
 	self := r.members.Self()
 	var list []spill.Candidate
 	for _, place := range r.sitesOf(snapshot, service) {
@@ -114,7 +114,7 @@
 	return list
 }
 
-func (r *Remote) sitesOf(snapshot *routing.Snapshot, service steering.Service) []*routing.Place {
+func (r *RemoteZones) sitesOf(snapshot *routing.Snapshot, service steering.Service) []*routing.Place {
 	if r.version != snapshot.Version {
 		r.version = snapshot.Version
 		r.sites = map[steering.Service][]*routing.Place{}
@@ -139,7 +139,7 @@
 	return services
 }
 
-func (r *Remote) reachable(zone steering.Zone) bool {
+func (r *RemoteZones) reachable(zone steering.Zone) bool {
 	usable := r.members.InZone(zone)
 	return len(usable) > 0 && usable[0].State == seam.MemberLive
 }
@@ -155,7 +155,7 @@
 // distanceStep is the difference in round trip that makes a region further.
 const distanceStep = 10 * time.Millisecond
 
-func (r *Remote) distance(place *routing.Place, own steering.Region, home steering.Place, snapshot *routing.Snapshot) int {
+func (r *RemoteZones) distance(place *routing.Place, own steering.Region, home steering.Place, snapshot *routing.Snapshot) int {
 	homePlace := snapshot.Places[home]
 	switch {
 	case place.Name == home:
--- a/node/member/remote_test.go
+++ b/node/member/remote_test.go
@@ -33,7 +33,7 @@
 		snapshot := &routing.Snapshot{Version: 1, Places: map[steering.Place]*routing.Place{
 			"own": placeIn("own", "norte-a"), "near": placeIn("near", "norte-b"), "far": placeIn("far", "sur-a"),
 		}}
-		remote := NewRemote(RemoteConfig{Members: nodes[0].Members, Configs: fixedConfigs{snapshot}})
+		remote := NewRemoteZones(RemoteZonesConfig{Members: nodes[0].Members, Configs: fixedConfigs{snapshot}})
 		first := func() steering.Place {
 			places := remote.Candidates("tickets", "own")
 			if len(places) == 0 {
--- a/node/parts.go
+++ b/node/parts.go
@@ -31,7 +31,7 @@
 type parts struct {
 	platform *objects.Budget
 	members  *member.Members
-	remote   *member.Remote
+	remote   *member.RemoteZones
 	configs  *dynamic.Spread
 	lookups  *lookups.Lookups
 	admit    *admit.Admit
@@ -117,7 +117,7 @@
 	if err != nil {
 		return errors.Wrap(err, "node")
 	}
-	p.remote = member.NewRemote(member.RemoteConfig{Members: p.members, Configs: p.configs, Scope: n.metrics.Scope})
+	p.remote = member.NewRemoteZones(member.RemoteZonesConfig{Members: p.members, Configs: p.configs, Scope: n.metrics.Scope})
 	p.lookups, err = lookups.New(lookups.Config{Configs: p.configs, Members: p.members, Scope: n.metrics.Scope, Log: n.log})
 	if err != nil {
 		return errors.Wrap(err, "node")
@@ -178,7 +178,7 @@
 	})
 	p.forward = forward.New(forward.Config{
 		Self: p.members.Self(), Limits: n.settings.Limits, Configs: p.configs, Members: p.members,
-		Admitter: p.admit, Caps: p.caps, Remote: p.remote, Looker: p.lookups, Leaver: p.leaver,
+		Admitter: p.admit, Caps: p.caps, RemoteZones: p.remote, LookupResolver: p.lookups, Leaver: p.leaver,
 		Outcomes: forward.NewOutcomes(forward.OutcomesConfig{
 			Incarnation: n.incarnation, Started: n.started, Limits: n.settings.Limits, Scope: n.metrics.Scope,
 		}),
--- a/node/seam/seam.go
+++ b/node/seam/seam.go
@@ -64,9 +64,9 @@
 	// ByIncarnation returns the member with an incarnation, as it appears in the
 	// keys that the member issued.
 	ByIncarnation(steering.Incarnation) (Member, bool)
-	// Evidence records whether a call from this entry VM to a member showed that
-	// the member is reachable.
-	Evidence(vm steering.VM, reachable bool)
+	// RecordReachability records whether a call from this entry VM to a member
+	// showed that the member is reachable.
+	RecordReachability(vm steering.VM, reachable bool)
 }
 
 // AdmitRequest is a request for a slot on a target.
@@ -131,8 +131,8 @@
 	Owner(place steering.Place, service steering.Service) (Member, bool)
 }
 
-// CapGate enforces the caps of shifts on the requests that the shifts move here.
-type CapGate interface {
+// CapLimiter enforces the caps of shifts on the requests that the shifts move here.
+type CapLimiter interface {
 	// Admit takes a permit of every cap that applies to requests of service from
 	// home to place. A cap limits the number of requests started in a window.
 	// Admit is therefore called for each attempt, after the target's slot was
@@ -153,9 +153,9 @@
 	Done(sent bool)
 }
 
-// Remote keeps hints about the headroom of other zones. Hints avoid round trips
-// that would end in a refusal; they never admit a request.
-type Remote interface {
+// RemoteZones keeps hints about the headroom of other zones. Hints avoid round
+// trips that would end in a refusal; they never admit a request.
+type RemoteZones interface {
 	// Candidates returns places outside this zone that may serve a request of
 	// service whose caller belongs to home, best first.
 	Candidates(service steering.Service, home steering.Place) []steering.Place
@@ -165,8 +165,8 @@
 	Refused(place steering.Place, service steering.Service, refusal *steering.Refusal)
 }
 
-// Looker answers look-ups from in-memory state.
-type Looker interface {
+// LookupResolver answers look-ups from in-memory state.
+type LookupResolver interface {
 	// Lookup returns the entry VMs that a client should use for a service.
 	Lookup(client netip.Addr, service steering.Service) (LookupAnswer, error)
 	// Home returns the home place of a client, and whether it has one.
