--- a/node/admit/acquire.go
+++ b/node/admit/acquire.go
@@ -17,7 +17,7 @@
 
 // Acquire implements seam.Admitter. If the link into the place has a limit, a
 // request from another zone first acquires a slot of the link.
-func (a *Admit) Acquire(ctx context.Context, r seam.AdmitRequest) (seam.Grant, error) {
+func (a *Controller) Acquire(ctx context.Context, r seam.AdmitRequest) (seam.Grant, error) {
 	if r.Deadline.IsZero() {
 		r.Deadline = time.Now().Add(defaultDeadline)
 	}
@@ -46,7 +46,7 @@
 	return seam.Outcome{Kind: seam.OutcomeUnused, ReportedInFlight: pool.NoReport, ReportedSlots: pool.NoReport}
 }
 
-func (a *Admit) linkLimited(place steering.Place) bool {
+func (a *Controller) linkLimited(place steering.Place) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.snapshot == nil {
@@ -58,7 +58,7 @@
 
 // acquire gets a slot of one pool from the pool's owner. It retries up to
 // maxAcquireAttempts times while the owner changes.
-func (a *Admit) acquire(ctx context.Context, key poolKey, r seam.AdmitRequest) (*grant, *steering.Refusal) {
+func (a *Controller) acquire(ctx context.Context, key poolKey, r seam.AdmitRequest) (*grant, *steering.Refusal) {
 	p := a.pool(key)
 	if p == nil {
 		return nil, steering.Refuse(steering.ReasonNoTarget, 0, fmt.Sprintf("service %s at place %s", key.service, key.place))
@@ -103,7 +103,7 @@
 // this view redirected to, if it is reachable, and else the owner in this view.
 // Membership views differ while the zone's members change; without following
 // the redirect, a second owner would grant the same slots again.
-func (a *Admit) currentOwner(key poolKey, redirect steering.VM) (seam.Member, bool) {
+func (a *Controller) currentOwner(key poolKey, redirect steering.VM) (seam.Member, bool) {
 	if redirect != "" {
 		if m, known := a.member(redirect); known && !a.reachability.isDown(redirect) {
 			return m, true
@@ -112,7 +112,7 @@
 	return a.owner(key)
 }
 
-func (a *Admit) slotRequest(key poolKey, r seam.AdmitRequest) slotRequest {
+func (a *Controller) slotRequest(key poolKey, r seam.AdmitRequest) slotRequest {
 	request := slotRequest{
 		id:       fmt.Sprintf("%s#%d", r.ID, a.serial.Add(1)),
 		holder:   a.self,
@@ -127,7 +127,7 @@
 	return request
 }
 
-func (a *Admit) class(service steering.Service) routing.Criticality {
+func (a *Controller) class(service steering.Service) routing.Criticality {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.snapshot == nil {
@@ -138,14 +138,14 @@
 
 // acquireLocal acquires a slot from this entry VM's own pool. If the membership
 // view has only just named this VM as the owner, it takes over the pool first.
-func (a *Admit) acquireLocal(ctx context.Context, p *poolState, request slotRequest) result {
+func (a *Controller) acquireLocal(ctx context.Context, p *poolState, request slotRequest) result {
 	a.detectPause()
 	a.updateRoleUnlessOwner(p)
 	return p.acquire(ctx, request)
 }
 
 // acquireRemote acquires a slot from another entry VM, the owner of the pool.
-func (a *Admit) acquireRemote(ctx context.Context, owner seam.Member, redirect steering.VM, key poolKey, request slotRequest) result {
+func (a *Controller) acquireRemote(ctx context.Context, owner seam.Member, redirect steering.VM, key poolKey, request slotRequest) result {
 	a.metrics.ownerCalls.Inc(1)
 	wait := min(a.cfg.MaxWait+a.cfg.ReplySlack, time.Until(request.deadline))
 	callCtx, cancel := context.WithTimeout(ctx, wait)
@@ -194,7 +194,7 @@
 // The reply may come from an entry VM that was paused after it decided the grant
 // and no longer owns the pool. The new owner doesn't account for such a grant, so
 // using it would push the target over its slots. It is released unused.
-func (a *Admit) handleReply(owner seam.Member, redirect steering.VM, key poolKey, reply *peerpb.AcquireReply) result {
+func (a *Controller) handleReply(owner seam.Member, redirect steering.VM, key poolKey, reply *peerpb.AcquireReply) result {
 	if reply.NotOwner {
 		return result{kind: resultNotOwner, owner: steering.VM(reply.OwnerVm)}
 	}
@@ -213,7 +213,7 @@
 
 // stillOwner reports whether the membership view names this process of an entry
 // VM as the owner of a pool. Any incarnation is accepted while it isn't known.
-func (a *Admit) stillOwner(key poolKey, vm steering.VM, incarnation steering.Incarnation) bool {
+func (a *Controller) stillOwner(key poolKey, vm steering.VM, incarnation steering.Incarnation) bool {
 	owner, known := a.owner(key)
 	if !known || owner.VM != vm {
 		return false
@@ -223,7 +223,7 @@
 
 // target returns the granted target from this entry VM's own configuration, or
 // from the reply alone if the configuration doesn't have it.
-func (a *Admit) target(key poolKey, reply *peerpb.AcquireReply) routing.Target {
+func (a *Controller) target(key poolKey, reply *peerpb.AcquireReply) routing.Target {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if known, ok := a.snapshot.Targets[steering.Target(reply.Target)]; ok {
--- a/node/admit/admit.go
+++ b/node/admit/admit.go
@@ -16,9 +16,9 @@
 	"heatherlock/steering/routing"
 )
 
-// Admit grants the target slots of this entry VM's zone. It is safe for
+// Controller grants the target slots of this entry VM's zone. It is safe for
 // concurrent use.
-type Admit struct {
+type Controller struct {
 	cfg           Config
 	self          holder
 	zone          steering.Zone
@@ -40,12 +40,12 @@
 	work         sync.WaitGroup
 }
 
-// New returns an Admit that applies every configuration snapshot from now on.
+// New returns a Controller that applies every configuration snapshot from now on.
 // Run has to be called for its periodic upkeep.
-func New(cfg Config) *Admit {
+func New(cfg Config) *Controller {
 	cfg = cfg.withDefaults()
 	self := cfg.Members.Self()
-	a := &Admit{
+	a := &Controller{
 		cfg:       cfg,
 		self:      holder{self.VM, self.Incarnation},
 		zone:      self.Zone,
@@ -65,7 +65,7 @@
 
 // Run updates pool ownership, applies planned stops and reconciles old grants
 // until ctx ends. It waits for background work before it returns.
-func (a *Admit) Run(ctx context.Context) error {
+func (a *Controller) Run(ctx context.Context) error {
 	a.mu.Lock()
 	a.runCtx = ctx
 	a.mu.Unlock()
@@ -91,7 +91,7 @@
 
 // upkeep updates roles from the membership view and applies planned stops that
 // are due. It runs every Config.UpkeepInterval.
-func (a *Admit) upkeep() {
+func (a *Controller) upkeep() {
 	a.detectPause()
 	a.applyDueStops()
 	zonePeers := a.zonePeers()
@@ -113,7 +113,7 @@
 // their slots. The pause shows as an upkeep round that is late by
 // Config.PauseLimit. Requests are granted only after this check, so the process
 // grants none on stale state.
-func (a *Admit) detectPause() {
+func (a *Controller) detectPause() {
 	late := time.Since(time.Unix(0, a.lastUpkeep.Load()))
 	if late < a.cfg.PauseLimit {
 		return
@@ -127,7 +127,7 @@
 	}
 }
 
-func (a *Admit) pools() []*poolState {
+func (a *Controller) pools() []*poolState {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	all := make([]*poolState, 0, len(a.poolState))
@@ -140,7 +140,7 @@
 // updateRoleUnlessOwner updates the role in a pool that this entry VM doesn't
 // own. An owner skips the membership check that every request would cost: the
 // next upkeep round does it anyway.
-func (a *Admit) updateRoleUnlessOwner(p *poolState) {
+func (a *Controller) updateRoleUnlessOwner(p *poolState) {
 	if current, _ := p.state(); current != roleOwner {
 		a.updateRole(p)
 	}
@@ -148,7 +148,7 @@
 
 // updateRole takes over a pool or hands it over if the membership view names
 // another owner than before.
-func (a *Admit) updateRole(p *poolState) {
+func (a *Controller) updateRole(p *poolState) {
 	owner, known := a.lookUpOwner(p.key)
 	mine := known && owner.VM == a.self.vm
 	current, _ := p.state()
@@ -169,7 +169,7 @@
 // it still acts as the owner and doesn't know what the interim owner granted;
 // it would offer targets that much work beyond their slots. After the
 // notification it repeats the takeover of the pool.
-func (a *Admit) notifyHandover(key poolKey, owner seam.Member) {
+func (a *Controller) notifyHandover(key poolKey, owner seam.Member) {
 	if owner.PeerAddress == "" || owner.VM == a.self.vm {
 		return
 	}
@@ -188,13 +188,13 @@
 }
 
 // Owner implements seam.Admitter.
-func (a *Admit) Owner(place steering.Place, service steering.Service) (seam.Member, bool) {
+func (a *Controller) Owner(place steering.Place, service steering.Service) (seam.Member, bool) {
 	return a.owner(poolKey{place, service})
 }
 
 // configure applies a new snapshot. It ignores one that is older than the
 // current one.
-func (a *Admit) configure(s *routing.Snapshot) {
+func (a *Controller) configure(s *routing.Snapshot) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.snapshot != nil && s.Version < a.snapshot.Version {
@@ -210,7 +210,7 @@
 }
 
 // applyDueStops applies planned stops whose start time has passed.
-func (a *Admit) applyDueStops() {
+func (a *Controller) applyDueStops() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	next := a.plannedStops.Next()
@@ -223,7 +223,7 @@
 
 // applyConfig passes the configured targets to the pools and returns the
 // configuration of each pool. The caller holds mu.
-func (a *Admit) applyConfig() map[poolKey]poolConfig {
+func (a *Controller) applyConfig() map[poolKey]poolConfig {
 	pools := poolsOf(a.snapshot, a.zone)
 	plannedStops := a.plannedStops
 	stopped := func(t steering.Target) bool {
@@ -246,18 +246,18 @@
 
 // newGrantName returns a grant name that is unique across entry VMs and process
 // restarts.
-func (a *Admit) newGrantName() string {
+func (a *Controller) newGrantName() string {
 	return fmt.Sprintf("%s/%d", a.self.incarnation, a.serial.Add(1))
 }
 
-func (a *Admit) pool(key poolKey) *poolState {
+func (a *Controller) pool(key poolKey) *poolState {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.poolState[key]
 }
 
 // Pools returns the headroom of the pools that this entry VM owns.
-func (a *Admit) Pools() []*peerpb.PoolFact {
+func (a *Controller) Pools() []*peerpb.PoolFact {
 	var all []*peerpb.PoolFact
 	for _, p := range a.pools() {
 		if p.key.isLink() {
@@ -289,7 +289,7 @@
 
 // ObservePools records the headroom that other members of the zone report for
 // the pools they own.
-func (a *Admit) ObservePools(reported []*peerpb.PoolFact) {
+func (a *Controller) ObservePools(reported []*peerpb.PoolFact) {
 	for _, fact := range reported {
 		key := poolKey{steering.Place(fact.Place), steering.Service(fact.Service)}
 		age := time.Duration(fact.AgeMs) * time.Millisecond
@@ -298,7 +298,7 @@
 }
 
 // Headroom implements seam.Admitter.
-func (a *Admit) Headroom(place steering.Place, service steering.Service) (free int, age time.Duration) {
+func (a *Controller) Headroom(place steering.Place, service steering.Service) (free int, age time.Duration) {
 	key := poolKey{place, service}
 	if p := a.pool(key); p != nil {
 		if s, _, ok := p.stats(nil); ok {
--- a/node/admit/config.go
+++ b/node/admit/config.go
@@ -18,14 +18,14 @@
 	To(address string) peerpb.Peer
 }
 
-// Config holds the dependencies and limits of an Admit. Members, Configs, Peers
-// and Loads are required. The zero value of any other field selects the default
-// in the comment beside it.
+// Config holds the dependencies and limits of a Controller. Members, Configs,
+// Peers and Loads are required. The zero value of any other field selects the
+// default in the comment beside it.
 type Config struct {
 	Members seam.Members
 	Configs seam.Configs
 	Peers   Peers
-	// AcquirePeers returns clients for Acquire calls. It needs MaxAsks
+	// AcquirePeers returns clients for Acquire calls. It needs MaxAcquireCalls
 	// connections to each entry VM.
 	AcquirePeers Peers // Peers
 	Loads        LoadReader
@@ -59,12 +59,13 @@
 	CheckAfter time.Duration // 2 s
 }
 
-// MaxAsks is the maximum number of Acquire calls that wait at one other entry VM.
+// MaxAcquireCalls is the maximum number of Acquire calls that wait at one other
+// entry VM.
 //
 // A call that waits for a free connection looks like an owner that doesn't
 // respond. If a healthy owner were skipped for that reason, a second VM would
 // grant the same slots.
-const MaxAsks = 64
+const MaxAcquireCalls = 64
 
 const (
 	defaultUpkeepInterval   = 50 * time.Millisecond
--- a/node/admit/held_grants.go
+++ b/node/admit/held_grants.go
@@ -94,7 +94,7 @@
 
 // grant implements seam.Grant.
 type grant struct {
-	admit       *Admit
+	admit       *Controller
 	key         poolKey
 	slot        slot
 	slotRequest string
@@ -102,7 +102,7 @@
 }
 
 // registerGrant records a slot that was granted to this entry VM.
-func (a *Admit) registerGrant(key poolKey, s slot, request slotRequest) *grant {
+func (a *Controller) registerGrant(key poolKey, s slot, request slotRequest) *grant {
 	g := &grant{admit: a, key: key, slot: s, slotRequest: request.id}
 	a.held.add(g)
 	return g
--- a/node/admit/load.go
+++ b/node/admit/load.go
@@ -22,8 +22,8 @@
 	ReadLoad(ctx context.Context, address string) (Load, error)
 }
 
-// HTTPLoads reads loads from the /load endpoints of the targets.
-type HTTPLoads struct {
+// HTTPLoadReader reads loads from the /load endpoints of the targets.
+type HTTPLoadReader struct {
 	Client *http.Client // http.DefaultClient if nil
 }
 
@@ -31,7 +31,7 @@
 const maxLoadBytes = 4096
 
 // ReadLoad implements LoadReader.
-func (h HTTPLoads) ReadLoad(ctx context.Context, address string) (Load, error) {
+func (h HTTPLoadReader) ReadLoad(ctx context.Context, address string) (Load, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/load", nil)
 	if err != nil {
 		return Load{}, errors.Wrap(err, "admit: create load request")
--- a/node/admit/owner.go
+++ b/node/admit/owner.go
@@ -48,7 +48,7 @@
 }
 
 // owner returns the owner of a pool, from the cache if possible.
-func (a *Admit) owner(key poolKey) (seam.Member, bool) {
+func (a *Controller) owner(key poolKey) (seam.Member, bool) {
 	if k, ok := a.ownerCache.get(key, time.Now().Add(-a.cfg.UpkeepInterval)); ok {
 		return k.member, k.found
 	}
@@ -57,7 +57,7 @@
 
 // lookUpOwner computes the owner of a pool by rendezvous hashing over the members
 // in the view that are reachable from this entry VM, and caches it.
-func (a *Admit) lookUpOwner(key poolKey) (seam.Member, bool) {
+func (a *Controller) lookUpOwner(key poolKey) (seam.Member, bool) {
 	k := cachedOwner{at: time.Now()}
 	members := a.cfg.Members.InZone(a.zone)
 	names := make([]steering.VM, 0, len(members))
--- a/node/admit/reachability.go
+++ b/node/admit/reachability.go
@@ -66,14 +66,14 @@
 	return names
 }
 
-func (a *Admit) setReachability(m seam.Member, down bool) {
+func (a *Controller) setReachability(m seam.Member, down bool) {
 	if a.reachability.set(m, down) {
 		a.ownerCache.invalidate()
 	}
 }
 
 // probe calls a member, records whether it responded, and returns the result.
-func (a *Admit) probe(ctx context.Context, m seam.Member) bool {
+func (a *Controller) probe(ctx context.Context, m seam.Member) bool {
 	callCtx, cancel := context.WithTimeout(ctx, a.cfg.PeerTimeout)
 	defer cancel()
 	_, err := a.cfg.Peers.To(m.PeerAddress).Holdings(callCtx, &peerpb.HoldingsRequest{FromVm: string(a.self.vm)})
@@ -89,7 +89,7 @@
 // probeUnreachable probes the members that did not respond, and removes those
 // that have left the membership view. There are few such members, so one probe of
 // each per reconciliation is enough.
-func (a *Admit) probeUnreachable(ctx context.Context) {
+func (a *Controller) probeUnreachable(ctx context.Context) {
 	for _, m := range a.reachability.list() {
 		current, known := a.member(m.VM)
 		if !known || current.State == seam.MemberGone {
@@ -102,7 +102,7 @@
 
 // probeReportedUnreachable probes the members that another entry VM reports as
 // unreachable and that this one assumes to be reachable. It waits for all probes.
-func (a *Admit) probeReportedUnreachable(ctx context.Context, vms []string) {
+func (a *Controller) probeReportedUnreachable(ctx context.Context, vms []string) {
 	var work sync.WaitGroup
 	for _, name := range vms {
 		m, known := a.member(steering.VM(name))
@@ -114,7 +114,7 @@
 	work.Wait()
 }
 
-func (a *Admit) member(vm steering.VM) (seam.Member, bool) {
+func (a *Controller) member(vm steering.VM) (seam.Member, bool) {
 	for _, m := range a.cfg.Members.All() {
 		if m.VM == vm {
 			return m, true
@@ -125,7 +125,7 @@
 
 // markUnreachable records that a member did not respond, and cancels the Acquire
 // calls that wait there.
-func (a *Admit) markUnreachable(m seam.Member) {
+func (a *Controller) markUnreachable(m seam.Member) {
 	a.setReachability(m, true)
 	a.cfg.Members.RecordReachability(m.VM, false)
 	a.acquireCalls.cancelAll(m.VM)
@@ -136,7 +136,7 @@
 // A healthy owner may take as long as the maximum queue time to reply. If a hung
 // owner were only detected after that time, every request for its pools would
 // stall for as long. A probe detects it in less than half that time.
-func (a *Admit) probeSlowOwners() {
+func (a *Controller) probeSlowOwners() {
 	for _, m := range a.acquireCalls.slowMembers(time.Now().Add(-a.cfg.ProbeAfter)) {
 		a.runInBackground(func(ctx context.Context) {
 			defer a.acquireCalls.probeDone(m.VM)
@@ -158,12 +158,12 @@
 	stop  context.CancelFunc
 }
 
-// add records a call to an entry VM. It returns nil if MaxAsks calls already wait
-// there.
+// add records a call to an entry VM. It returns nil if MaxAcquireCalls calls
+// already wait there.
 func (s *acquireCalls) add(to seam.Member, stop context.CancelFunc) *acquireCall {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.open[to.VM]) >= MaxAsks {
+	if len(s.open[to.VM]) >= MaxAcquireCalls {
 		return nil
 	}
 	if s.open == nil {
--- a/node/admit/reconcile.go
+++ b/node/admit/reconcile.go
@@ -16,7 +16,7 @@
 // reconcile compares old grants with their holders, ends the grants of crashed
 // holders, and reads the loads of targets that may still run requests that nobody
 // waits for.
-func (a *Admit) reconcile(ctx context.Context) {
+func (a *Controller) reconcile(ctx context.Context) {
 	for _, p := range a.pools() {
 		a.endOrphans(p)
 		for holder, grants := range p.dueChecks(time.Now()) {
@@ -31,7 +31,7 @@
 // endOrphans ends the grants of crashed members. The target may still run their
 // requests, so the pool keeps the slot until the target reports otherwise or a
 // timeout passes.
-func (a *Admit) endOrphans(p *poolState) {
+func (a *Controller) endOrphans(p *poolState) {
 	alive := map[holder]bool{a.self: true}
 	for _, m := range a.cfg.Members.All() {
 		if m.State != seam.MemberGone {
@@ -50,7 +50,7 @@
 // Otherwise a lost release would keep its slot in use forever: the pool would run
 // out of free slots while its targets are idle. The holder knows the grants it
 // holds and the slot requests it waits for; all other grants have ended.
-func (a *Admit) checkHolder(ctx context.Context, p *poolState, who holder, grants []string) {
+func (a *Controller) checkHolder(ctx context.Context, p *poolState, who holder, grants []string) {
 	reply, err := a.holdingsOf(ctx, who.vm, p.key)
 	if err != nil || steering.Incarnation(reply.Incarnation) != who.incarnation {
 		return // endOrphans ends the grants once the view shows the member as gone
@@ -60,7 +60,7 @@
 }
 
 // holdingsOf returns what a member, or this entry VM itself, holds of a pool.
-func (a *Admit) holdingsOf(ctx context.Context, vm steering.VM, key poolKey) (*peerpb.HoldingsReply, error) {
+func (a *Controller) holdingsOf(ctx context.Context, vm steering.VM, key poolKey) (*peerpb.HoldingsReply, error) {
 	if vm == a.self.vm {
 		return a.Server().Holdings(ctx, &peerpb.HoldingsRequest{Place: string(key.place), Service: string(key.service)})
 	}
--- a/node/admit/release.go
+++ b/node/admit/release.go
@@ -13,14 +13,14 @@
 // releaser reports the ends of grants to the owners of their pools: immediately
 // if no call to the owner is running, otherwise in one batch after that call.
 type releaser struct {
-	admit *Admit
+	admit *Controller
 
 	mu      sync.Mutex
 	pending map[steering.VM][]*peerpb.GrantEnd
 	sending map[steering.VM]bool
 }
 
-func newReleaser(a *Admit) *releaser {
+func newReleaser(a *Controller) *releaser {
 	return &releaser{admit: a, pending: map[steering.VM][]*peerpb.GrantEnd{}, sending: map[steering.VM]bool{}}
 }
 
@@ -118,7 +118,7 @@
 
 // runInBackground runs f in a goroutine that Run waits for, with the context of
 // Run.
-func (a *Admit) runInBackground(f func(context.Context)) {
+func (a *Controller) runInBackground(f func(context.Context)) {
 	a.mu.Lock()
 	ctx := a.runCtx
 	a.mu.Unlock()
--- a/node/admit/server.go
+++ b/node/admit/server.go
@@ -13,11 +13,11 @@
 // Server serves the pool methods of peerpb.Peer to other entry VMs: Acquire,
 // Release and Holdings.
 type Server struct {
-	admit *Admit
+	admit *Controller
 }
 
 // Server returns the server of the pool methods, for the peer listener.
-func (a *Admit) Server() *Server { return &Server{a} }
+func (a *Controller) Server() *Server { return &Server{a} }
 
 // Acquire waits for a slot in a pool that this entry VM owns. If it doesn't own
 // the pool, the reply names the owner in this VM's view.
@@ -51,7 +51,7 @@
 	return request
 }
 
-func (a *Admit) reply(got result, p *poolState) *peerpb.AcquireReply {
+func (a *Controller) reply(got result, p *poolState) *peerpb.AcquireReply {
 	reply := &peerpb.AcquireReply{OwnerIncarnation: string(a.self.incarnation)}
 	switch got.kind {
 	case resultGranted:
--- a/node/admit/takeover.go
+++ b/node/admit/takeover.go
@@ -17,7 +17,7 @@
 // takeOver makes this entry VM the owner of a pool. In the background, it finds
 // out which slots are in use and then starts granting. Slot requests that arrive
 // meanwhile wait.
-func (a *Admit) takeOver(p *poolState) {
+func (a *Controller) takeOver(p *poolState) {
 	term := p.startTakeover()
 	a.metrics.takeovers.Inc(1)
 	a.runInBackground(func(ctx context.Context) {
@@ -51,7 +51,7 @@
 // grants the pool's slots itself, has a view that is about to change or that is
 // more recent than this one. The wait is bounded, because the zone has to serve
 // requests even if its members never agree.
-func (a *Admit) surveyUntilAgreed(ctx context.Context, key poolKey, until time.Time) survey {
+func (a *Controller) surveyUntilAgreed(ctx context.Context, key poolKey, until time.Time) survey {
 	for {
 		s := a.survey(ctx, key)
 		if s.agreed {
@@ -67,7 +67,7 @@
 	}
 }
 
-func (a *Admit) survey(ctx context.Context, key poolKey) survey {
+func (a *Controller) survey(ctx context.Context, key poolKey) survey {
 	s := survey{agreed: true, surveyed: incarnations{}, pending: map[steering.VM][]string{}}
 	var mu sync.Mutex
 	var calls sync.WaitGroup
@@ -91,7 +91,7 @@
 
 // zonePeers returns the other reachable members of the zone, which may hold slots.
 // The slots that an unreachable member holds show in the loads of the targets.
-func (a *Admit) zonePeers() []seam.Member {
+func (a *Controller) zonePeers() []seam.Member {
 	var zonePeers []seam.Member
 	for _, m := range a.cfg.Members.All() {
 		if m.Zone == a.zone && m.VM != a.self.vm && m.State != seam.MemberGone && !a.reachability.isDown(m.VM) {
@@ -110,7 +110,7 @@
 // has to learn what the other one granted; otherwise targets are offered more than
 // their slots until those requests have ended, and shed the excess. Granting
 // continues during the survey, because most new members hold nothing.
-func (a *Admit) surveyNewMembers(p *poolState, zonePeers []seam.Member) {
+func (a *Controller) surveyNewMembers(p *poolState, zonePeers []seam.Member) {
 	for _, m := range p.newMembers(zonePeers) {
 		a.runInBackground(func(ctx context.Context) {
 			reply, err := a.askHoldings(ctx, m, p.key)
@@ -178,7 +178,7 @@
 // askHoldings asks a member what it holds of a pool. The timeout is twice
 // Config.PeerTimeout, because the callee may first probe the members that this
 // entry VM reports as unreachable.
-func (a *Admit) askHoldings(ctx context.Context, m seam.Member, key poolKey) (*peerpb.HoldingsReply, error) {
+func (a *Controller) askHoldings(ctx context.Context, m seam.Member, key poolKey) (*peerpb.HoldingsReply, error) {
 	callCtx, cancel := context.WithTimeout(ctx, 2*a.cfg.PeerTimeout)
 	defer cancel()
 	return a.cfg.Peers.To(m.PeerAddress).Holdings(callCtx, &peerpb.HoldingsRequest{
@@ -196,7 +196,7 @@
 	pending []string
 }
 
-func (a *Admit) holdings(key poolKey) ownHoldings {
+func (a *Controller) holdings(key poolKey) ownHoldings {
 	grants, requests := a.held.list(key)
 	own := ownHoldings{pending: requests}
 	for _, g := range grants {
@@ -207,7 +207,7 @@
 
 // readLoads reads the loads of targets. Targets that don't respond are missing in
 // the result.
-func (a *Admit) readLoads(ctx context.Context, targets []routing.Target) map[steering.Target]Load {
+func (a *Controller) readLoads(ctx context.Context, targets []routing.Target) map[steering.Target]Load {
 	loads := make(map[steering.Target]Load, len(targets))
 	var mu sync.Mutex
 	var reads sync.WaitGroup
--- a/node/admit/zone_test.go
+++ b/node/admit/zone_test.go
@@ -142,7 +142,7 @@
 // entryVM is one entry VM of the zone under test.
 type entryVM struct {
 	name    steering.VM
-	admit   *Admit
+	admit   *Controller
 	view    *zoneView
 	metrics tally.TestScope
 	stop    context.CancelFunc
--- a/node/parts.go
+++ b/node/parts.go
@@ -34,7 +34,7 @@
 	remote   *member.RemoteZones
 	configs  *dynamic.Spread
 	lookups  *lookups.Lookups
-	admit    *admit.Admit
+	admit    *admit.Controller
 	suspects *forward.RegionSuspects
 	caps     *capshare.Caps
 	shifts   *shiftdriver.Driver
@@ -78,7 +78,7 @@
 	calls := patient(dialing(peer.NewControlClient(p.peerClientTLS()), options.Dial))
 	acquires := dialing(peer.NewHTTPClient(p.peerClientTLS()), options.Dial)
 	if waiting, ok := acquires.Transport.(*http.Transport); ok {
-		waiting.MaxConnsPerHost = admit.MaxAsks
+		waiting.MaxConnsPerHost = admit.MaxAcquireCalls
 	}
 	loads := loadClient(options.Dial)
 	p.clients = []*http.Client{calls, acquires, loads}
@@ -92,7 +92,7 @@
 	}
 	p.admit = admit.New(admit.Config{
 		Members: p.members, Configs: p.configs, Peers: clients, AcquirePeers: peer.NewClients(acquires),
-		Loads: admit.HTTPLoads{Client: loads}, Scope: n.metrics.Scope, Log: n.log,
+		Loads: admit.HTTPLoadReader{Client: loads}, Scope: n.metrics.Scope, Log: n.log,
 	})
 	if err := n.buildMoves(p, clients); err != nil {
 		return nil, errors.Wrap(err, "node")
