--- a/node/gateway/config.go
+++ b/node/gateway/config.go
@@ -38,7 +38,7 @@
 // by its own: the bound on activating the newer one, less the time that this VM may have taken to
 // learn of it.
 func (g *Gateway) staleLimit() time.Duration {
-	bound := g.bounds.Load().Apply
+	bound := g.bounds.Load().MaxConfigApplyTime
 	if bound <= 0 {
 		return defaultStaleLimit
 	}
--- a/node/gateway/feed/configread.go
+++ b/node/gateway/feed/configread.go
@@ -105,7 +105,7 @@
 	_, since, _ := r.revisions()
 	if since > 0 {
 		next, err := r.store.ConfigChanges(ctx, since, 0)
-		if platform.FaultOf(err) != platform.FaultHistoryGone {
+		if platform.FaultOf(err) != platform.FaultRevisionExpired {
 			r.applyConfigRead(began, next, err)
 			return err
 		}
--- a/node/gateway/feed/generation_test.go
+++ b/node/gateway/feed/generation_test.go
@@ -58,13 +58,13 @@
 	s.SetTargets(start, listed([]platform.Target{entryOf("a", 100, 5, false), entryOf("b", 100, 5, false)}, 10))
 	s.MarkRead(start)
 	now := start.Add(time.Minute) // as after an outage, when removals are held back
-	assert.Assert(t, s.ApplyTargetChanges(now, changed([]platform.TargetChange{{Target: platform.Target{Name: "a"}, Unusable: true}}, 11)))
+	assert.Assert(t, s.ApplyTargetChanges(now, changed([]platform.TargetChange{{Target: platform.Target{Name: "a"}, Invalid: true}}, 11)))
 	_, found := placedByName(s)["a"]
 	assert.Assert(t, !found && len(placedByName(s)) == 1)
 	s.ApplyTargetChanges(now, changed([]platform.TargetChange{{Target: entryOf("a", 100, 6, false)}}, 12))
 	assert.Equal(t, len(placedByName(s)), 2)
 	all := listed([]platform.Target{entryOf("b", 100, 6, false)}, 13)
-	all.Bad = []platform.BadEntry{{Name: "a", Reason: "cannot be read"}}
+	all.InvalidEntries = []platform.InvalidEntry{{Name: "a", Reason: "cannot be read"}}
 	s.SetTargets(now, all)
 	assert.Equal(t, len(placedByName(s)), 1)
 }
--- a/node/gateway/feed/reader.go
+++ b/node/gateway/feed/reader.go
@@ -73,7 +73,7 @@
 	TargetsChanged(targets []placement.Target, known func(steering.Target) (steering.Generation, bool))
 	// InvalidEntries is called after each read that found target entries from which no usable
 	// target can be read.
-	InvalidEntries(entries []platform.BadEntry)
+	InvalidEntries(entries []platform.InvalidEntry)
 	// ReadStarted is called when a read of the store begins, except while reads fail, and
 	// ReadSucceeded when a read has succeeded.
 	ReadStarted()
@@ -309,23 +309,23 @@
 		found, err := r.store.TargetChanges(ctx, since, 0)
 		if err == nil {
 			r.update(func() bool { return r.state.ApplyTargetChanges(time.Now(), found) })
-			r.reportUnusable(found.Bad, found.Usable())
+			r.reportUnusable(found.InvalidEntries, found.Valid())
 		}
-		if platform.FaultOf(err) != platform.FaultHistoryGone {
+		if platform.FaultOf(err) != platform.FaultRevisionExpired {
 			return err
 		}
 	}
 	all, err := r.store.Targets(ctx)
 	if err == nil {
 		r.update(func() bool { return r.state.SetTargets(time.Now(), all) })
-		r.reportUnusable(all.Bad, all.Targets)
+		r.reportUnusable(all.InvalidEntries, all.Targets)
 	}
 	return err
 }
 
 // reportUnusable passes the entries of a read that name no usable target to the sink: those that
 // could not be read and those in zones that the settings do not name.
-func (r *Reader) reportUnusable(bad []platform.BadEntry, read []platform.Target) {
+func (r *Reader) reportUnusable(bad []platform.InvalidEntry, read []platform.Target) {
 	r.mu.Lock()
 	bad = append(bad, r.state.inUnknownZones(read)...)
 	r.mu.Unlock()
@@ -341,7 +341,7 @@
 		if err == nil {
 			r.update(func() bool { return r.state.ApplyEvacuationChanges(time.Now(), changes, revision) })
 		}
-		if platform.FaultOf(err) != platform.FaultHistoryGone {
+		if platform.FaultOf(err) != platform.FaultRevisionExpired {
 			return err
 		}
 	}
--- a/node/gateway/feed/state.go
+++ b/node/gateway/feed/state.go
@@ -157,7 +157,7 @@
 			changed = append(changed, t.Name)
 		}
 	}
-	for _, bad := range all.Bad {
+	for _, bad := range all.InvalidEntries {
 		if s.drop(bad.Name) {
 			changed = append(changed, bad.Name)
 		}
@@ -193,7 +193,7 @@
 	switch {
 	case c.Removed:
 		return s.entryMissing(now, c.Target.Name)
-	case c.Unusable:
+	case c.Invalid:
 		return s.drop(c.Target.Name)
 	}
 	return s.upsert(now, c.Target)
@@ -404,11 +404,11 @@
 // inUnknownZones returns the entries whose zone is not in the settings. Such targets get no
 // requests: without a region, neither the limits on where a request may run nor those on
 // cross-region lending can be enforced for them.
-func (s *State) inUnknownZones(targets []platform.Target) []platform.BadEntry {
-	var found []platform.BadEntry
+func (s *State) inUnknownZones(targets []platform.Target) []platform.InvalidEntry {
+	var found []platform.InvalidEntry
 	for _, t := range targets {
 		if _, known := s.regions[t.Zone]; !known {
-			found = append(found, platform.BadEntry{Name: t.Name, Reason: "its zone is not in the settings"})
+			found = append(found, platform.InvalidEntry{Name: t.Name, Reason: "its zone is not in the settings"})
 		}
 	}
 	return found
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -97,10 +97,10 @@
 	}
 	g.pool = upstream.NewPool(upstream.Dial, platform.RequestIDOf)
 	g.pool.OnOpen = func() { scope.Counter("gateway_target_connections_opened").Inc(1) }
-	g.store.Called = func(call string, err error) {
+	g.store.OnCall = func(call string, err error) {
 		scope.Tagged(map[string]string{"fault": faultName(err)}).Counter("gateway_store_calls").Inc(1)
 	}
-	g.store.Moved = func(bytes int) { g.meter.Count(volume.Store, volume.Place{}, int64(bytes)) }
+	g.store.OnBytes = func(bytes int) { g.meter.Count(volume.Store, volume.Place{}, int64(bytes)) }
 	b := settings.Bounds
 	g.relay = relay.New(relay.Config{Region: settings.Region, Zone: settings.Zone, Pool: g.pool,
 		Balancer: placement.NewBalancer(settings.VM, settings.Region),
--- a/node/gateway/gateway_test.go
+++ b/node/gateway/gateway_test.go
@@ -121,7 +121,7 @@
 		IP: ip, Listen: platform.Listen{Callers: at(0), Ready: at(1), Directory: at(2), Control: at(3)},
 		PeerPorts: []int{s.ports[4], s.ports[5]}, MetricsPort: s.ports[6], Seeds: []string{fmt.Sprintf("127.0.0.2:%d", s.ports[3])},
 		Store: s.address, MemoryMB: 200, HeartbeatMs: 1500,
-		Bounds: platform.Bounds{Grace: 6 * time.Second, RetryRatio: 0.2, RetrySlack: 60, RetryWindow: 10 * time.Second, MaxRegionShift: 0.15}}
+		Bounds: platform.Bounds{TerminationGrace: 6 * time.Second, RetryRatio: 0.2, RetrySlack: 60, RetryWindow: 10 * time.Second, MaxRegionShift: 0.15}}
 	if s.largeVMs > 0 {
 		settings.CPUShare, settings.LinkMbps = 0.16, 10
 	}
--- a/node/gateway/listeners.go
+++ b/node/gateway/listeners.go
@@ -62,9 +62,9 @@
 }
 
 func (g *Gateway) serveDirectory(w http.ResponseWriter, r *http.Request) {
-	query := platform.ReadQuestion(r)
+	query := platform.ReadDirectoryQuery(r)
 	addresses := g.addressesFor(query.Region, query.Zone)
-	if err := platform.WriteDirectory(w, addresses, g.directoryTTL()); err != nil {
+	if err := platform.WriteDirectoryResponse(w, addresses, g.directoryTTL()); err != nil {
 		_ = g.log.Log("msg", "cannot write directory response", "err", err) // the log writer counts dropped lines
 	}
 }
--- a/node/gateway/register.go
+++ b/node/gateway/register.go
@@ -53,13 +53,13 @@
 		_ = g.log.Log("msg", "cannot read entry VM records", "err", err) // the log writer counts dropped lines
 		return false
 	}
-	if list.Bad > 0 {
-		_ = g.log.Log("msg", "ignoring invalid entry VM records", "count", list.Bad) // the log writer counts dropped lines
+	if list.InvalidRecords > 0 {
+		_ = g.log.Log("msg", "ignoring invalid entry VM records", "count", list.InvalidRecords) // the log writer counts dropped lines
 	}
 	members := make([]fleet.Member, 0, len(list.VMs))
 	for _, vm := range list.VMs {
 		members = append(members, fleet.Member{Name: vm.Name, Zone: vm.Zone, Region: vm.Region, Peer: vm.Peer, Control: vm.Control, Callers: vm.Callers, Capacity: float32(vm.Capacity)})
 	}
 	g.fleet.Add(members)
-	return list.Covers(g.settings.VM) || freshness == platform.Fresh
+	return list.IncludesWritesBefore(g.settings.VM) || freshness == platform.Fresh
 }
--- a/node/gateway/relay/attempts.go
+++ b/node/gateway/relay/attempts.go
@@ -18,8 +18,8 @@
 // attemptResult is the result of an attempt.
 type attemptResult struct {
 	pick     placement.Pick
-	response *upstream.Answer
-	info     platform.Answer
+	response *upstream.Response
+	info     platform.Response
 	err      error
 	// notRun is set when the request is proven not to have run in this attempt.
 	notRun bool
@@ -148,20 +148,20 @@
 	if planted.Defect == planted.ReusedAddress {
 		expected = ""
 	}
-	platform.MarkForTarget(header, expected, time.Until(x.deadline))
+	platform.SetTargetHeaders(header, expected, time.Until(x.deadline))
 	return &upstream.Request{Method: x.r.Method, Path: x.r.Path, Host: x.r.Host, Header: header,
 		Body: x.r.Body, BodyRest: x.r.BodyRest, Length: x.r.Length, ID: x.call.ID}
 }
 
 // classify returns the result of an attempt, with what the response or the error proves.
-func (x *exchange) classify(pick placement.Pick, response *upstream.Answer, err error) attemptResult {
+func (x *exchange) classify(pick placement.Pick, response *upstream.Response, err error) attemptResult {
 	e := attemptResult{pick: pick, response: response, err: err}
 	if err != nil {
 		e.unsent = stageOf(err) != upstream.Sent
 		e.notRun = e.unsent
 		return e
 	}
-	e.info = platform.ReadAnswer(response.Status, response.Header)
+	e.info = platform.ReadResponse(response.Status, response.Header)
 	e.notRun = e.info.NotRun
 	switch {
 	case e.notRun:
--- a/node/gateway/relay/exchange.go
+++ b/node/gateway/relay/exchange.go
@@ -19,7 +19,7 @@
 	f        *Relay
 	service  steering.Service
 	r        *callers.Request
-	call     platform.Call
+	call     platform.RequestInfo
 	header   http.Header // end-to-end header fields, shared by all attempts
 	deadline time.Time   // when the request is given up
 
@@ -39,7 +39,7 @@
 	warmTime      time.Duration      // last known latency of the service with a warm cache
 }
 
-func newExchange(f *Relay, e routeMatch, r *callers.Request, call platform.Call) *exchange {
+func newExchange(f *Relay, e routeMatch, r *callers.Request, call platform.RequestInfo) *exchange {
 	x := &exchange{routeMatch: e, f: f, r: r, call: call, service: e.route.Service(),
 		header: endToEnd(r.Header), results: make(chan attemptResult, e.route.MaxAttempts+maxExtraAttempts+1)} // one more for a hedge
 	platform.RemoveIdentity(x.header)
--- a/node/gateway/relay/outcomes.go
+++ b/node/gateway/relay/outcomes.go
@@ -57,7 +57,7 @@
 }
 
 // recordRefused counts a request that was refused before an exchange was started for it.
-func (f *Relay) recordRefused(route *routes.Route, call platform.Call, reason steering.Reason) {
+func (f *Relay) recordRefused(route *routes.Route, call platform.RequestInfo, reason steering.Reason) {
 	service := steering.Service("")
 	if route != nil && len(route.Parts) > 0 {
 		service = route.Parts[0].Service
--- a/node/gateway/relay/poison.go
+++ b/node/gateway/relay/poison.go
@@ -52,7 +52,7 @@
 
 // fingerprintsOf returns the fingerprints by which a repeated request is recognized. They cover all
 // that the target receives except the request's ID and deadline.
-func fingerprintsOf(service steering.Service, r *callers.Request, call platform.Call) poison.Fingerprints {
+func fingerprintsOf(service steering.Service, r *callers.Request, call platform.RequestInfo) poison.Fingerprints {
 	body := r.Body[:min(len(r.Body), poison.FingerprintBytes)]
 	content := poison.Content{Service: service, Method: r.Method, URI: r.Path, Headers: []string{call.Key}, Length: r.Length, Body: body}
 	return poison.Fingerprints{Content: content.Sum(), BodyComplete: r.BodyRest == nil && len(r.Body) == len(body)}
--- a/node/gateway/relay/relay.go
+++ b/node/gateway/relay/relay.go
@@ -188,7 +188,7 @@
 // A VM that starts knows both within half a second. A caller that is refused in the meantime spends
 // one of its few attempts and is late when it retries; after the loss of all VMs this affects every
 // caller.
-func (f *Relay) awaitStart(ctx context.Context, call platform.Call) bool {
+func (f *Relay) awaitStart(ctx context.Context, call platform.RequestInfo) bool {
 	if f.Ready() {
 		return true
 	}
@@ -216,7 +216,7 @@
 
 // Serve implements callers.Handler.
 func (f *Relay) Serve(ctx context.Context, r *callers.Request) *callers.Response {
-	call := platform.ReadCall(r.Header)
+	call := platform.ReadRequest(r.Header)
 	if !f.awaitStart(ctx, call) {
 		f.recordRefused(nil, call, steering.ReasonNotReady)
 		return f.refuse(requestInfo{id: call.ID}, steering.ReasonNotReady, notReadyRetryAfter, nil)
--- a/node/gateway/relay/resolve.go
+++ b/node/gateway/relay/resolve.go
@@ -29,7 +29,7 @@
 	workspace *identity.Workspace // nil if the route needs no API key
 }
 
-func (e routeMatch) requestInfo(call platform.Call) requestInfo {
+func (e routeMatch) requestInfo(call platform.RequestInfo) requestInfo {
 	s := requestInfo{table: e.table, id: call.ID}
 	if e.route != nil {
 		s.route = e.route.Name
@@ -44,7 +44,7 @@
 //
 // An API key that this VM does not know may be part of a newer configuration that this VM has not
 // received yet. A caller does not retry after a 401, so the request waits for that configuration.
-func (f *Relay) resolve(ctx context.Context, r *callers.Request, call platform.Call) (routeMatch, steering.Reason) {
+func (f *Relay) resolve(ctx context.Context, r *callers.Request, call platform.RequestInfo) (routeMatch, steering.Reason) {
 	for limit := f.keyWaitDeadline(r, call); ; {
 		replaced := f.replaced.changed()
 		e, reason := f.match(r, call)
@@ -58,7 +58,7 @@
 }
 
 // match finds the route and the workspace of a request in the configuration in force.
-func (f *Relay) match(r *callers.Request, call platform.Call) (routeMatch, steering.Reason) {
+func (f *Relay) match(r *callers.Request, call platform.RequestInfo) (routeMatch, steering.Reason) {
 	e := routeMatch{table: f.table.Load()}
 	var found bool
 	e.route, found = e.table.Match(r.Host, r.Path)
@@ -126,7 +126,7 @@
 
 // keyWaitDeadline returns until when a request with an unknown API key waits for a newer
 // configuration.
-func (f *Relay) keyWaitDeadline(r *callers.Request, call platform.Call) time.Time {
+func (f *Relay) keyWaitDeadline(r *callers.Request, call platform.RequestInfo) time.Time {
 	longest := maxKeyWait
 	if call.Deadline > 0 {
 		longest = min(longest, call.Deadline/keyWaitDivisor)
--- a/node/gateway/reload.go
+++ b/node/gateway/reload.go
@@ -33,7 +33,7 @@
 // applyBounds makes bounds take effect.
 func (g *Gateway) applyBounds(b platform.Bounds) {
 	g.bounds.Store(&b)
-	g.reader.SetPropagationBound(min(b.Drain, b.Apply))
+	g.reader.SetPropagationBound(min(b.Drain, b.MaxConfigApplyTime))
 	g.relay.WithBalancer(func(balancer *placement.Balancer, budget *retry.SharedBudget) {
 		balancer.SetColdSlack(b.ColdSlack)
 		budget.Configure(retryConfig(b))
--- a/node/gateway/shutdown.go
+++ b/node/gateway/shutdown.go
@@ -43,7 +43,7 @@
 			_ = g.log.Log("msg", "cannot remove own record from the store", "err", err) // the log writer counts dropped lines
 		}
 	})
-	grace := g.bounds.Load().Grace
+	grace := g.bounds.Load().TerminationGrace
 	acceptFor := min(maxAcceptTime, time.Duration(acceptShare*float64(grace)))
 	deadline := began.Add(grace - killMargin)
 	for time.Now().Before(deadline) {
--- a/node/gateway/targetlog.go
+++ b/node/gateway/targetlog.go
@@ -112,7 +112,7 @@
 
 // InvalidEntries implements feed.Sink: it counts entries that describe no valid target, and logs
 // each with its reason unless that was the last reason logged for it.
-func (g *Gateway) InvalidEntries(entries []platform.BadEntry) {
+func (g *Gateway) InvalidEntries(entries []platform.InvalidEntry) {
 	g.metrics.Scope.Counter("gateway_entries_unusable").Inc(int64(len(entries)))
 	b := &g.targetLog
 	b.mu.Lock()
--- a/node/gateway/upstream/conn.go
+++ b/node/gateway/upstream/conn.go
@@ -44,7 +44,7 @@
 }
 
 type result struct {
-	response *Answer
+	response *Response
 	err      error
 }
 
@@ -135,7 +135,7 @@
 }
 
 // streamResponse passes on a response whose body is read while it is passed on to the caller.
-func (c *conn) streamResponse(e *exchange, response *Answer, last bool) bool {
+func (c *conn) streamResponse(e *exchange, response *Response, last bool) bool {
 	ended := make(chan bool, 1)
 	response.BodyRest = &streamedBody{ReadCloser: response.BodyRest, ended: ended, abort: c.close}
 	e.done <- result{response: response}
@@ -172,7 +172,7 @@
 
 // readResponse reads the response to e. It skips interim responses and up to maxMismatched
 // responses to other requests. last reports that the connection must be closed after it.
-func (c *conn) readResponse(e *exchange) (response *Answer, last bool, err error) {
+func (c *conn) readResponse(e *exchange) (response *Response, last bool, err error) {
 	mismatched := 0
 	for {
 		httpResponse, err := http.ReadResponse(c.in, e.request)
@@ -195,7 +195,7 @@
 			last = true
 			continue
 		}
-		response = &Answer{Status: httpResponse.StatusCode, Header: httpResponse.Header, Body: body, Length: httpResponse.ContentLength}
+		response = &Response{Status: httpResponse.StatusCode, Header: httpResponse.Header, Body: body, Length: httpResponse.ContentLength}
 		if !whole {
 			response.BodyRest = httpResponse.Body
 		}
@@ -238,7 +238,7 @@
 }
 
 // finish ends an exchange, and reports whether the connection stays open.
-func (c *conn) finish(response *Answer, last bool) bool {
+func (c *conn) finish(response *Response, last bool) bool {
 	c.mu.Lock()
 	keep := !last && !c.closeAfter && !c.writing && !c.closed && c.in.Buffered() == 0 && c.idleTimeout > 0
 	c.current = nil
--- a/node/gateway/upstream/exchange.go
+++ b/node/gateway/upstream/exchange.go
@@ -29,8 +29,8 @@
 	ID string
 }
 
-// Answer is a target's response.
-type Answer struct {
+// Response is a target's response.
+type Response struct {
 	Status int
 	Header http.Header
 	// Body is the whole body, or its beginning when BodyRest holds more.
@@ -90,7 +90,7 @@
 }
 
 // Do sends a request and returns the response. A non-nil error is an *Error.
-func (p *Pool) Do(ctx context.Context, call Call, r *Request) (*Answer, error) {
+func (p *Pool) Do(ctx context.Context, call Call, r *Request) (*Response, error) {
 	h := p.poolOf(call.Target, call.Generation)
 	e := &exchange{request: &http.Request{Method: r.Method}, id: r.ID, done: make(chan result, 1)}
 	c := h.takeIdle(time.Now())
@@ -117,7 +117,7 @@
 
 // exchange writes the request and waits for the response. If ctx ends first, the connection is
 // closed, so that the target stops work on the request.
-func (c *conn) exchange(ctx context.Context, e *exchange, r *Request) (*Answer, error) {
+func (c *conn) exchange(ctx context.Context, e *exchange, r *Request) (*Response, error) {
 	stop := context.AfterFunc(ctx, c.close)
 	defer stop()
 	counted := &countingWriter{to: c.raw}
@@ -140,7 +140,7 @@
 
 // handleWriteError returns the response if one arrived before the request was sent completely, and
 // else the error of the failed write.
-func (c *conn) handleWriteError(e *exchange, counted *countingWriter, err error) (*Answer, error) {
+func (c *conn) handleWriteError(e *exchange, counted *countingWriter, err error) (*Response, error) {
 	timer := time.NewTimer(earlyResponseWait)
 	defer timer.Stop()
 	select {
