--- a/node/forward/fakes_test.go
+++ b/node/forward/fakes_test.go
@@ -239,7 +239,7 @@
 func (e *entryVM) Owner(steering.Place, steering.Service) (seam.Member, bool)     { return e.self, true }
 func (e *entryVM) Hint(steering.Place, steering.Service, int)                     {}
 func (e *entryVM) Refused(steering.Place, steering.Service, *steering.Refusal)    {}
-func (e *entryVM) First(retry.Pool, int)                                          {}
+func (e *entryVM) RecordRequest(retry.Pool, int)                                  {}
 func (e *entryVM) Retry(now time.Time, r retry.Request, t retry.Tries, ran steering.Ran) retry.Denial {
 	if !e.allow {
 		return retry.DenyBudget
--- a/node/forward/interfaces.go
+++ b/node/forward/interfaces.go
@@ -71,9 +71,9 @@
 
 // Retries manages the retry budgets of pools.
 type Retries interface {
-	// First counts the first try of a request, which adds percent hundredths of a retry to the
-	// pool's budget.
-	First(pool retry.Pool, percent int)
+	// RecordRequest counts the first try of a request, which adds percent hundredths of a retry to
+	// the pool's budget.
+	RecordRequest(pool retry.Pool, percent int)
 	// Retry decides whether a failed try may be followed by another one, and charges it to the
 	// budget.
 	Retry(now time.Time, r retry.Request, t retry.Tries, ran steering.Ran) retry.Denial
--- a/node/forward/retry.go
+++ b/node/forward/retry.go
@@ -42,11 +42,11 @@
 	})
 }
 
-// First implements Retries.
-func (b *SharedBudgets) First(pool retry.Pool, percent int) {
+// RecordRequest implements Retries.
+func (b *SharedBudgets) RecordRequest(pool retry.Pool, percent int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.budgets.First(pool, percent)
+	b.budgets.RecordRequest(pool, percent)
 }
 
 // Retry implements Retries.
@@ -79,7 +79,7 @@
 }
 
 func (x *exchange) triesSoFar() retry.Tries {
-	return retry.Tries{Targets: x.tried, Extra: x.retried}
+	return retry.Tries{Targets: x.tried, ExtraSent: x.retried}
 }
 
 // countFirstTry counts the first try of a request and adds to the budget of the pool that receives
@@ -89,7 +89,7 @@
 		return
 	}
 	x.pool = retry.Pool{Service: x.service.Name, Place: target.Place}
-	x.f.retries.First(x.pool, x.service.RetryPercent)
+	x.f.retries.RecordRequest(x.pool, x.service.RetryPercent)
 }
 
 // mayRetry decides whether a try whose response was not relayed is followed by another one.
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -319,7 +319,7 @@
 	kept := make(map[steering.Service]float64)
 	g.relay.WithBalancer(func(balancer *placement.Balancer, budget *retry.SharedBudget) {
 		ejected, replaced = balancer.Ejected(), balancer.Replaced()
-		tries = budget.Left(time.Now())
+		tries = budget.Available(time.Now())
 		for service := range g.regionSplit {
 			kept[service] = g.regionSplit.LocalShare(service, g.settings.Region)
 		}
--- a/node/gateway/relay/placement.go
+++ b/node/gateway/relay/placement.go
@@ -18,7 +18,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cfg.Balancer.CountRequest(now, service, bound)
-	f.cfg.Retry.First(now, service)
+	f.cfg.Retry.RecordRequest(now, service)
 }
 
 func (f *Relay) choose(r placement.Request) (placement.Pick, *placement.Refusal) {
@@ -35,7 +35,7 @@
 func (f *Relay) takeRetry(service steering.Service) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.cfg.Retry.Take(time.Now(), service)
+	return f.cfg.Retry.TakeTry(time.Now(), service)
 }
 
 // returnRetry gives a retry back to the budget when no target had capacity for it. Otherwise
@@ -44,7 +44,7 @@
 func (f *Relay) returnRetry(service steering.Service) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cfg.Retry.Return(time.Now(), service)
+	f.cfg.Retry.ReturnTry(time.Now(), service)
 }
 
 // reportResult reports to the balancer and the poison filter what an attempt showed about its
--- a/node/gateway/showstatus.go
+++ b/node/gateway/showstatus.go
@@ -99,7 +99,7 @@
 }
 
 func serviceRows(now time.Time, b *placement.Balancer, budget *retry.SharedBudget, lending placement.RegionSplit, region steering.Region) []status.Service {
-	demand, left := b.Demand(now), budget.Left(now)
+	demand, left := b.Demand(now), budget.Available(now)
 	services := []status.Service{}
 	for _, c := range b.Counts(now) {
 		services = append(services, status.Service{Name: c.Service, Targets: c.Targets, Closed: c.Closed, Cold: c.Cold, Ejected: c.Ejected,
--- a/steering/retry/budget.go
+++ b/steering/retry/budget.go
@@ -43,8 +43,9 @@
 	return &Budgets{pools: make(map[Pool]*poolBudget)}
 }
 
-// First records a first try, which adds percent hundredths of a try to the budget of the pool.
-func (b *Budgets) First(pool Pool, percent int) {
+// RecordRequest records a first try, which adds percent hundredths of a try to the budget of the
+// pool.
+func (b *Budgets) RecordRequest(pool Pool, percent int) {
 	s := b.budgetFor(pool)
 	if s == nil {
 		return
--- a/steering/retry/decide.go
+++ b/steering/retry/decide.go
@@ -25,8 +25,8 @@
 // Tries lists the tries that were sent so far for one request.
 type Tries struct {
 	Targets []steering.Target
-	// Extra means that a retry or a hedge was sent.
-	Extra bool
+	// ExtraSent means that a retry or a hedge was sent.
+	ExtraSent bool
 }
 
 // Contains reports whether the request was sent to the target.
@@ -101,7 +101,7 @@
 	switch {
 	case !r.FromCaller:
 		return DenyNotFirstVM
-	case t.Extra:
+	case t.ExtraSent:
 		return DenyAlreadyRetried
 	case !r.Replayable:
 		return DenyNotReplayable
--- a/steering/retry/retry_test.go
+++ b/steering/retry/retry_test.go
@@ -23,7 +23,7 @@
 		percent := rapid.IntRange(0, 30).Draw(t, "percent")
 		firsts, extras, hedges := 0, 0, 0
 		for range rapid.IntRange(1, 200).Draw(t, "requests") {
-			b.First(pool, percent)
+			b.RecordRequest(pool, percent)
 			firsts++
 			r := Request{
 				Pool:       pool,
@@ -45,10 +45,10 @@
 				if denial != Allowed {
 					continue
 				}
-				assert.Assert(t, !tries.Extra && r.FromCaller && r.Replayable)
+				assert.Assert(t, !tries.ExtraSent && r.FromCaller && r.Replayable)
 				assert.Assert(t, r.Deadline.Sub(start) >= MinRemaining)
 				assert.Assert(t, r.Idempotent || !hedge && ran == steering.RanNo)
-				tries.Extra = true
+				tries.ExtraSent = true
 				extras++
 				if hedge {
 					hedges++
@@ -69,7 +69,7 @@
 	r := Request{Idempotent: true, FromCaller: true, Replayable: true, Deadline: start.Add(time.Second)}
 	load := 0
 	for range requests {
-		b.First(r.Pool, percent)
+		b.RecordRequest(r.Pool, percent)
 		load++
 		if random.Float64() >= failing {
 			continue
--- a/steering/retry/shared.go
+++ b/steering/retry/shared.go
@@ -78,15 +78,16 @@
 	return s
 }
 
-// First counts a request, which adds a fraction of an extra try to the budget of its service.
-func (a *SharedBudget) First(now time.Time, service steering.Service) {
+// RecordRequest counts a request, which adds a fraction of an extra try to the budget of its
+// service.
+func (a *SharedBudget) RecordRequest(now time.Time, service steering.Service) {
 	s := a.budgetFor(now, service)
 	s.available = math.Min(a.cap(), s.available+a.cfg.Ratio*usedRatioShare)
 }
 
-// Take charges an extra try to the budget of the service and reports whether the budget allowed
-// it.
-func (a *SharedBudget) Take(now time.Time, service steering.Service) bool {
+// TakeTry charges an extra try to the budget of the service and reports whether the budget
+// allowed it.
+func (a *SharedBudget) TakeTry(now time.Time, service steering.Service) bool {
 	s := a.budgetFor(now, service)
 	if s.available < 1 {
 		return false
@@ -95,14 +96,14 @@
 	return true
 }
 
-// Return gives back an extra try that was taken but not sent.
-func (a *SharedBudget) Return(now time.Time, service steering.Service) {
+// ReturnTry gives back an extra try that was taken but not sent.
+func (a *SharedBudget) ReturnTry(now time.Time, service steering.Service) {
 	s := a.budgetFor(now, service)
 	s.available = math.Min(a.cap(), s.available+1)
 }
 
-// Left returns the number of extra tries that each service has available.
-func (a *SharedBudget) Left(now time.Time) map[steering.Service]float64 {
+// Available returns the number of extra tries that each service has available.
+func (a *SharedBudget) Available(now time.Time) map[steering.Service]float64 {
 	left := make(map[steering.Service]float64, len(a.services))
 	for service := range a.services {
 		left[service] = a.budgetFor(now, service).available
--- a/steering/retry/shared_test.go
+++ b/steering/retry/shared_test.go
@@ -32,9 +32,9 @@
 			for n := range perSecond {
 				now := start.Add(time.Duration(second)*time.Second + time.Duration(n)*time.Second/time.Duration(perSecond))
 				for _, a := range vms {
-					a.First(now, "tickets")
+					a.RecordRequest(now, "tickets")
 					requests[second]++
-					if failing && a.Take(now, "tickets") {
+					if failing && a.TakeTry(now, "tickets") {
 						tries[second]++
 					}
 				}
