--- a/node/forward/exchange.go
+++ b/node/forward/exchange.go
@@ -59,7 +59,7 @@
 	tried        []steering.Target
 	retried      bool // the one extra try (retry or hedge) was allowed
 	retryGranted bool // a retry was allowed and has not been started yet
-	life         request.Life
+	life         request.Lifecycle
 	headerSent   bool // the response header was sent to the caller
 	callerWriter callerWriter
 	callerGone   bool
--- a/node/forward/fakes_test.go
+++ b/node/forward/fakes_test.go
@@ -316,7 +316,7 @@
 	r.answer.Status, r.answer.Header = status, h.Clone()
 }
 func (r *fakeRun) Body(p []byte)               { r.answer.Body = append(r.answer.Body, p...) }
-func (r *fakeRun) Whole(h http.Header)         { r.whole, r.answer.Trailer = true, h }
+func (r *fakeRun) Complete(h http.Header)      { r.whole, r.answer.Trailer = true, h }
 func (r *fakeRun) Refused(s *steering.Refusal) { r.refused = s }
 
 // do sends a request to the caller listener of entry VM ea.
--- a/node/forward/interfaces.go
+++ b/node/forward/interfaces.go
@@ -21,15 +21,15 @@
 }
 
 // Recorder receives the outcome of the one execution of a key. Head is called first, then Body any
-// number of times, then exactly one of Whole and Refused. If no response was begun, only Refused is
-// called.
+// number of times, then exactly one of Complete and Refused. If no response was begun, only Refused
+// is called.
 type Recorder interface {
 	// Head records the response's status and header.
 	Head(status int, header http.Header)
 	// Body records a piece of the response body. p is only valid during the call.
 	Body(p []byte)
-	// Whole records that the response is complete.
-	Whole(trailer http.Header)
+	// Complete records that the response is complete.
+	Complete(trailer http.Header)
 	// Refused records a run without a complete response. After RanNo the key may run again; after
 	// any other value it never does.
 	Refused(*steering.Refusal)
--- a/node/forward/once.go
+++ b/node/forward/once.go
@@ -190,8 +190,8 @@
 	r.reserved = 0
 }
 
-// Whole implements Recorder.
-func (r *keyRecorder) Whole(trailer http.Header) {
+// Complete implements Recorder.
+func (r *keyRecorder) Complete(trailer http.Header) {
 	r.release()
 	r.answer.Trailer = trailer.Clone()
 	if r.tooBig || r.answer.Size() > once.DefaultMaxAnswerBytes {
--- a/node/forward/once_test.go
+++ b/node/forward/once_test.go
@@ -196,7 +196,7 @@
 	held := 0
 	for _, recorder := range open {
 		held += len(recorder.answer.Body)
-		recorder.Whole(nil)
+		recorder.Complete(nil)
 	}
 	assert.Assert(t, held <= 16<<10, "%d bytes of unfinished responses are held", held)
 	assert.Equal(t, o.recordingBytes.Load(), int64(0))
--- a/node/forward/relay.go
+++ b/node/forward/relay.go
@@ -54,9 +54,9 @@
 		}
 	}
 	x.finishTrailers(res)
-	x.fire(request.Whole)
+	x.fire(request.Complete)
 	if x.recorder != nil {
-		x.recorder.Whole(res.Trailer)
+		x.recorder.Complete(res.Trailer)
 	}
 	if !x.bodySent() {
 		conn.abandon() // the target responded without reading the whole body
--- a/steering/request/request.go
+++ b/steering/request/request.go
@@ -37,7 +37,7 @@
 	ProvedNotRun chart.Event = "notRun"
 	MayHaveRun   chart.Event = "mayHaveRun"
 	Answer       chart.Event = "answer"
-	Whole        chart.Event = "whole"
+	Complete     chart.Event = "whole"
 	CutShort     chart.Event = "cut"
 	Refuse       chart.Event = "refuse"
 )
@@ -45,27 +45,27 @@
 //go:embed request.json
 var source []byte
 
-var lifecycle = chart.MustLoad("request/request.json", source, chart.Bindings[*Life]{
+var lifecycle = chart.MustLoad("request/request.json", source, chart.Bindings[*Lifecycle]{
 	States: []chart.State{Received, Sent, NotRun, Unknown, SentAgain, Answering, Done, Cut, Refused, Lost},
-	Events: []chart.Event{Send, ProvedNotRun, MayHaveRun, Answer, Whole, CutShort, Refuse},
-	Guards: map[string]func(*Life) bool{
-		"idempotent": func(l *Life) bool { return l.Idempotent },
+	Events: []chart.Event{Send, ProvedNotRun, MayHaveRun, Answer, Complete, CutShort, Refuse},
+	Guards: map[string]func(*Lifecycle) bool{
+		"idempotent": func(l *Lifecycle) bool { return l.Idempotent },
 	},
 })
 
 // Chart returns the state chart of a request, for documentation.
-func Chart() *chart.Chart[*Life] { return lifecycle }
+func Chart() *chart.Chart[*Lifecycle] { return lifecycle }
 
-// Life is the state of one request. The zero value is a non-idempotent request of which nothing
-// was sent.
-type Life struct {
+// Lifecycle is the state of one request. The zero value is a non-idempotent request of which
+// nothing was sent.
+type Lifecycle struct {
 	// Idempotent means that the request may be run more than once.
 	Idempotent bool
 	state      chart.State
 }
 
 // State returns the current state.
-func (l *Life) State() chart.State {
+func (l *Lifecycle) State() chart.State {
 	if l.state == "" {
 		return lifecycle.Initial()
 	}
@@ -74,14 +74,14 @@
 
 // Fire applies an event. If the event is not permitted in the current state, Fire returns a
 // *chart.NotPermittedError and the state does not change.
-func (l *Life) Fire(event chart.Event) error {
+func (l *Lifecycle) Fire(event chart.Event) error {
 	next, err := lifecycle.Fire(l, l.State(), event)
 	l.state = next
 	return err
 }
 
 // Ran returns what is known about the execution of the request.
-func (l *Life) Ran() steering.Ran {
+func (l *Lifecycle) Ran() steering.Ran {
 	switch l.State() {
 	case Received, NotRun, Refused:
 		return steering.RanNo
--- a/steering/request/request_test.go
+++ b/steering/request/request_test.go
@@ -18,9 +18,9 @@
 // TestNothingRunsTwice fires events in any order and compares the state with a count of the tries
 // that may have run.
 func TestNothingRunsTwice(t *testing.T) {
-	events := []chart.Event{Send, ProvedNotRun, MayHaveRun, Answer, Whole, CutShort, Refuse}
+	events := []chart.Event{Send, ProvedNotRun, MayHaveRun, Answer, Complete, CutShort, Refuse}
 	rapid.Check(t, func(t *rapid.T) {
-		l := Life{Idempotent: rapid.Bool().Draw(t, "idempotent")}
+		l := Lifecycle{Idempotent: rapid.Bool().Draw(t, "idempotent")}
 		inFlight, mayHaveRun := 0, 0
 		for range rapid.IntRange(1, 30).Draw(t, "events") {
 			event := rapid.SampledFrom(events).Draw(t, "event")
@@ -47,8 +47,8 @@
 func BenchmarkLife(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
-		l := Life{}
-		for _, event := range []chart.Event{Send, Answer, Whole} {
+		l := Lifecycle{}
+		for _, event := range []chart.Event{Send, Answer, Complete} {
 			_ = l.Fire(event)
 		}
 	}
