--- a/node/gateway/listeners.go
+++ b/node/gateway/listeners.go
@@ -119,7 +119,7 @@
 		capacities = append(capacities, float64(m.Capacity))
 	}
 	var addresses []string
-	for _, m := range vms[:capacity.Named(capacities, g.recentDemand(zone), minDirectoryEntries)] {
+	for _, m := range vms[:capacity.DirectorySize(capacities, g.recentDemand(zone), minDirectoryEntries)] {
 		addresses = append(addresses, m.Callers)
 	}
 	return addresses
--- a/steering/capacity/capacity.go
+++ b/steering/capacity/capacity.go
@@ -1,5 +1,6 @@
 // Package capacity estimates how many requests per second an entry VM can forward. The estimate
-// decides which VMs do control work and, with Named, which VMs callers get from a directory lookup.
+// decides which VMs do control work and, with DirectorySize, which VMs callers get from a directory
+// lookup.
 //
 // The VMs of one deployment differ by a factor of 5 in CPU and of 20 in bandwidth. One VM reads the
 // entries of all targets, and all others wait until it has sent them. The VMs with the highest
@@ -11,7 +12,7 @@
 const (
 	// requestsPerCore is an estimate of the requests per second that one CPU core forwards. A rough
 	// value is enough, because it serves to order VMs, and headroomFactor covers its error in
-	// Named.
+	// DirectorySize.
 	requestsPerCore = 3000
 	// requestsPerMbps is an estimate of the requests per second that 1 Mbit/s of a link carries, at
 	// 4 kB per request with its answer.
--- a/steering/capacity/named.go
+++ b/steering/capacity/named.go
@@ -12,10 +12,10 @@
 	assumedUtilization = 0.05
 )
 
-// Named returns how many of the VMs, taken in descending order of capacity, a lookup should return to
-// callers. It is at least minimum if there are that many VMs. capacities must be in descending order;
-// demand is in requests per second, 0 if it is unknown. If no number of VMs can serve the demand with
-// headroom, Named returns the number of all VMs.
+// DirectorySize returns how many of the VMs, taken in descending order of capacity, a lookup should
+// return to callers. It is at least minimum if there are that many VMs. capacities must be in
+// descending order; demand is in requests per second, 0 if it is unknown. If no number of VMs can
+// serve the demand with headroom, DirectorySize returns the number of all VMs.
 //
 // Without this limit, in a zone with a few large VMs and many small ones, each VM sends requests to
 // each target rarely. It then opens a connection for nearly every request, and its information
@@ -24,7 +24,7 @@
 //
 // The drawback is that more callers lose their connections when one VM stops. Lookups return the
 // other VMs within one heartbeat.
-func Named(capacities []float64, demand float64, minimum int) int {
+func DirectorySize(capacities []float64, demand float64, minimum int) int {
 	if demand <= 0 {
 		for _, c := range capacities {
 			demand += assumedUtilization * c
