--- a/cmd/internal/benchbalance/zones.go
+++ b/cmd/internal/benchbalance/zones.go
@@ -228,7 +228,7 @@
 	away := distance(s.home, at)
 	if at.dead {
 		w.after(deadTimeout, func() {
-			s.table.Refused(key, steering.ReasonPeerDown, time.Second, w.clock())
+			s.table.Refused(key, steering.ReasonPeerUnreachable, time.Second, w.clock())
 			w.spill(s, r, to, tried+1)
 		})
 		return
--- a/cmd/internal/offline/why.go
+++ b/cmd/internal/offline/why.go
@@ -73,7 +73,7 @@
 		}
 	}
 	fmt.Fprintf(io.Out, "holder:  none that %s knows of; the outcome is gone with it\n", status.AnsweredBy)
-	return explainReason(string(steering.ReasonHomeGone), io)
+	return explainReason(string(steering.ReasonKeyOwnerGone), io)
 }
 
 // explainReason prints the meaning of a refusal reason and its remedy, or all reasons if reason
--- a/cmd/internal/offline/whylog.go
+++ b/cmd/internal/offline/whylog.go
@@ -239,9 +239,9 @@
 		return fmt.Sprintf("refused at once, not run: the target of its key had a queue of %d ms, too long for its aim; overload of service %s", l.Shortest, l.Service)
 	case l.Reason == steering.ReasonDeadline:
 		return fmt.Sprintf("outcome unknown: no answer of %s within the %d ms that the route allows", lastTarget(l), l.Timeout)
-	case l.Reason == steering.ReasonTargetDied:
+	case l.Reason == steering.ReasonTargetLost:
 		return fmt.Sprintf("outcome unknown: %s broke off with the request in its hands", lastTarget(l))
-	case l.Reason == steering.ReasonAnswerCrossed:
+	case l.Reason == steering.ReasonResponseMismatched:
 		return fmt.Sprintf("outcome unknown: %s sent an answer that could not be passed on", lastTarget(l))
 	case l.Reason == "":
 		return fmt.Sprintf("passed on with status %d after %d tries", l.Status, len(l.Tries))
--- a/node/admit/acquire.go
+++ b/node/admit/acquire.go
@@ -96,7 +96,7 @@
 			return nil, cancelledResult(ctx).refusal
 		}
 	}
-	return nil, steering.Refuse(steering.ReasonPeerDown, peerRetryAfter, fmt.Sprintf("owner of service %s at place %s", key.service, key.place))
+	return nil, steering.Refuse(steering.ReasonPeerUnreachable, peerRetryAfter, fmt.Sprintf("owner of service %s at place %s", key.service, key.place))
 }
 
 // currentOwner returns the entry VM to ask for a slot: the one that the owner in
--- a/node/admit/admit_test.go
+++ b/node/admit/admit_test.go
@@ -202,7 +202,7 @@
 		z.resume(owner, resumed)
 		time.Sleep(recoveryTime)
 		assert.Assert(t, z.sheds() <= targets, "%d sheds", z.sheds())
-		assert.Equal(t, z.refusedFor(steering.ReasonPeerDown), 0)
+		assert.Equal(t, z.refusedFor(steering.ReasonPeerUnreachable), 0)
 	})
 }
 
--- a/node/failure_test.go
+++ b/node/failure_test.go
@@ -284,7 +284,7 @@
 		caller := f.caller("a")
 		got, err := f.send(caller, errand{method: "GET", vm: "ea3", service: "tickets"})
 		assert.NilError(t, err)
-		assert.Equal(t, got.reason(), string(steering.ReasonConnections))
+		assert.Equal(t, got.reason(), string(steering.ReasonTooManyConnections))
 		assert.Equal(t, got.ran(), "no")
 		for _, path := range []string{"/healthz", "/readyz", "/metrics", "/v1/status"} {
 			res, err := caller.Get("http://" + d.Addresses().Operator + path)
--- a/node/forward/body.go
+++ b/node/forward/body.go
@@ -57,7 +57,7 @@
 	b.read += int64(n)
 	b.minRate.transferred(n, time.Since(now))
 	if b.limit > 0 && b.read > b.limit {
-		b.fail(steering.Unknown(steering.ReasonBodyTooLarge, "the body exceeds the service's limit"))
+		b.fail(steering.RefuseUnknown(steering.ReasonBodyTooLarge, "the body exceeds the service's limit"))
 		return 0, errBodyRefused
 	}
 	switch {
@@ -97,11 +97,11 @@
 	if errors.As(err, &network) && network.Timeout() {
 		return slowSenderRefusal()
 	}
-	return steering.Unknown(steering.ReasonCancelled, "the caller's body ended early")
+	return steering.RefuseUnknown(steering.ReasonCancelled, "the caller's body ended early")
 }
 
 func slowSenderRefusal() *steering.Refusal {
-	return steering.Unknown(steering.ReasonSlowSender, "the body came slower than bodyMinBytesPerSecond")
+	return steering.RefuseUnknown(steering.ReasonSlowSender, "the body came slower than bodyMinBytesPerSecond")
 }
 
 // bufferWhole reads a small body of known length whole.
--- a/node/forward/classify.go
+++ b/node/forward/classify.go
@@ -22,13 +22,13 @@
 	case errors.Is(cause, errCutByStop):
 		return newTryResult(seam.OutcomeCancelled, cutByStopRefusal(sent))
 	case errors.Is(cause, errDeadline) && sent:
-		return newTryResult(seam.OutcomeTimeout, steering.Unknown(steering.ReasonDeadline, "the target had the request when the deadline passed"))
+		return newTryResult(seam.OutcomeTimeout, steering.RefuseUnknown(steering.ReasonDeadline, "the target had the request when the deadline passed"))
 	case errors.Is(cause, errDeadline):
 		return newTryResult(seam.OutcomeUnreachable, steering.Refuse(steering.ReasonDeadline, 0, "the deadline passed before the request was sent"))
 	case cause != nil:
 		return newTryResult(seam.OutcomeCancelled, &steering.Refusal{Reason: steering.ReasonCancelled, Ran: ranIf(sent), Detail: "the caller went away"})
 	case sent:
-		return newTryResult(seam.OutcomeBroken, steering.Unknown(steering.ReasonTargetDied, fmt.Sprintf("no answer: %v", err)))
+		return newTryResult(seam.OutcomeBroken, steering.RefuseUnknown(steering.ReasonTargetLost, fmt.Sprintf("no answer: %v", err)))
 	default:
 		return newTryResult(seam.OutcomeUnreachable, steering.Refuse(steering.ReasonTargetFailed, 0, fmt.Sprintf("not sent: %v", err)))
 	}
--- a/node/forward/fakes_test.go
+++ b/node/forward/fakes_test.go
@@ -309,7 +309,7 @@
 	case run.whole:
 		return nil, &run.answer, nil
 	}
-	return nil, nil, steering.Unknown(steering.ReasonKeyBusy, "running or unknown")
+	return nil, nil, steering.RefuseUnknown(steering.ReasonKeyBusy, "running or unknown")
 }
 
 func (r *fakeRun) Head(status int, h http.Header) {
--- a/node/forward/forward.go
+++ b/node/forward/forward.go
@@ -243,5 +243,5 @@
 // the connection were left waiting to be accepted, its caller would learn nothing.
 func (x *exchange) refuseConnection() {
 	x.w.Header().Set("Connection", "close")
-	x.refuse(steering.Refuse(steering.ReasonConnections, connectionRetry, "limits.callerConnections is reached"))
+	x.refuse(steering.Refuse(steering.ReasonTooManyConnections, connectionRetry, "limits.callerConnections is reached"))
 }
--- a/node/forward/handover.go
+++ b/node/forward/handover.go
@@ -113,11 +113,11 @@
 // incarnation may run it, because only the issuer knows whether the key ran before.
 func (x *exchange) forwardToKeyOwner() *steering.Refusal {
 	if x.origin != originCaller {
-		return steering.Unknown(steering.ReasonHomeGone, "the key was issued by an earlier life of this entry VM")
+		return steering.RefuseUnknown(steering.ReasonKeyOwnerGone, "the key was issued by an earlier life of this entry VM")
 	}
 	member, ok := x.f.members.ByIncarnation(x.keyOwner)
 	if !ok || member.State == seam.MemberGone {
-		return steering.Unknown(steering.ReasonHomeGone, "incarnation "+string(x.keyOwner)+" issued the key and is gone")
+		return steering.RefuseUnknown(steering.ReasonKeyOwnerGone, "incarnation "+string(x.keyOwner)+" issued the key and is gone")
 	}
 	result := x.forwardToPeer(member)
 	if result.relayed() {
@@ -125,7 +125,7 @@
 	}
 	if result.kind == seam.OutcomeUnreachable {
 		// Nothing was sent now, but the key may have run at its owner before.
-		refusal := steering.Unknown(steering.ReasonPeerDown, "the entry VM that issued the key cannot be reached")
+		refusal := steering.RefuseUnknown(steering.ReasonPeerUnreachable, "the entry VM that issued the key cannot be reached")
 		refusal.RetryAfter = peerUnreachableRetry
 		return refusal
 	}
@@ -166,7 +166,7 @@
 	case seam.OutcomeUnreachable:
 		x.f.members.RecordReachability(member.VM, false)
 		if result.refusal.Reason == steering.ReasonTargetFailed {
-			result.refusal = steering.Refuse(steering.ReasonPeerDown, peerUnreachableRetry, result.refusal.Detail)
+			result.refusal = steering.Refuse(steering.ReasonPeerUnreachable, peerUnreachableRetry, result.refusal.Detail)
 		}
 	case seam.OutcomeBroken:
 		x.f.members.RecordReachability(member.VM, false)
--- a/node/forward/hedge.go
+++ b/node/forward/hedge.go
@@ -212,7 +212,7 @@
 
 // discardTry accounts for a try whose response is not relayed.
 func (x *exchange) discardTry(a *attempt, s *sentTry, cancelled bool) tryResult {
-	result := newTryResult(seam.OutcomeCancelled, steering.Unknown(steering.ReasonCancelled, "another try answered first"))
+	result := newTryResult(seam.OutcomeCancelled, steering.RefuseUnknown(steering.ReasonCancelled, "another try answered first"))
 	switch {
 	case s.notStarted != nil:
 		result = *s.notStarted
--- a/node/forward/keyed.go
+++ b/node/forward/keyed.go
@@ -41,7 +41,7 @@
 	finished := false
 	defer func() {
 		if !finished {
-			recorder.Refused(steering.Unknown(steering.ReasonTargetFailed, "the entry VM failed while it ran the request"))
+			recorder.Refused(steering.RefuseUnknown(steering.ReasonTargetFailed, "the entry VM failed while it ran the request"))
 		}
 	}()
 	x.detachFromCaller()
--- a/node/forward/keyed_test.go
+++ b/node/forward/keyed_test.go
@@ -34,10 +34,10 @@
 		assert.Equal(t, w.ran("t1")+w.ran("t3"), 1)
 
 		res, _, err = w.do("POST", "/buy", strings.NewReader("1"), headerKey, "INCOLD-1.abcdefgh1")
-		assertRefused(t, res, err, steering.ReasonHomeGone, "unknown")
+		assertRefused(t, res, err, steering.ReasonKeyOwnerGone, "unknown")
 		w.members[1].PeerAddress = "nowhere:1"
 		res, _, err = w.do("POST", "/buy", strings.NewReader("1"), headerKey, "INCB-1.abcdefgh1")
-		assertRefused(t, res, err, steering.ReasonPeerDown, "unknown")
+		assertRefused(t, res, err, steering.ReasonPeerUnreachable, "unknown")
 		assert.Assert(t, w.a.down["eb"])
 		assert.Equal(t, w.ran("t1")+w.ran("t3"), 1)
 	})
--- a/node/forward/limits_test.go
+++ b/node/forward/limits_test.go
@@ -136,6 +136,6 @@
 		w.a.limits.CallerConnections = 0
 		w.client.CloseIdleConnections()
 		res, _, err = w.do("GET", "/", nil)
-		assertRefused(t, res, err, steering.ReasonConnections, "no")
+		assertRefused(t, res, err, steering.ReasonTooManyConnections, "no")
 	})
 }
--- a/node/forward/once.go
+++ b/node/forward/once.go
@@ -117,11 +117,11 @@
 	case <-ctx.Done():
 	}
 	if errors.Is(context.Cause(ctx), errDeadline) {
-		refusal := steering.Unknown(steering.ReasonDeadline, "the same key is still running")
+		refusal := steering.RefuseUnknown(steering.ReasonDeadline, "the same key is still running")
 		refusal.RetryAfter = time.Second
 		return nil, nil, refusal
 	}
-	return nil, nil, steering.Unknown(steering.ReasonCancelled, "the caller went away while the same key was running")
+	return nil, nil, steering.RefuseUnknown(steering.ReasonCancelled, "the caller went away while the same key was running")
 }
 
 // finish records the outcome of a run and releases the repeats that wait for it.
@@ -203,7 +203,7 @@
 }
 
 func answerNotKept() *steering.Refusal {
-	return &steering.Refusal{Reason: steering.ReasonAnswerTooBig, Ran: steering.RanYes, Detail: "the request ran to its end"}
+	return &steering.Refusal{Reason: steering.ReasonResponseNotKept, Ran: steering.RanYes, Detail: "the request ran to its end"}
 }
 
 // Refused implements Recorder.
--- a/node/forward/relay.go
+++ b/node/forward/relay.go
@@ -201,12 +201,12 @@
 		return newTryResult(seam.OutcomeCancelled, cutByStopRefusal(true))
 	}
 	if errors.Is(context.Cause(x.ctx), errDeadline) {
-		return newTryResult(seam.OutcomeTimeout, steering.Unknown(steering.ReasonDeadline, "the deadline passed within the answer"))
+		return newTryResult(seam.OutcomeTimeout, steering.RefuseUnknown(steering.ReasonDeadline, "the deadline passed within the answer"))
 	}
 	if context.Cause(x.ctx) != nil {
-		return newTryResult(seam.OutcomeCancelled, steering.Unknown(steering.ReasonCancelled, "the caller went away"))
+		return newTryResult(seam.OutcomeCancelled, steering.RefuseUnknown(steering.ReasonCancelled, "the caller went away"))
 	}
-	result := newTryResult(seam.OutcomeBroken, steering.Unknown(steering.ReasonAnswerCut, err.Error()))
+	result := newTryResult(seam.OutcomeBroken, steering.RefuseUnknown(steering.ReasonResponseTruncated, err.Error()))
 	result.connectionBroken = true
 	return result
 }
@@ -216,7 +216,7 @@
 func (x *exchange) truncatedAfterHeader(err error) tryResult {
 	x.abort = true
 	x.fire(request.CutShort)
-	cut := steering.Unknown(steering.ReasonAnswerCut, err.Error())
+	cut := steering.RefuseUnknown(steering.ReasonResponseTruncated, err.Error())
 	if x.recorder != nil {
 		x.recorder.Refused(cut)
 	}
@@ -232,7 +232,7 @@
 		x.f.counters.refuse(steering.ReasonCancelled)
 		return newTryResult(seam.OutcomeCancelled, nil)
 	}
-	x.f.counters.refuse(steering.ReasonAnswerCut)
+	x.f.counters.refuse(steering.ReasonResponseTruncated)
 	x.f.counters.aborted.Inc(1)
 	result := newTryResult(seam.OutcomeBroken, nil)
 	result.connectionBroken = true
--- a/node/forward/response.go
+++ b/node/forward/response.go
@@ -31,7 +31,7 @@
 		result = newTryResult(seam.OutcomeShed, steering.Refuse(steering.ReasonShed, retryAfter(res.Header), "the target refused without running it"))
 		x.discard(res, conn)
 	case x.retryOnStatus(res.StatusCode):
-		result = newTryResult(seam.OutcomeFailed, steering.Unknown(steering.ReasonTargetFailed, fmt.Sprintf("the target answered %d", res.StatusCode)))
+		result = newTryResult(seam.OutcomeFailed, steering.RefuseUnknown(steering.ReasonTargetFailed, fmt.Sprintf("the target answered %d", res.StatusCode)))
 		x.discard(res, conn)
 	default:
 		result = x.relay(up, res, conn)
@@ -78,7 +78,7 @@
 func (x *exchange) rejectMismatched(res *http.Response, conn *exchangeConn) tryResult {
 	conn.abandon()
 	_ = res.Body.Close()
-	return newTryResult(seam.OutcomeBroken, steering.Unknown(steering.ReasonAnswerCrossed, "the answer carries the id of another request"))
+	return newTryResult(seam.OutcomeBroken, steering.RefuseUnknown(steering.ReasonResponseMismatched, "the answer carries the id of another request"))
 }
 
 // discardBytes is how much of an unwanted response is read at most so that its connection can be
--- a/node/forward/retry.go
+++ b/node/forward/retry.go
@@ -99,8 +99,8 @@
 		return true
 	}
 	switch refusal.Reason {
-	case steering.ReasonShed, steering.ReasonTargetFailed, steering.ReasonTargetDied,
-		steering.ReasonAnswerCut, steering.ReasonAnswerCrossed:
+	case steering.ReasonShed, steering.ReasonTargetFailed, steering.ReasonTargetLost,
+		steering.ReasonResponseTruncated, steering.ReasonResponseMismatched:
 		return x.allowRetry(refusal.Reason, refusal.Ran)
 	}
 	return false
--- a/node/forward/run.go
+++ b/node/forward/run.go
@@ -163,7 +163,7 @@
 	switch reason {
 	case steering.ReasonNoTarget, steering.ReasonStopped, steering.ReasonQueueFull, steering.ReasonNoSlot,
 		steering.ReasonLinkFull, steering.ReasonCapReached, steering.ReasonRampLimited, steering.ReasonShed,
-		steering.ReasonTargetFailed, steering.ReasonPeerDown:
+		steering.ReasonTargetFailed, steering.ReasonPeerUnreachable:
 		return true
 	}
 	return false
--- a/node/forward/spillover_test.go
+++ b/node/forward/spillover_test.go
@@ -81,7 +81,7 @@
 		w.a.slots["t1"], w.a.slots["t2"] = 0, 0
 		w.target("t3", breakConnection)
 		res, _, err := w.do("POST", "/", strings.NewReader("my password"), "Authorization", "Bearer token")
-		assertRefused(t, res, err, steering.ReasonTargetDied, "unknown")
+		assertRefused(t, res, err, steering.ReasonTargetLost, "unknown")
 		id := res.Header.Get(headerRequestID)
 		for _, e := range []*entryVM{w.a, w.b} {
 			log := e.log.String()
--- a/node/forward/statechart.go
+++ b/node/forward/statechart.go
@@ -21,7 +21,7 @@
 
 // noFurtherTry returns the refusal for a request whose state chart allows no further try.
 func noFurtherTry() *steering.Refusal {
-	return steering.Unknown(steering.ReasonTargetFailed, "an earlier try may have run")
+	return steering.RefuseUnknown(steering.ReasonTargetFailed, "an earlier try may have run")
 }
 
 // recordTryEnd updates the request's state after a try whose response was not relayed.
--- a/node/forward/targetfailure_test.go
+++ b/node/forward/targetfailure_test.go
@@ -24,7 +24,7 @@
 		w.target("t2", ok)
 		for range 2 { // the second round uses targets whose connections broke before
 			res, _, err := w.do("POST", "/", strings.NewReader("buy"))
-			assertRefused(t, res, err, steering.ReasonTargetDied, "unknown")
+			assertRefused(t, res, err, steering.ReasonTargetLost, "unknown")
 			_, text, err := w.do("GET", "/", nil)
 			assert.NilError(t, err)
 			assert.Equal(t, text, "GET / ")
@@ -33,7 +33,7 @@
 		assert.Equal(t, w.ran("t2"), 2)
 		w.a.allow = false // no budget left: the GET fails after its first try
 		res, _, err := w.do("GET", "/", nil)
-		assertRefused(t, res, err, steering.ReasonTargetDied, "unknown")
+		assertRefused(t, res, err, steering.ReasonTargetLost, "unknown")
 	})
 }
 
@@ -84,7 +84,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, text, "GET / ")
 		res, _, err := w.do("POST", "/", nil)
-		assertRefused(t, res, err, steering.ReasonAnswerCut, "unknown")
+		assertRefused(t, res, err, steering.ReasonResponseTruncated, "unknown")
 
 		w.target("t1", short(4*relayBufferBytes))
 		_, _, err = w.do("GET", "/", nil)
@@ -115,7 +115,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, text, "GET / ")
 		res, _, err := w.do("POST", "/", nil)
-		assertRefused(t, res, err, steering.ReasonAnswerCrossed, "unknown")
+		assertRefused(t, res, err, steering.ReasonResponseMismatched, "unknown")
 
 		w.a.targets.CloseIdleConnections()
 		w.rawTarget("t1", func(id string, out io.Writer) {
@@ -208,7 +208,7 @@
 			return res, time.Since(started), err
 		}
 		res, took, err := upload("60000")
-		assertRefused(t, res, err, steering.ReasonTargetDied, "unknown")
+		assertRefused(t, res, err, steering.ReasonTargetLost, "unknown")
 		assert.Equal(t, took, time.Second)
 		res, took, err = upload("700")
 		assertRefused(t, res, err, steering.ReasonDeadline, "unknown")
--- a/node/gateway/relay/resolve.go
+++ b/node/gateway/relay/resolve.go
@@ -79,7 +79,7 @@
 	case problem != identity.None:
 		return e, problem.Reason()
 	case !e.hasAllowedRegion():
-		return e, steering.ReasonNoCommonHome
+		return e, steering.ReasonNoCommonHomeRegion
 	}
 	return e, ""
 }
--- a/node/gateway/relay/responses.go
+++ b/node/gateway/relay/responses.go
@@ -32,9 +32,9 @@
 		return x.refuse(steering.ReasonShed, shedRetryAfter)
 	}
 	if e.err == nil {
-		return x.outcomeUnknown(steering.ReasonAnswerCrossed)
+		return x.outcomeUnknown(steering.ReasonResponseMismatched)
 	}
-	return x.outcomeUnknown(steering.ReasonTargetDied)
+	return x.outcomeUnknown(steering.ReasonTargetLost)
 }
 
 // shedRetryAfter is the Retry-After once targets refused a request: about one service time.
--- a/node/gateway/relay/workspaces_test.go
+++ b/node/gateway/relay/workspaces_test.go
@@ -123,7 +123,7 @@
 	assert.Equal(t, g.readWith("/read/1", "Api-Key: k-both").StatusCode, 200)
 	got := g.readWith("/read/1", "Api-Key: k-norte")
 	assert.Equal(t, got.StatusCode, 503)
-	assert.Equal(t, got.Header.Get("Heatherlock-Reason"), string(steering.ReasonNoCommonHome))
+	assert.Equal(t, got.Header.Get("Heatherlock-Reason"), string(steering.ReasonNoCommonHomeRegion))
 	assert.Equal(t, len(g.runs()), 1)
 }
 
--- a/standin/witness/callers.go
+++ b/standin/witness/callers.go
@@ -148,14 +148,14 @@
 // saysHomeGone reports the reasons that a repeat gets when the entry VM that
 // keeps its key died or restarted.
 func saysHomeGone(reason string) bool {
-	return reason == string(steering.ReasonHomeGone) || reason == string(steering.ReasonPeerDown)
+	return reason == string(steering.ReasonKeyOwnerGone) || reason == string(steering.ReasonPeerUnreachable)
 }
 
 func (u *uploadRecord) refused(t Try) {
 	switch {
 	case t.Ran == RanNo || t.Excused:
 	case u.killed && saysHomeGone(t.Reason):
-	case t.Reason == string(steering.ReasonAnswerCut) || t.Reason == string(steering.ReasonAnswerCrossed):
+	case t.Reason == string(steering.ReasonResponseTruncated) || t.Reason == string(steering.ReasonResponseMismatched):
 		u.answerLost = true
 	default:
 		u.cutBy(t.Reason + " by " + t.EntryVM)
--- a/steering/losses/losses.go
+++ b/steering/losses/losses.go
@@ -185,7 +185,7 @@
 		return PoisonRequest, true
 	case steering.ReasonOverAllowance:
 		return OverAllowance, true
-	case steering.ReasonNoCommonHome:
+	case steering.ReasonNoCommonHomeRegion:
 		return NoCommonHomeRegion, true
 	case steering.ReasonAPIKeyMissing, steering.ReasonAPIKeyRepeated, steering.ReasonAPIKeyMalformed, steering.ReasonAPIKeyUnknown:
 		return WorkspaceUnknown, true
--- a/steering/losses/losses_test.go
+++ b/steering/losses/losses_test.go
@@ -61,13 +61,13 @@
 		"poison":                {refusedOrFailed(Refused, steering.ReasonPoison), PoisonRequest},
 		"caller disconnected":   {refusedOrFailed(Failed, steering.ReasonCancelled, placement.Abandoned), CallerDisconnected},
 		"no answer in time":     {refusedOrFailed(Failed, steering.ReasonDeadline, placement.Silent), TargetSlow},
-		"target crashed":        {refusedOrFailed(Failed, steering.ReasonTargetDied, placement.Broken), TargetLost},
+		"target crashed":        {refusedOrFailed(Failed, steering.ReasonTargetLost, placement.Broken), TargetLost},
 		"server error":          {refusedOrFailed(Failed, "", placement.Failed), TargetFailing},
 		"broken, then silent":   {refusedOrFailed(Failed, steering.ReasonDeadline, placement.Broken, placement.Silent), TargetLost},
 	} {
 		t.Run(name, func(t *testing.T) { assert.Equal(t, CauseOf(c.r), c.want) })
 	}
-	spoiled := refusedOrFailed(Failed, steering.ReasonAnswerCrossed)
+	spoiled := refusedOrFailed(Failed, steering.ReasonResponseMismatched)
 	spoiled.Tries = []Try{{Outcome: placement.Broken, InvalidResponse: true}}
 	assert.Equal(t, CauseOf(spoiled), InvalidResponse)
 	short := refusedOrFailed(Refused, steering.ReasonNoSlot)
--- a/steering/once/evict.go
+++ b/steering/once/evict.go
@@ -49,7 +49,7 @@
 // "not run", whatever the caller of Finish passed.
 func unknownRefusal(r *steering.Refusal) *steering.Refusal {
 	if r == nil {
-		return steering.Unknown(steering.ReasonTargetFailed, "the outcome of this key is unknown")
+		return steering.RefuseUnknown(steering.ReasonTargetFailed, "the outcome of this key is unknown")
 	}
 	copied := *r
 	if copied.Ran == steering.RanNo {
--- a/steering/once/once_test.go
+++ b/steering/once/once_test.go
@@ -132,7 +132,7 @@
 	case NotRun:
 		m.reference.runs[key]--
 	case Unknown:
-		o.Refusal = steering.Refuse(steering.ReasonTargetDied, 0, "wrongly called not run")
+		o.Refusal = steering.Refuse(steering.ReasonTargetLost, 0, "wrongly called not run")
 	}
 	m.end(t, key, m.reference.running[key], o)
 }
--- a/steering/once/outcome.go
+++ b/steering/once/outcome.go
@@ -112,13 +112,13 @@
 // HomeGone returns the refusal for a key whose incarnation no longer exists. The key may have run
 // there, so it never runs here.
 func HomeGone(home steering.Incarnation) *steering.Refusal {
-	return steering.Unknown(steering.ReasonHomeGone, "incarnation "+string(home)+" issued the key and is gone")
+	return steering.RefuseUnknown(steering.ReasonKeyOwnerGone, "incarnation "+string(home)+" issued the key and is gone")
 }
 
 // HomeUnreachable returns the refusal for a key whose incarnation is presumed alive but cannot be
 // reached now. A later repeat may reach it.
 func HomeUnreachable(home steering.Incarnation) *steering.Refusal {
-	r := steering.Unknown(steering.ReasonPeerDown, "incarnation "+string(home)+" issued the key and does not answer")
+	r := steering.RefuseUnknown(steering.ReasonPeerUnreachable, "incarnation "+string(home)+" issued the key and does not answer")
 	r.RetryAfter = unreachableRetryAfter
 	return r
 }
--- a/steering/once/table.go
+++ b/steering/once/table.go
@@ -119,7 +119,7 @@
 	if e.fingerprint != fp {
 		// The key's first request may have run. If the refusal said "not run", a caller that
 		// built its request anew might send it again under a new key.
-		return refuse(steering.Unknown(steering.ReasonKeyMismatch, "the first request under this key had other content"))
+		return refuse(steering.RefuseUnknown(steering.ReasonKeyMismatch, "the first request under this key had other content"))
 	}
 	switch e.state {
 	case stateRunning:
@@ -128,14 +128,14 @@
 		return refuse(e.refusal)
 	}
 	if e.answer == nil {
-		return refuse(&steering.Refusal{Reason: steering.ReasonAnswerTooBig, Ran: steering.RanYes, Detail: "the request ran to its end"})
+		return refuse(&steering.Refusal{Reason: steering.ReasonResponseNotKept, Ran: steering.RanYes, Detail: "the request ran to its end"})
 	}
 	return Decision{Kind: Replay, Answer: e.answer}
 }
 
 func (t *Table) joinRunning(e *entry) Decision {
 	if e.waiters >= t.cfg.MaxWaiters {
-		r := steering.Unknown(steering.ReasonKeyBusy, fmt.Sprintf("%d repeats wait already", e.waiters))
+		r := steering.RefuseUnknown(steering.ReasonKeyBusy, fmt.Sprintf("%d repeats wait already", e.waiters))
 		r.RetryAfter = time.Second
 		return refuse(r)
 	}
@@ -146,7 +146,7 @@
 // beginNew lets a key without an entry run, unless it may have run before.
 func (t *Table) beginNew(now time.Time, key steering.Key, epoch Epoch, fp Fingerprint) Decision {
 	if epoch <= t.sealed {
-		return refuse(steering.Unknown(steering.ReasonKeyEvicted, "the key's prefix is too old for a key not seen before"))
+		return refuse(steering.RefuseUnknown(steering.ReasonKeyEvicted, "the key's prefix is too old for a key not seen before"))
 	}
 	if epoch > t.epochAt(now.Add(t.cfg.MaxClockSkew)) {
 		return refuse(steering.Refuse(steering.ReasonBadRequest, 0, "the key's prefix lies in the future; take the one in Heatherlock-Key-Prefix"))
--- a/steering/refusal.go
+++ b/steering/refusal.go
@@ -36,46 +36,46 @@
 type Reason string
 
 const (
-	ReasonNoService     Reason = "no_service"
-	ReasonNoTarget      Reason = "no_target"
-	ReasonNotReady      Reason = "not_ready"
-	ReasonConfigBehind  Reason = "config_behind"
-	ReasonShuttingDown  Reason = "leaving"
-	ReasonStopped       Reason = "stopped"
-	ReasonQueueFull     Reason = "queue_full"
-	ReasonNoSlot        Reason = "no_slot"
-	ReasonDeadline      Reason = "deadline"
-	ReasonLinkFull      Reason = "link_full"
-	ReasonCapReached    Reason = "cap_reached"
-	ReasonRampLimited   Reason = "ramp_limited"
-	ReasonShed          Reason = "shed"
-	ReasonTargetFailed  Reason = "target_failed"
-	ReasonTargetDied    Reason = "target_died"
-	ReasonPoison        Reason = "poison"
-	ReasonRetryBudget   Reason = "retry_budget"
-	ReasonHopLimit      Reason = "hop_limit"
-	ReasonPeerDown      Reason = "peer_unreachable"
-	ReasonHomeGone      Reason = "home_gone"
-	ReasonKeyEvicted    Reason = "key_evicted"
-	ReasonKeyMismatch   Reason = "key_mismatch"
-	ReasonKeyBusy       Reason = "key_busy"
-	ReasonKeysFull      Reason = "keys_full"
-	ReasonAnswerTooBig  Reason = "answer_not_kept"
-	ReasonAnswerCut     Reason = "answer_cut"
-	ReasonAnswerCrossed Reason = "answer_crossed"
-	ReasonBadRequest    Reason = "bad_request"
-	ReasonBodyTooLarge  Reason = "body_too_large"
-	ReasonSlowSender    Reason = "slow_sender"
-	ReasonSlowReader    Reason = "slow_reader"
-	ReasonConnections   Reason = "too_many_connections"
-	ReasonCancelled     Reason = "cancelled"
+	ReasonNoService          Reason = "no_service"
+	ReasonNoTarget           Reason = "no_target"
+	ReasonNotReady           Reason = "not_ready"
+	ReasonConfigBehind       Reason = "config_behind"
+	ReasonShuttingDown       Reason = "leaving"
+	ReasonStopped            Reason = "stopped"
+	ReasonQueueFull          Reason = "queue_full"
+	ReasonNoSlot             Reason = "no_slot"
+	ReasonDeadline           Reason = "deadline"
+	ReasonLinkFull           Reason = "link_full"
+	ReasonCapReached         Reason = "cap_reached"
+	ReasonRampLimited        Reason = "ramp_limited"
+	ReasonShed               Reason = "shed"
+	ReasonTargetFailed       Reason = "target_failed"
+	ReasonTargetLost         Reason = "target_died"
+	ReasonPoison             Reason = "poison"
+	ReasonRetryBudget        Reason = "retry_budget"
+	ReasonHopLimit           Reason = "hop_limit"
+	ReasonPeerUnreachable    Reason = "peer_unreachable"
+	ReasonKeyOwnerGone       Reason = "home_gone"
+	ReasonKeyEvicted         Reason = "key_evicted"
+	ReasonKeyMismatch        Reason = "key_mismatch"
+	ReasonKeyBusy            Reason = "key_busy"
+	ReasonKeysFull           Reason = "keys_full"
+	ReasonResponseNotKept    Reason = "answer_not_kept"
+	ReasonResponseTruncated  Reason = "answer_cut"
+	ReasonResponseMismatched Reason = "answer_crossed"
+	ReasonBadRequest         Reason = "bad_request"
+	ReasonBodyTooLarge       Reason = "body_too_large"
+	ReasonSlowSender         Reason = "slow_sender"
+	ReasonSlowReader         Reason = "slow_reader"
+	ReasonTooManyConnections Reason = "too_many_connections"
+	ReasonCancelled          Reason = "cancelled"
 
-	ReasonAPIKeyMissing   Reason = "api_key_missing"
-	ReasonAPIKeyRepeated  Reason = "api_key_repeated"
-	ReasonAPIKeyMalformed Reason = "api_key_malformed"
-	ReasonAPIKeyUnknown   Reason = "api_key_unknown"
-	ReasonNoCommonHome    Reason = "no_common_home"
-	ReasonOverAllowance   Reason = "over_allowance"
+	ReasonAPIKeyMissing      Reason = "api_key_missing"
+	ReasonAPIKeyRepeated     Reason = "api_key_repeated"
+	ReasonAPIKeyMalformed    Reason = "api_key_malformed"
+	ReasonAPIKeyUnknown      Reason = "api_key_unknown"
+	ReasonNoCommonHomeRegion Reason = "no_common_home"
+	ReasonOverAllowance      Reason = "over_allowance"
 )
 
 // Refusal is the typed response that an entry VM sends in place of a target's response.
@@ -95,8 +95,8 @@
 	return &Refusal{Reason: reason, Ran: RanNo, RetryAfter: retryAfter, Detail: detail}
 }
 
-// Unknown returns a refusal of a request that may have been executed.
-func Unknown(reason Reason, detail string) *Refusal {
+// RefuseUnknown returns a refusal of a request that may have been executed.
+func RefuseUnknown(reason Reason, detail string) *Refusal {
 	return &Refusal{Reason: reason, Ran: RanUnknown, Detail: detail}
 }
 
--- a/steering/spill/table_test.go
+++ b/steering/spill/table_test.go
@@ -46,7 +46,7 @@
 func (m *machine) Refused(t *rapid.T) {
 	p := m.drawPlace(t)
 	after := time.Duration(rapid.IntRange(0, 20000).Draw(t, "retryAfterMs")) * time.Millisecond
-	reason := rapid.SampledFrom([]steering.Reason{steering.ReasonNoSlot, steering.ReasonPeerDown}).Draw(t, "reason")
+	reason := rapid.SampledFrom([]steering.Reason{steering.ReasonNoSlot, steering.ReasonPeerUnreachable}).Draw(t, "reason")
 	m.table.Refused(pool(p), reason, after, m.now)
 	longest := DefaultMaxBackoff
 	if reason == steering.ReasonNoSlot {
@@ -152,6 +152,6 @@
 		now = now.Add(DefaultMaxFullBackoff)
 		assert.Equal(t, len(table.Order(service, candidates, now)), 1)
 	}
-	table.Refused(pool("a"), steering.ReasonPeerDown, time.Second, now)
+	table.Refused(pool("a"), steering.ReasonPeerUnreachable, time.Second, now)
 	assert.Equal(t, len(table.Order(service, candidates, now.Add(time.Second-1))), 0)
 }
