--- a/steering/identity/identity.go
+++ b/steering/identity/identity.go
@@ -194,8 +194,8 @@
 	return d.all
 }
 
-// Named returns the workspace with the given name, or nil.
-func (d *Directory) Named(name steering.Workspace) *Workspace {
+// ByName returns the workspace with the given name, or nil.
+func (d *Directory) ByName(name steering.Workspace) *Workspace {
 	if d == nil {
 		return nil
 	}
--- a/steering/spread/workspaces_test.go
+++ b/steering/spread/workspaces_test.go
@@ -71,7 +71,7 @@
 			held = d.Index()
 			assert.Equal(t, len(held.Table().Workspaces.All()), len(want.Workspaces.All()))
 			for _, w := range want.Workspaces.All() {
-				assert.DeepEqual(t, held.Table().Workspaces.Named(w.Name), w)
+				assert.DeepEqual(t, held.Table().Workspaces.ByName(w.Name), w)
 			}
 			assert.Equal(t, held.Outline().ContentHash(), index.Outline().ContentHash())
 		}
