--- a/node/drain/watch.go
+++ b/node/drain/watch.go
@@ -113,7 +113,7 @@
 		f = &followed{life: drain.NewPlannedStop(), version: stop.Version}
 		w.stops[stop.Name] = f
 	}
-	if f.life.Look(now, stop, r) {
+	if f.life.Update(now, stop, r) {
 		w.tell(stop, f.life.State(), r)
 	}
 	w.warn(now, stop, f, r)
@@ -129,7 +129,7 @@
 		w.overdue.Inc(1)
 	}
 	level.Info(w.config.Log).Log("part", "drain", "msg", "planned stop", "stop", stop.Name, "state", state,
-		"inFlight", r.InFlight, "allReported", r.Complete)
+		"inFlight", r.InFlight, "allReported", r.AllReported)
 }
 
 // warn tells once, before anything is cut, that a deadline is near with work
--- a/node/drain/watch_test.go
+++ b/node/drain/watch_test.go
@@ -32,7 +32,7 @@
 func (w *world) remaining(string) (drain.Remaining, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return drain.Remaining{InFlight: w.inFlight, Complete: true}, true
+	return drain.Remaining{InFlight: w.inFlight, AllReported: true}, true
 }
 
 // messages returns state or message of each log line with its cut flag.
--- a/node/facts.go
+++ b/node/facts.go
@@ -161,17 +161,17 @@
 // remaining is what is known of the work that a stop waits for.
 func (f *facts) remaining(stop string) (drain.Remaining, bool) {
 	fact, known := f.Stop(stop)
-	return drain.Remaining{InFlight: fact.InFlight, Complete: known && fact.Complete}, known
+	return drain.Remaining{InFlight: fact.InFlight, AllReported: known && fact.AllReported}, known
 }
 
 // entryVMStop is complete once the entry VM is gone.
 func (f *facts) entryVMStop(stop *routing.Stop) (operator.StopFact, bool) {
 	for _, m := range f.parts.members.All() {
 		if string(m.VM) == stop.Subject && m.State != seam.MemberGone {
-			return operator.StopFact{InFlight: m.InFlight, Complete: false}, true
+			return operator.StopFact{InFlight: m.InFlight, AllReported: false}, true
 		}
 	}
-	return operator.StopFact{Complete: true}, true
+	return operator.StopFact{AllReported: true}, true
 }
 
 func (f *facts) targetStop(s *routing.Snapshot, stop *routing.Stop, now time.Time) operator.StopFact {
@@ -190,7 +190,7 @@
 			}
 		}
 	}
-	fact.Complete = len(waiting) == 0
+	fact.AllReported = len(waiting) == 0
 	return fact
 }
 
--- a/node/leave.go
+++ b/node/leave.go
@@ -69,7 +69,7 @@
 	life.Stop(time.Now(), n.lookupTTL()+lookupMargin)
 	ticker := time.NewTicker(drainPoll)
 	defer ticker.Stop()
-	for life.Look(time.Now(), n.parts.forward.InFlight()) != drain.Left {
+	for life.Update(time.Now(), n.parts.forward.InFlight()) != drain.Left {
 		select {
 		case <-hurry.Done():
 			return
--- a/node/operator/operator_test.go
+++ b/node/operator/operator_test.go
@@ -331,7 +331,7 @@
 		since := conditionOf(t, shift, ConditionShiftComplete).Since
 		time.Sleep(time.Hour)
 		runtime.zones[1] = ZoneFact{Zone: "b", ConfigVersion: 9}
-		runtime.moved, runtime.held, runtime.stop = 50, 10, StopFact{Complete: true}
+		runtime.moved, runtime.held, runtime.stop = 50, 10, StopFact{AllReported: true}
 		shift = get(oas.KindShift, "a-b")
 		assert.Equal(t, conditionOf(t, shift, ConditionInForce).Status, true)
 		complete := conditionOf(t, shift, ConditionShiftComplete)
--- a/node/operator/runtime.go
+++ b/node/operator/runtime.go
@@ -77,8 +77,8 @@
 type StopFact struct {
 	// InFlight counts the requests that what is stopped still runs.
 	InFlight int
-	// Complete is set when everybody who may still run some has reported.
-	Complete bool
+	// AllReported is set when everybody who may still run some has reported.
+	AllReported bool
 }
 
 // CapFact is a cap at work.
--- a/node/operator/status.go
+++ b/node/operator/status.go
@@ -158,7 +158,7 @@
 		b.add(ConditionDrained, false, "Spreading", "not yet in force in every zone")
 	case !known:
 		b.add(ConditionDrained, false, "NothingKnown", "nothing has been reported of what is stopped")
-	case !fact.Complete:
+	case !fact.AllReported:
 		b.add(ConditionDrained, false, "NotAllHeard", "%d in flight, not every entry VM has reported", fact.InFlight)
 	case fact.InFlight > 0:
 		b.add(ConditionDrained, false, "InFlight", "%d requests still in flight", fact.InFlight)
--- a/steering/drain/lifecycle.go
+++ b/steering/drain/lifecycle.go
@@ -58,7 +58,7 @@
 // NewEntryVM returns an entry VM in state Serving.
 func NewEntryVM() *EntryVM { return &EntryVM{state: entryVMChart.Initial()} }
 
-// State returns the state after the last call of Stop or Look.
+// State returns the state after the last call of Stop or Update.
 func (e *EntryVM) State() chart.State { return e.state }
 
 // Stop starts the shutdown of the entry VM; a repeated call has no effect. Callers may
@@ -70,9 +70,9 @@
 	}
 }
 
-// Look updates the state for the time and the number of requests in flight, and
+// Update updates the state for the time and the number of requests in flight, and
 // returns it.
-func (e *EntryVM) Look(now time.Time, inFlight int) chart.State {
+func (e *EntryVM) Update(now time.Time, inFlight int) chart.State {
 	if e.state == Leaving && !now.Before(e.answersExpireAt) {
 		e.fire(eventAnswersExpired)
 	}
@@ -94,8 +94,9 @@
 // Remaining is the known number of requests that a stop waits for.
 type Remaining struct {
 	InFlight int
-	// Complete is set if all VMs that may have such requests in flight have reported.
-	Complete bool
+	// AllReported is set if all VMs that may have such requests in flight have
+	// reported.
+	AllReported bool
 }
 
 // PlannedStop tracks the state of a planned stop. It is not safe for concurrent use.
@@ -106,17 +107,17 @@
 // NewPlannedStop returns a stop in state Announced.
 func NewPlannedStop() *PlannedStop { return &PlannedStop{state: plannedStopChart.Initial()} }
 
-// State returns the state after the last call of Look.
+// State returns the state after the last call of Update.
 func (p *PlannedStop) State() chart.State { return p.state }
 
-// Look updates the state for the time and the remaining requests, and reports whether
+// Update updates the state for the time and the remaining requests, and reports whether
 // it changed.
-func (p *PlannedStop) Look(now time.Time, stop *routing.Stop, r Remaining) (changed bool) {
+func (p *PlannedStop) Update(now time.Time, stop *routing.Stop, r Remaining) (changed bool) {
 	before := p.state
 	if !stop.At.After(now) {
 		p.fire(eventStart)
 	}
-	if r.Complete && r.InFlight == 0 {
+	if r.AllReported && r.InFlight == 0 {
 		p.fire(eventEmpty)
 	} else {
 		p.fire(eventBusy)
@@ -127,8 +128,8 @@
 	return p.state != before
 }
 
-// fire takes the transition for an event if the state has one. Look fires an event for
-// every condition that holds, and most states ignore some of them.
+// fire takes the transition for an event if the state has one. Update fires an event
+// for every condition that holds, and most states ignore some of them.
 func (p *PlannedStop) fire(event chart.Event) {
 	if next, err := plannedStopChart.Fire(p, p.state, event); err == nil {
 		p.state = next
--- a/steering/drain/lifecycle_test.go
+++ b/steering/drain/lifecycle_test.go
@@ -31,14 +31,14 @@
 				e.Stop(now, ttl)
 			}
 			was := e.State()
-			left := e.Look(now, inFlight) == Left && was != Left
+			left := e.Update(now, inFlight) == Left && was != Left
 			if left {
 				assert.Equal(t, inFlight, 0)
 				assert.Assert(t, !stopped.IsZero() && now.Sub(stopped) >= ttl)
 			}
 		}
 		if !stopped.IsZero() {
-			assert.Equal(t, e.Look(now.Add(ttl), 0), Left)
+			assert.Equal(t, e.Update(now.Add(ttl), 0), Left)
 		}
 	})
 }
@@ -49,10 +49,10 @@
 	stop := &routing.Stop{Name: "s", At: noon, Deadline: noon.Add(time.Minute)}
 	p := NewPlannedStop()
 	look := func(after time.Duration, r Remaining) chart.State {
-		p.Look(noon.Add(after), stop, r)
+		p.Update(noon.Add(after), stop, r)
 		return p.State()
 	}
-	all := func(n int) Remaining { return Remaining{InFlight: n, Complete: true} }
+	all := func(n int) Remaining { return Remaining{InFlight: n, AllReported: true} }
 	assert.Equal(t, look(-time.Second, all(0)), Announced)
 	assert.Equal(t, look(0, all(3)), Draining)
 	assert.Equal(t, look(time.Second, Remaining{}), Draining, "missing reports do not mean that nothing is in flight")
