--- a/node/lookups/lookups.go
+++ b/node/lookups/lookups.go
@@ -126,7 +126,7 @@
 	}
 	self := l.config.Members.Self()
 	start := time.Now()
-	plan := lookup.NewPlan(lookup.Input{
+	plan := lookup.NewPlan(lookup.PlanInput{
 		Snapshot: snapshot, Members: members, Zone: self.Zone, Region: self.Region, Now: now, TTL: l.config.TTL,
 	})
 	l.current.Store(newServedPlan(plan, snapshot, members, now))
@@ -137,7 +137,7 @@
 	if current == nil || current.snapshot != snapshot || !slices.Equal(current.members, members) {
 		return true
 	}
-	next := current.plan.NextChange()
+	next := current.plan.NextStopStart()
 	return !next.IsZero() && !now.Before(next)
 }
 
@@ -163,9 +163,9 @@
 func stateOf(state seam.MemberState) (lookup.MemberState, bool) {
 	switch state {
 	case seam.MemberLive:
-		return lookup.Usable, true
+		return lookup.Live, true
 	case seam.MemberSuspect:
-		return lookup.Doubtful, true
+		return lookup.Suspect, true
 	}
 	return 0, false
 }
--- a/steering/lookup/build.go
+++ b/steering/lookup/build.go
@@ -26,7 +26,7 @@
 
 // NewPlan precomputes the answers for a snapshot and a list of members. It uses in.Snapshot.Blocks
 // only if that is a [*Table]; with any other value every client has an unknown home.
-func NewPlan(in Input) *Plan {
+func NewPlan(in PlanInput) *Plan {
 	if in.TTL == 0 {
 		in.TTL = DefaultTTL
 	}
@@ -44,7 +44,7 @@
 
 // builder holds the intermediate state of NewPlan.
 type builder struct {
-	in          Input
+	in          PlanInput
 	plan        *Plan
 	blocks      *Table
 	places      []*routing.Place // the result of openPlaces, sorted by name
@@ -90,7 +90,7 @@
 	return s
 }
 
-func newBuilder(in Input) *builder {
+func newBuilder(in PlanInput) *builder {
 	b := &builder{
 		in:          in,
 		plan:        &Plan{version: in.Snapshot.Version, services: map[steering.Service]*servicePlan{}},
@@ -308,23 +308,23 @@
 
 // entries returns the entry VMs of an answer in order of preference: usable ones of the place's
 // zone, with the owner of the pool first; then one usable VM from each of the nearest other zones.
-// Doubtful VMs of the place's zone are appended if the zone has no usable one, and doubtful VMs of
+// Suspect VMs of the place's zone are appended if the zone has no live one, and suspect VMs of
 // other zones if the list would otherwise be empty.
 func (b *builder) entries(service steering.Service, place *routing.Place) []Entry {
-	entries := b.topEntries(service, place.Name, b.zones[place.Zone], Usable, sameZoneEntries)
+	entries := b.topEntries(service, place.Name, b.zones[place.Zone], Live, sameZoneEntries)
 	inZone := len(entries)
 	for _, zone := range b.fallbackZones(service, place) {
 		if len(entries) >= inZone+fallbackZones {
 			break
 		}
-		entries = append(entries, b.topEntries(service, place.Name, b.zones[zone], Usable, 1)...)
+		entries = append(entries, b.topEntries(service, place.Name, b.zones[zone], Live, 1)...)
 	}
 	if inZone == 0 {
-		entries = append(entries, b.topEntries(service, place.Name, b.zones[place.Zone], Doubtful, sameZoneEntries)...)
+		entries = append(entries, b.topEntries(service, place.Name, b.zones[place.Zone], Suspect, sameZoneEntries)...)
 	}
 	if len(entries) == 0 {
 		for _, zone := range b.fallbackZones(service, place) {
-			entries = append(entries, b.topEntries(service, place.Name, b.zones[zone], Doubtful, 1)...)
+			entries = append(entries, b.topEntries(service, place.Name, b.zones[zone], Suspect, 1)...)
 		}
 	}
 	return entries
--- a/steering/lookup/plan.go
+++ b/steering/lookup/plan.go
@@ -29,12 +29,12 @@
 
 // Member states. NewPlan is not given members that are leaving or have failed.
 const (
-	// Usable members are listed first.
-	Usable MemberState = iota
-	// Doubtful members have missed heartbeats. They are listed only where a zone has no usable
+	// Live members are listed first.
+	Live MemberState = iota
+	// Suspect members have missed heartbeats. They are listed only where a zone has no usable
 	// member: if every member of a zone seems to have failed, the failure detection itself is
 	// suspect.
-	Doubtful
+	Suspect
 )
 
 // Member is an entry VM that answers may list.
@@ -47,8 +47,8 @@
 	State       MemberState
 }
 
-// Input holds the data that a plan is built from.
-type Input struct {
+// PlanInput holds the data that a plan is built from.
+type PlanInput struct {
 	Snapshot *routing.Snapshot
 	Members  []Member
 	// Zone and Region are those of the entry VM that builds the plan. Clients with an unknown home
@@ -139,9 +139,9 @@
 // be modified.
 func (p *Plan) Answers() []Answer { return p.answers }
 
-// NextChange returns the time at which the next planned stop starts, or the zero time if none is
+// NextStopStart returns the time at which the next planned stop starts, or the zero time if none is
 // scheduled. The plan is out of date from that time on and must be rebuilt.
-func (p *Plan) NextChange() time.Time { return p.nextStart }
+func (p *Plan) NextStopStart() time.Time { return p.nextStart }
 
 // Choose returns the index of the answer for a client and a service. It allocates only when it
 // returns an error, which is a *steering.Refusal.
--- a/steering/lookup/plan_test.go
+++ b/steering/lookup/plan_test.go
@@ -19,7 +19,7 @@
 
 // testInput returns an input with three regions of two zones each, and two places and three entry
 // VMs in each zone. Every place serves the service. Block 10.N.0.0/16 belongs to the N-th place.
-func testInput() Input {
+func testInput() PlanInput {
 	snapshot := &routing.Snapshot{
 		Version:  1,
 		Services: map[steering.Service]*routing.Service{service: {Name: service}},
@@ -27,7 +27,7 @@
 		Shifts:   map[string]*routing.Shift{},
 		Stops:    map[string]*routing.Stop{},
 	}
-	in := Input{Snapshot: snapshot, Zone: "r0-z0", Region: "r0", Now: time.Unix(1000, 0)}
+	in := PlanInput{Snapshot: snapshot, Zone: "r0-z0", Region: "r0", Now: time.Unix(1000, 0)}
 	var blocks []routing.Block
 	for r := range 3 {
 		region := steering.Region(fmt.Sprintf("r%d", r))
@@ -117,7 +117,7 @@
 				gone[m.VM] = true
 				continue
 			case "doubtful":
-				m.State = Doubtful
+				m.State = Suspect
 				doubtful[m.VM] = true
 			}
 			members = append(members, m)
@@ -132,9 +132,9 @@
 			"l": {Kind: routing.StopZone, Subject: "r2-z1", At: later},
 		}
 		plan := NewPlan(in)
-		assert.Equal(t, plan.NextChange(), later)
+		assert.Equal(t, plan.NextStopStart(), later)
 		left := slices.ContainsFunc(members, func(m Member) bool { return m.Zone != stoppedZone })
-		usable := slices.ContainsFunc(members, func(m Member) bool { return m.Zone != stoppedZone && m.State == Usable })
+		usable := slices.ContainsFunc(members, func(m Member) bool { return m.Zone != stoppedZone && m.State == Live })
 		for block := range 12 {
 			index, err := plan.Choose(client(block, block), service)
 			if err != nil {
