--- a/cmd/internal/benchbalance/zones.go
+++ b/cmd/internal/benchbalance/zones.go
@@ -223,12 +223,12 @@
 	}
 	at := to[tried]
 	key := spill.Pool{Place: at.name, Service: zonesService}
-	s.table.Sent(key)
+	s.table.RecordSent(key)
 	s.sent[at.name]++
 	away := distance(s.home, at)
 	if at.dead {
 		w.after(deadTimeout, func() {
-			s.table.Refused(key, steering.ReasonPeerUnreachable, time.Second, w.clock())
+			s.table.RecordRefusal(key, steering.ReasonPeerUnreachable, time.Second, w.clock())
 			w.spill(s, r, to, tried+1)
 		})
 		return
@@ -240,7 +240,7 @@
 		w.serve(at, r, false, func() {
 			free, when := at.c.pool.Free(), w.clock()
 			w.after(away, func() {
-				s.table.Learn(key, free, when) // replies carry the headroom
+				s.table.RecordFree(key, free, when) // replies carry the headroom
 				w.finish(r)
 			})
 		}, func() {
@@ -250,7 +250,7 @@
 				if w.measured(r) {
 					w.wasted++
 				}
-				s.table.Refused(key, steering.ReasonNoSlot, after, w.clock())
+				s.table.RecordRefusal(key, steering.ReasonNoSlot, after, w.clock())
 				w.spill(s, r, to, tried+1)
 			})
 		})
@@ -276,7 +276,7 @@
 			at.told = free
 			for _, other := range w.places {
 				for _, s := range other.senders {
-					s.table.Learn(spill.Pool{Place: at.name, Service: zonesService}, free, when)
+					s.table.RecordFree(spill.Pool{Place: at.name, Service: zonesService}, free, when)
 				}
 			}
 		})
--- a/node/forward/fakes_test.go
+++ b/node/forward/fakes_test.go
@@ -235,11 +235,11 @@
 	return false
 }
 
-func (e *entryVM) Headroom(steering.Place, steering.Service) (int, time.Duration) { return 7, 0 }
-func (e *entryVM) Owner(steering.Place, steering.Service) (seam.Member, bool)     { return e.self, true }
-func (e *entryVM) Hint(steering.Place, steering.Service, int)                     {}
-func (e *entryVM) Refused(steering.Place, steering.Service, *steering.Refusal)    {}
-func (e *entryVM) RecordRequest(retry.Pool, int)                                  {}
+func (e *entryVM) Headroom(steering.Place, steering.Service) (int, time.Duration)    { return 7, 0 }
+func (e *entryVM) Owner(steering.Place, steering.Service) (seam.Member, bool)        { return e.self, true }
+func (e *entryVM) Hint(steering.Place, steering.Service, int)                        {}
+func (e *entryVM) RecordRefusal(steering.Place, steering.Service, *steering.Refusal) {}
+func (e *entryVM) RecordRequest(retry.Pool, int)                                     {}
 func (e *entryVM) Retry(now time.Time, r retry.Request, t retry.Tries, ran steering.Ran) retry.Denial {
 	if !e.allow {
 		return retry.DenyBudget
--- a/node/forward/handover.go
+++ b/node/forward/handover.go
@@ -49,7 +49,7 @@
 		if result.refusal.Ran != steering.RanNo || !isPlaceSpecific(result.refusal.Reason) {
 			return result.refusal
 		}
-		x.f.remote.Refused(place, x.service.Name, result.refusal)
+		x.f.remote.RecordRefusal(place, x.service.Name, result.refusal)
 		final = earlierRetry(final, result.refusal)
 	}
 	return final
--- a/node/member/remote.go
+++ b/node/member/remote.go
@@ -53,7 +53,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, f := range facts {
-		r.table.Learn(poolOf(f), int(f.Free), now.Add(-time.Duration(f.AgeMs)*time.Millisecond))
+		r.table.RecordFree(poolOf(f), int(f.Free), now.Add(-time.Duration(f.AgeMs)*time.Millisecond))
 	}
 }
 
@@ -61,15 +61,15 @@
 func (r *RemoteZones) Hint(place steering.Place, service steering.Service, free int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.table.Learn(spill.Pool{Place: place, Service: service}, free, time.Now())
+	r.table.RecordFree(spill.Pool{Place: place, Service: service}, free, time.Now())
 }
 
-// Refused implements seam.RemoteZones.
-func (r *RemoteZones) Refused(place steering.Place, service steering.Service, refusal *steering.Refusal) {
+// RecordRefusal implements seam.RemoteZones.
+func (r *RemoteZones) RecordRefusal(place steering.Place, service steering.Service, refusal *steering.Refusal) {
 	r.scope.Counter("refused").Inc(1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.table.Refused(spill.Pool{Place: place, Service: service}, refusal.Reason, refusal.RetryAfter, time.Now())
+	r.table.RecordRefusal(spill.Pool{Place: place, Service: service}, refusal.Reason, refusal.RetryAfter, time.Now())
 }
 
 // Candidates implements seam.RemoteZones. Work is counted against the first
@@ -88,7 +88,7 @@
 		r.scope.Counter("no_candidate").Inc(1)
 		return nil
 	}
-	r.table.Sent(spill.Pool{Place: places[0], Service: service})
+	r.table.RecordSent(spill.Pool{Place: places[0], Service: service})
 	return places
 }
 
@@ -96,7 +96,7 @@
 func (r *RemoteZones) forget(now time.Time) {
 	if now.Sub(r.forgot) > time.Second {
 		r.forgot = now
-		r.table.Forget(now)
+		r.table.RemoveExpired(now)
 	}
 }
 
--- a/node/seam/seam.go
+++ b/node/seam/seam.go
@@ -161,8 +161,8 @@
 	Candidates(service steering.Service, home steering.Place) []steering.Place
 	// Hint records the headroom that a reply from a place carried.
 	Hint(place steering.Place, service steering.Service, free int)
-	// Refused records that a place refused a request or could not be reached.
-	Refused(place steering.Place, service steering.Service, refusal *steering.Refusal)
+	// RecordRefusal records that a place refused a request or could not be reached.
+	RecordRefusal(place steering.Place, service steering.Service, refusal *steering.Refusal)
 }
 
 // LookupResolver answers look-ups from in-memory state.
--- a/steering/pool/region_test.go
+++ b/steering/pool/region_test.go
@@ -93,7 +93,7 @@
 		if g.admit(t, g.receivers[i]) {
 			return
 		}
-		table.Refused(spill.Pool{Place: name, Service: regionService}, steering.ReasonNoSlot, time.Millisecond, g.now)
+		table.RecordRefusal(spill.Pool{Place: name, Service: regionService}, steering.ReasonNoSlot, time.Millisecond, g.now)
 	}
 	g.refused++
 }
@@ -171,7 +171,7 @@
 	table := rapid.SampledFrom(g.senders).Draw(t, "sender")
 	place := rapid.SampledFrom(g.receivers).Draw(t, "receiver").name
 	age := time.Duration(rapid.IntRange(0, 6000).Draw(t, "ageMs")) * time.Millisecond
-	table.Learn(spill.Pool{Place: place, Service: regionService}, rapid.IntRange(0, 50).Draw(t, "free"), g.now.Add(-age))
+	table.RecordFree(spill.Pool{Place: place, Service: regionService}, rapid.IntRange(0, 50).Draw(t, "free"), g.now.Add(-age))
 }
 
 func (g *region) Pass(t *rapid.T) {
--- a/steering/spill/table.go
+++ b/steering/spill/table.go
@@ -98,9 +98,9 @@
 	return h
 }
 
-// Learn records the number of free slots that a pool had at the given time. It ignores figures
+// RecordFree records the number of free slots that a pool had at the given time. It ignores figures
 // older than the current one.
-func (t *Table) Learn(pool Pool, free int, at time.Time) {
+func (t *Table) RecordFree(pool Pool, free int, at time.Time) {
 	h := t.hint(pool)
 	if at.Before(h.at) {
 		return
@@ -111,15 +111,15 @@
 	}
 }
 
-// Refused records that a pool refused a request, with the reason and the requested retry delay. The
-// sender backs off for the retry delay or for MinBackoff, whichever is longer; MinBackoff doubles
-// with each consecutive refusal.
+// RecordRefusal records that a pool refused a request, with the reason and the requested retry
+// delay. The sender backs off for the retry delay or for MinBackoff, whichever is longer;
+// MinBackoff doubles with each consecutive refusal.
 //
 // The backoff from a full pool is limited to MaxFullBackoff, because the retry delay in such a
 // refusal is meant for a single caller among many. Slots become free within milliseconds, and a
 // sender that stopped all its requests for the whole delay would refuse its callers although other
 // places had free capacity.
-func (t *Table) Refused(pool Pool, reason steering.Reason, retryAfter time.Duration, now time.Time) {
+func (t *Table) RecordRefusal(pool Pool, reason steering.Reason, retryAfter time.Duration, now time.Time) {
 	h := t.hint(pool)
 	longest := t.params.MaxBackoff
 	if isTransient(reason) {
@@ -142,11 +142,11 @@
 	return false
 }
 
-// Sent subtracts one request, just sent to the pool, from the pool's hint.
-func (t *Table) Sent(pool Pool) { t.hint(pool).sent++ }
+// RecordSent subtracts one request, just sent to the pool, from the pool's hint.
+func (t *Table) RecordSent(pool Pool) { t.hint(pool).sent++ }
 
-// Forget removes hints that have expired and whose backoff has ended.
-func (t *Table) Forget(now time.Time) {
+// RemoveExpired removes hints that have expired and whose backoff has ended.
+func (t *Table) RemoveExpired(now time.Time) {
 	for pool, h := range t.hints {
 		if now.Sub(h.at) > t.params.HintTTL && now.After(h.backoffUntil) {
 			delete(t.hints, pool)
--- a/steering/spill/table_test.go
+++ b/steering/spill/table_test.go
@@ -33,21 +33,21 @@
 	return rapid.SampledFrom(m.places).Draw(t, "place").Place
 }
 
-func (m *machine) Learn(t *rapid.T) {
+func (m *machine) RecordFree(t *rapid.T) {
 	p := m.drawPlace(t)
 	free := rapid.IntRange(0, 9).Draw(t, "free")
 	at := m.now.Add(-time.Duration(rapid.IntRange(0, 8000).Draw(t, "ageMs")) * time.Millisecond)
-	m.table.Learn(pool(p), free, at)
+	m.table.RecordFree(pool(p), free, at)
 	if !at.Before(m.at[p]) {
 		m.free[p], m.at[p] = free, at
 	}
 }
 
-func (m *machine) Refused(t *rapid.T) {
+func (m *machine) RecordRefusal(t *rapid.T) {
 	p := m.drawPlace(t)
 	after := time.Duration(rapid.IntRange(0, 20000).Draw(t, "retryAfterMs")) * time.Millisecond
 	reason := rapid.SampledFrom([]steering.Reason{steering.ReasonNoSlot, steering.ReasonPeerUnreachable}).Draw(t, "reason")
-	m.table.Refused(pool(p), reason, after, m.now)
+	m.table.RecordRefusal(pool(p), reason, after, m.now)
 	longest := DefaultMaxBackoff
 	if reason == steering.ReasonNoSlot {
 		longest = DefaultMaxFullBackoff
@@ -61,7 +61,7 @@
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
 }
 
-func (m *machine) Forget(*rapid.T) { m.table.Forget(m.now) }
+func (m *machine) RemoveExpired(*rapid.T) { m.table.RemoveExpired(m.now) }
 
 func (m *machine) Check(t *rapid.T) {
 	order := m.table.Order(service, m.places, m.now)
@@ -113,9 +113,9 @@
 func TestOrderFollowsHeadroom(t *testing.T) {
 	table := NewTable(Params{})
 	candidates := []Candidate{{Place: "a"}, {Place: "b"}, {Place: "c"}}
-	table.Learn(pool("a"), 12, start)
-	table.Learn(pool("b"), 4, start)
-	table.Learn(pool("c"), 0, start)
+	table.RecordFree(pool("a"), 12, start)
+	table.RecordFree(pool("b"), 4, start)
+	table.RecordFree(pool("c"), 0, start)
 	count := countFirst(table, candidates, 4000, start)
 	assert.Assert(t, count["a"] > 2850 && count["a"] < 3150, "%v", count)
 	assert.Assert(t, count["b"] > 850 && count["b"] < 1150, "%v", count)
@@ -130,10 +130,10 @@
 func TestSentRequestsReduceHint(t *testing.T) {
 	table := NewTable(Params{})
 	candidates := []Candidate{{Place: "near"}, {Place: "far", Distance: 1}}
-	table.Learn(pool("near"), 2, start)
+	table.RecordFree(pool("near"), 2, start)
 	for range 2 {
 		assert.Equal(t, table.Order(service, candidates, start)[0], steering.Place("near"))
-		table.Sent(pool("near"))
+		table.RecordSent(pool("near"))
 	}
 	assert.Equal(t, table.Order(service, candidates, start)[0], steering.Place("far"))
 }
@@ -147,11 +147,11 @@
 	candidates := []Candidate{{Place: "a"}}
 	now := start
 	for range 20 {
-		table.Refused(pool("a"), steering.ReasonNoSlot, time.Second, now)
+		table.RecordRefusal(pool("a"), steering.ReasonNoSlot, time.Second, now)
 		assert.Equal(t, len(table.Order(service, candidates, now)), 0)
 		now = now.Add(DefaultMaxFullBackoff)
 		assert.Equal(t, len(table.Order(service, candidates, now)), 1)
 	}
-	table.Refused(pool("a"), steering.ReasonPeerUnreachable, time.Second, now)
+	table.RecordRefusal(pool("a"), steering.ReasonPeerUnreachable, time.Second, now)
 	assert.Equal(t, len(table.Order(service, candidates, now.Add(time.Second-1))), 0)
 }
