--- a/cmd/internal/offline/whylog_vm_test.go
+++ b/cmd/internal/offline/whylog_vm_test.go
@@ -64,9 +64,9 @@
 		Log:   telemetry.NewLogger(file, "info"), MemberCount: func() int { return 1 }})
 	route := func(name string, kind routes.Kind) *routes.Route {
 		return &routes.Route{Name: name, Host: "shop.example", Prefix: "/" + name + "/", Kind: kind, Timeout: 400 * time.Millisecond,
-			Aim: 200 * time.Millisecond, MaxAttempts: 2, KeyAffinity: true, Parts: []routes.Part{{Service: testService, Weight: 1}}}
+			Aim: 200 * time.Millisecond, MaxAttempts: 2, KeyAffinity: true, Parts: []routes.WeightedService{{Service: testService, Weight: 1}}}
 	}
-	r.SetTable(routes.NewTable(7, []*routes.Route{route("read", routes.Idempotent), route("buy", routes.Once)},
+	r.SetTable(routes.NewTable(7, []*routes.Route{route("read", routes.Idempotent), route("buy", routes.AtMostOnce)},
 		[]*routes.Service{{Name: testService, MaxConnections: 50}}, routes.Limits{HeaderBytes: 8 << 10, BodyBytes: 1 << 20, HeaderTimeout: time.Second, IdleTimeout: 2 * time.Second}))
 	r.SetTargetsKnown()
 	vm.serveCallers(r)
--- a/node/gateway/catchup/catchup_test.go
+++ b/node/gateway/catchup/catchup_test.go
@@ -26,7 +26,7 @@
 	var all []*routes.Route
 	for n := range size {
 		all = append(all, &routes.Route{Name: fmt.Sprint("r", n), Host: "shop.example", Prefix: fmt.Sprintf("/%05d/", n), MaxAttempts: 2,
-			Parts: []routes.Part{{Service: "svc", Weight: 1}}})
+			Parts: []routes.WeightedService{{Service: "svc", Weight: 1}}})
 	}
 	return spread.NewIndex(routes.NewTable(version, all, []*routes.Service{{Name: "svc"}}, routes.Limits{HeaderBytes: 8192}))
 }
--- a/node/gateway/catchup/golden_internal_test.go
+++ b/node/gateway/catchup/golden_internal_test.go
@@ -88,7 +88,7 @@
 		Buckets: []spread.BucketPiece{{Number: 6, Keep: []uint64{1<<61 + 7, 8},
 			Routes: []spread.Route{{Name: "r1", Host: "a.example", Prefix: "/x/", Kind: routes.Upload, Timeout: 9 * time.Second, Aim: 400 * time.Millisecond,
 				Rank: 10, MaxAttempts: 11, KeyAffinity: true, Parts: []spread.Part{{Service: "tickets", Weight: 90.5}, {Service: "maps", Weight: 9.5}},
-				Homes: []steering.Region{"norte", "sur"}, Public: true}, {Name: "r2", Kind: routes.Once}},
+				Homes: []steering.Region{"norte", "sur"}, Public: true}, {Name: "r2", Kind: routes.AtMostOnce}},
 			Workspaces: []spread.Workspace{{Name: "w1", Keys: []identity.Digest{identity.DigestOf("key-one"), identity.DigestOf("key-two")}, Rank: &rank,
 				Rate: 40.5, Burst: 20.25, Homes: []steering.Region{"centro"}}, {Name: "w2"}}},
 			{Number: 12}},
--- a/node/gateway/feed/state_test.go
+++ b/node/gateway/feed/state_test.go
@@ -47,7 +47,7 @@
 }
 
 func table(version uint64) *routes.Table {
-	return routes.NewTable(version, []*routes.Route{{Name: "r", Host: "h", Prefix: "/", Parts: []routes.Part{{Service: "s", Weight: 1}}}}, nil, routes.Limits{})
+	return routes.NewTable(version, []*routes.Route{{Name: "r", Host: "h", Prefix: "/", Parts: []routes.WeightedService{{Service: "s", Weight: 1}}}}, nil, routes.Limits{})
 }
 
 // Guards against dropping all targets, and with that refusing all requests, after an outage of the
--- a/node/gateway/relay/rig_test.go
+++ b/node/gateway/relay/rig_test.go
@@ -95,9 +95,9 @@
 		Log:   log.NewNopLogger(), MemberCount: func() int { return 1 }, ConfigOutdated: g.outdated.Load, Behind: g.behind.Load, Allowances: g})
 	route := func(name string, kind routes.Kind) *routes.Route {
 		return &routes.Route{Name: name, Host: "shop.example", Prefix: "/" + name + "/", Kind: kind, Timeout: time.Second,
-			Aim: 400 * time.Millisecond, MaxAttempts: 3, KeyAffinity: true, Parts: []routes.Part{{Service: service, Weight: 1}}}
+			Aim: 400 * time.Millisecond, MaxAttempts: 3, KeyAffinity: true, Parts: []routes.WeightedService{{Service: service, Weight: 1}}}
 	}
-	g.relay.SetTable(routes.NewTable(1, []*routes.Route{route("read", routes.Idempotent), route("buy", routes.Once), route("upload", routes.Upload)},
+	g.relay.SetTable(routes.NewTable(1, []*routes.Route{route("read", routes.Idempotent), route("buy", routes.AtMostOnce), route("upload", routes.Upload)},
 		[]*routes.Service{{Name: service, MaxConnections: 50}},
 		routes.Limits{HeaderBytes: 8 << 10, BodyBytes: 1 << 20, HeaderTimeout: 300 * time.Millisecond, IdleTimeout: 2 * time.Second}))
 	g.relay.SetTargetsKnown()
--- a/node/gateway/relay/workspaces_test.go
+++ b/node/gateway/relay/workspaces_test.go
@@ -28,7 +28,7 @@
 func (g *rig) configure(version uint64, workspaces ...*identity.Workspace) {
 	old := g.relay.Table()
 	public := &routes.Route{Name: "public", Host: "shop.example", Prefix: "/public/", Timeout: time.Second, MaxAttempts: 2,
-		Public: true, Parts: []routes.Part{{Service: service, Weight: 1}}}
+		Public: true, Parts: []routes.WeightedService{{Service: service, Weight: 1}}}
 	g.relay.SetTable(routes.NewTable(version, append(old.Routes[:3:3], public), []*routes.Service{{Name: service, MaxConnections: 50}}, old.Limits, workspaces...))
 }
 
--- a/steering/routes/routes_test.go
+++ b/steering/routes/routes_test.go
@@ -36,10 +36,10 @@
 func TestSplitterKeepsProportions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(0, 100), 1, 5).Draw(t, "weights")
-		var parts []routes.Part
+		var parts []routes.WeightedService
 		total := 0
 		for i, w := range weights {
-			parts = append(parts, routes.Part{Service: steering.Service(rune('a' + i)), Weight: float64(w)})
+			parts = append(parts, routes.WeightedService{Service: steering.Service(rune('a' + i)), Weight: float64(w)})
 			total += w
 		}
 		split := routes.NewSplitter(parts)
--- a/steering/routes/split.go
+++ b/steering/routes/split.go
@@ -10,13 +10,13 @@
 // concurrent use.
 type Splitter struct {
 	mu     sync.Mutex
-	parts  []Part
+	parts  []WeightedService
 	credit []float64 // weight credited to each part, minus the total for each request it got
 	total  float64
 }
 
 // NewSplitter returns a Splitter. Parts with a weight of zero or less get no requests.
-func NewSplitter(parts []Part) *Splitter {
+func NewSplitter(parts []WeightedService) *Splitter {
 	s := &Splitter{}
 	for _, p := range parts {
 		if p.Weight > 0 {
--- a/steering/routes/table.go
+++ b/steering/routes/table.go
@@ -16,9 +16,9 @@
 const (
 	// Idempotent requests may be executed more than once.
 	Idempotent Kind = iota
-	// Once requests are executed at most once for each request ID.
-	Once
-	// Upload requests are Once requests with large bodies.
+	// AtMostOnce requests are executed at most once for each request ID.
+	AtMostOnce
+	// Upload requests are AtMostOnce requests with large bodies.
 	Upload
 )
 
@@ -27,7 +27,7 @@
 	switch k {
 	case Idempotent:
 		return "idempotent"
-	case Once:
+	case AtMostOnce:
 		return "once"
 	case Upload:
 		return "upload"
@@ -39,8 +39,8 @@
 // executed.
 func (k Kind) Retryable() bool { return k == Idempotent }
 
-// Part is a service with its weight in a traffic split.
-type Part struct {
+// WeightedService is a service with its weight in a traffic split.
+type WeightedService struct {
 	Service steering.Service
 	Weight  float64
 }
@@ -58,7 +58,7 @@
 	// Rank is the priority of the route's requests among those of the same service; 0 is served
 	// first.
 	Rank        int
-	Parts       []Part
+	Parts       []WeightedService
 	MaxAttempts int
 	// KeyAffinity is set if a target that recently handled requests with the same affinity key
 	// responds faster.
--- a/steering/spread/golden_test.go
+++ b/steering/spread/golden_test.go
@@ -24,7 +24,7 @@
 	}
 	table := routes.NewTable(7,
 		[]*routes.Route{{Name: "r1", Host: "a.example", Prefix: "/x/", Kind: routes.Upload, Timeout: time.Second, Aim: 400 * time.Millisecond, Rank: 2,
-			Parts: []routes.Part{{Service: "tickets", Weight: 90}, {Service: "maps", Weight: 10}}, MaxAttempts: 4, KeyAffinity: true,
+			Parts: []routes.WeightedService{{Service: "tickets", Weight: 90}, {Service: "maps", Weight: 10}}, MaxAttempts: 4, KeyAffinity: true,
 			Homes: []steering.Region{"norte"}, Public: true}},
 		[]*routes.Service{{Name: "tickets", HealthPath: "/health", MaxConnections: 390, ColdFor: 3 * time.Second, ColdRate: 7.5}},
 		routes.Limits{HeaderBytes: 16384, BodyBytes: 1 << 33, HeaderTimeout: 5 * time.Second, IdleTimeout: 15 * time.Second}, workspaces...)
--- a/steering/spread/piece.go
+++ b/steering/spread/piece.go
@@ -117,7 +117,7 @@
 	r := &routes.Route{Name: w.Name, Host: w.Host, Prefix: w.Prefix, Kind: w.Kind, Timeout: w.Timeout, Aim: w.Aim, Rank: w.Rank,
 		MaxAttempts: w.MaxAttempts, KeyAffinity: w.KeyAffinity, Homes: w.Homes, Public: w.Public}
 	for _, p := range w.Parts {
-		r.Parts = append(r.Parts, routes.Part{Service: p.Service, Weight: p.Weight})
+		r.Parts = append(r.Parts, routes.WeightedService{Service: p.Service, Weight: p.Weight})
 	}
 	return r
 }
--- a/steering/spread/spread_test.go
+++ b/steering/spread/spread_test.go
@@ -18,7 +18,7 @@
 
 func route(n int, weight float64) *routes.Route {
 	return &routes.Route{Name: fmt.Sprint("r-", n), Host: "shop.example", Prefix: fmt.Sprintf("/route-%05d/", n), Timeout: time.Second, Aim: 400 * time.Millisecond,
-		MaxAttempts: 2, KeyAffinity: true, Parts: []routes.Part{{Service: "svc", Weight: weight}}, Homes: []steering.Region{"centro"}}
+		MaxAttempts: 2, KeyAffinity: true, Parts: []routes.WeightedService{{Service: "svc", Weight: weight}}, Homes: []steering.Region{"centro"}}
 }
 
 func tableOf(version uint64, weights map[int]float64) *routes.Table {
