--- a/node/cut.go
+++ b/node/cut.go
@@ -36,7 +36,7 @@
 		return
 	}
 	for _, stop := range snapshot.Stops {
-		if !stop.Cut || stop.Deadline.IsZero() || now.Before(stop.Deadline) {
+		if !stop.AbortAtDeadline || stop.Deadline.IsZero() || now.Before(stop.Deadline) {
 			continue
 		}
 		if stop.Kind == routing.StopEntryVM {
--- a/node/drain/watch.go
+++ b/node/drain/watch.go
@@ -141,5 +141,5 @@
 	f.warned = true
 	w.warned.Inc(1)
 	level.Warn(w.config.Log).Log("part", "drain", "msg", "deadline of a planned stop is near with work left", "stop", stop.Name,
-		"deadline", stop.Deadline.Format(time.RFC3339), "inFlight", r.InFlight, "cuts", stop.Cut)
+		"deadline", stop.Deadline.Format(time.RFC3339), "inFlight", r.InFlight, "cuts", stop.AbortAtDeadline)
 }
--- a/node/drain/watch_test.go
+++ b/node/drain/watch_test.go
@@ -59,7 +59,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		begun := time.Now()
 		w := &world{inFlight: 2, snapshot: &routing.Snapshot{Stops: map[string]*routing.Stop{
-			"s": {Name: "s", Version: 1, Kind: routing.StopPlace, Subject: "sur", Deadline: begun.Add(5 * time.Minute), Cut: true},
+			"s": {Name: "s", Version: 1, Kind: routing.StopPlace, Subject: "sur", Deadline: begun.Add(5 * time.Minute), AbortAtDeadline: true},
 		}}}
 		watch, err := New(Config{Configs: w, Leading: func() bool { return true }, Remaining: w.remaining, Log: log.NewJSONLogger(w)})
 		assert.NilError(t, err)
--- a/node/dynamic/compile.go
+++ b/node/dynamic/compile.go
@@ -220,8 +220,8 @@
 		Version: o.Version,
 		Service: steering.Service(in.Spec.Service.Value),
 		Route:   routing.Route{From: in.Spec.From, To: in.Spec.To},
-		From:    routing.Resolve(c.out.snapshot.Places, in.Spec.From),
-		To:      routing.Resolve(c.out.snapshot.Places, in.Spec.To),
+		From:    routing.ResolvePlaces(c.out.snapshot.Places, in.Spec.From),
+		To:      routing.ResolvePlaces(c.out.snapshot.Places, in.Spec.To),
 		Percent: in.Spec.Percent,
 		Step:    in.Spec.StepPercent.Value,
 		Every:   time.Duration(in.Spec.StepSeconds.Value) * time.Second,
@@ -290,13 +290,13 @@
 		return err
 	}
 	c.out.snapshot.Stops[o.Name] = &routing.Stop{
-		Name:     o.Name,
-		Version:  o.Version,
-		Kind:     routing.StopKind(in.Spec.What),
-		Subject:  in.Spec.Name,
-		At:       in.Spec.At.Value,
-		Deadline: in.Spec.Deadline.Value,
-		Cut:      in.Spec.CutAtDeadline.Value,
+		Name:            o.Name,
+		Version:         o.Version,
+		Kind:            routing.StopKind(in.Spec.What),
+		Subject:         in.Spec.Name,
+		At:              in.Spec.At.Value,
+		Deadline:        in.Spec.Deadline.Value,
+		AbortAtDeadline: in.Spec.CutAtDeadline.Value,
 	}
 	return nil
 }
--- a/node/dynamic/golden_internal_test.go
+++ b/node/dynamic/golden_internal_test.go
@@ -196,7 +196,7 @@
 		From: []steering.Place{"norte-1"}, To: []steering.Place{"sur-1"}, Percent: 60, Step: 20, Every: 21 * time.Second, Moved: 40}})
 	assert.DeepEqual(t, s.Caps, map[string]*routing.Cap{"limit": {Name: "limit", Version: 6, Shift: "move", Requests: 22, Window: 2300 * time.Millisecond}})
 	assert.DeepEqual(t, s.Stops, map[string]*routing.Stop{"stop": {Name: "stop", Version: 7, Kind: routing.StopZone, Subject: "sur-a",
-		At: time.Date(2026, 2, 3, 4, 5, 6, 0, time.UTC), Deadline: time.Date(2026, 2, 3, 5, 6, 7, 0, time.UTC), Cut: true}})
+		At: time.Date(2026, 2, 3, 4, 5, 6, 0, time.UTC), Deadline: time.Date(2026, 2, 3, 5, 6, 7, 0, time.UTC), AbortAtDeadline: true}})
 	assert.DeepEqual(t, s.Progress, map[string]*routing.ShiftProgress{"move": {Version: 31, ShiftVersion: 11, Service: "tickets", Route: routing.Route{From: "norte", To: "sur-1"},
 		Step: 20, EverySeconds: 21, Moved: 40, State: "held", HeldBy: "sur-1 is busy", WaitsForTurn: true, RemainingSeconds: 90,
 		Since: time.Date(2026, 1, 2, 2, 4, 5, 678000000, time.UTC), Forward: true, Driver: "sur-a-1", Epoch: 51}})
--- a/node/shiftdriver/driver.go
+++ b/node/shiftdriver/driver.go
@@ -214,7 +214,7 @@
 	if inForce := s.Shifts[name]; inForce != nil {
 		return inForce.To
 	}
-	if to := routing.Resolve(s.Places, s.Progress[name].Route.To); len(to) > 0 {
+	if to := routing.ResolvePlaces(s.Places, s.Progress[name].Route.To); len(to) > 0 {
 		return to
 	}
 	return slices.Collect(maps.Keys(s.Places))
--- a/steering/lookup/build.go
+++ b/steering/lookup/build.go
@@ -72,7 +72,7 @@
 func startedStops(snapshot *routing.Snapshot, now time.Time) stops {
 	s := stops{vms: map[steering.VM]bool{}, zones: map[steering.Zone]bool{}, places: map[steering.Place]bool{}}
 	for _, stop := range snapshot.Stops {
-		if !stop.Begun(now) {
+		if !stop.Started(now) {
 			if s.nextStart.IsZero() || stop.At.Before(s.nextStart) {
 				s.nextStart = stop.At
 			}
--- a/steering/routing/resolve.go
+++ b/steering/routing/resolve.go
@@ -7,10 +7,10 @@
 	"heatherlock/steering"
 )
 
-// Resolve returns the places that a name in a shift refers to, sorted by name: the place of that
-// name if there is one, otherwise the places of the zone, otherwise those of the region. The result
-// is empty if nothing has that name.
-func Resolve(places map[steering.Place]*Place, name string) []steering.Place {
+// ResolvePlaces returns the places that a name in a shift refers to, sorted by name: the place of
+// that name if there is one, otherwise the places of the zone, otherwise those of the region. The
+// result is empty if nothing has that name.
+func ResolvePlaces(places map[steering.Place]*Place, name string) []steering.Place {
 	if _, ok := places[steering.Place(name)]; ok {
 		return []steering.Place{steering.Place(name)}
 	}
@@ -36,7 +36,7 @@
 	return slices.ContainsFunc(p.Targets, func(t Target) bool { return t.Service == service })
 }
 
-// Begun reports whether the stop has started at the given time.
-func (s *Stop) Begun(now time.Time) bool {
+// Started reports whether the stop has started at the given time.
+func (s *Stop) Started(now time.Time) bool {
 	return !now.Before(s.At)
 }
--- a/steering/routing/snapshot.go
+++ b/steering/routing/snapshot.go
@@ -101,9 +101,9 @@
 	Subject string    // name of the target, entry VM, zone or place
 	At      time.Time // start time; zero means immediately
 	// Deadline is the time by which the stop should be complete; zero means no deadline. A missed
-	// deadline is reported; requests still in flight are aborted only if Cut is set.
-	Deadline time.Time
-	Cut      bool
+	// deadline is reported; requests still in flight are aborted only if AbortAtDeadline is set.
+	Deadline        time.Time
+	AbortAtDeadline bool
 }
 
 // Block maps a client address block to its home place.
--- a/steering/shift/inforce.go
+++ b/steering/shift/inforce.go
@@ -20,7 +20,7 @@
 		moved.Moved = progress.Moved
 		return &moved
 	}
-	from, to := routing.Resolve(places, progress.Route.From), routing.Resolve(places, progress.Route.To)
+	from, to := routing.ResolvePlaces(places, progress.Route.From), routing.ResolvePlaces(places, progress.Route.To)
 	if len(from) == 0 || len(to) == 0 {
 		return declared // the places of the old route no longer exist
 	}
