--- a/node/shiftdriver/driver.go
+++ b/node/shiftdriver/driver.go
@@ -178,7 +178,7 @@
 		return nil
 	}
 	decision, err := shift.Decide(d.input(s, name, now))
-	if err != nil || decision.Same {
+	if err != nil || decision.Unchanged {
 		return err
 	}
 	if s.Shifts[name] == nil && !decision.Delete {
--- a/node/shiftdriver/track.go
+++ b/node/shiftdriver/track.go
@@ -144,7 +144,7 @@
 	for _, key := range receivingPools(s, in.Shift) {
 		sample := t.samples[key]
 		in.Receivers = append(in.Receivers, shift.Receiver{
-			Place: key.place, Service: key.service, Known: sample.known, Busy: sample.busy, Queued: sample.queued,
+			Place: key.place, Service: key.service, Known: sample.known, Utilization: sample.busy, Queued: sample.queued,
 		})
 	}
 	for capName, at := range t.capFull {
@@ -159,14 +159,14 @@
 			in.Stopped = append(in.Stopped, to)
 		}
 	}
-	in.Others = d.others(s, name, now)
+	in.Competing = d.others(s, name, now)
 	return in
 }
 
 // others lists the shifts that move the same service into one of the places.
-func (d *Driver) others(s *routing.Snapshot, name string, now time.Time) []shift.Other {
+func (d *Driver) others(s *routing.Snapshot, name string, now time.Time) []shift.CompetingShift {
 	self := s.Shifts[name]
-	var others []shift.Other
+	var others []shift.CompetingShift
 	for _, other := range shiftNames(s) {
 		o := s.Shifts[other]
 		if other == name || o == nil || o.Service != "" && self.Service != "" && o.Service != self.Service {
@@ -176,10 +176,10 @@
 		if i < 0 {
 			continue
 		}
-		entry := shift.Other{Name: other, Place: o.To[i], Wants: o.Moved < o.Percent, Age: now.Sub(d.tracks[other].changed)}
+		entry := shift.CompetingShift{Name: other, Place: o.To[i], WantsStep: o.Moved < o.Percent, Age: now.Sub(d.tracks[other].changed)}
 		if p := s.Progress[other]; p != nil {
 			entry.Forward, entry.Since = p.Forward, p.Since
-			entry.Wants = entry.Wants && (p.State != string(shift.Held) || p.WaitsForTurn)
+			entry.WantsStep = entry.WantsStep && (p.State != string(shift.Held) || p.WaitsForTurn)
 		}
 		others = append(others, entry)
 	}
--- a/steering/shift/decide.go
+++ b/steering/shift/decide.go
@@ -57,13 +57,13 @@
 	Service steering.Service
 	// Known is false if the place has not reported recently.
 	Known bool
-	// Busy is the fraction of the place's slots that are in use, and Queued the number of queued
-	// requests.
-	Busy, Queued float64
+	// Utilization is the fraction of the place's slots that are in use, and Queued the number of
+	// queued requests.
+	Utilization, Queued float64
 }
 
-// Other is another shift with a destination place in common.
-type Other struct {
+// CompetingShift is another shift with a destination place in common.
+type CompetingShift struct {
 	Name  string
 	Place steering.Place // the destination in common
 	// Forward is set if the last change of the other shift was a step forward.
@@ -71,9 +71,9 @@
 	// Since is the recorded time of that change, and Age the time since then by the local clock.
 	Since time.Time
 	Age   time.Duration
-	// Wants is set if the other shift has a further step forward to make and is blocked by nothing
-	// except other shifts.
-	Wants bool
+	// WantsStep is set if the other shift has a further step forward to make and is blocked by
+	// nothing except other shifts.
+	WantsStep bool
 }
 
 // Input is the state from which a driver decides on a shift.
@@ -88,20 +88,20 @@
 	// TTL is the time for which clients cache look-up answers.
 	TTL       time.Duration
 	Receivers []Receiver
-	Others    []Other
+	Competing []CompetingShift
 	// FullCaps lists the caps on this shift that refused requests recently.
 	FullCaps []string
 	// Stopped lists the receiving places under a planned stop.
 	Stopped []steering.Place
 }
 
-// Decision is the progress that the driver should store. If Same is set, the stored progress is
-// already up to date. If Delete is set, it should be deleted.
+// Decision is the progress that the driver should store. If Unchanged is set, the stored progress
+// is already up to date. If Delete is set, it should be deleted.
 type Decision struct {
-	Same   bool
-	Delete bool
-	State  chart.State
-	Moved  int
+	Unchanged bool
+	Delete    bool
+	State     chart.State
+	Moved     int
 	// HeldBy describes what blocks the next step forward; empty if nothing does.
 	HeldBy string
 	// WaitsForTurn is set if the step waits for a step of another shift.
@@ -134,7 +134,7 @@
 	}
 	d.Delete = d.State == Cleared
 	d.Remaining = d.remaining(in)
-	d.Same = !d.Delete && in.Progress != nil && in.Progress.Moved == d.Moved &&
+	d.Unchanged = !d.Delete && in.Progress != nil && in.Progress.Moved == d.Moved &&
 		chart.State(in.Progress.State) == d.State && in.Progress.HeldBy == d.HeldBy && in.Progress.WaitsForTurn == d.WaitsForTurn
 	return d, nil
 }
@@ -188,7 +188,7 @@
 			return fmt.Sprintf("place %s has not reported its %s slots", r.Place, r.Service)
 		case r.Queued >= holdQueueLength:
 			return fmt.Sprintf("requests for %s queue at place %s", r.Service, r.Place)
-		case r.Busy >= busy:
+		case r.Utilization >= busy:
 			return fmt.Sprintf("the %s slots of place %s are busy", r.Service, r.Place)
 		}
 	}
@@ -206,10 +206,10 @@
 	if in.Progress != nil {
 		since = in.Progress.Since
 	}
-	for _, o := range in.Others {
+	for _, o := range in.Competing {
 		recent := o.Forward && o.Age < interval(in)
 		before := o.Since.Before(since) || o.Since.Equal(since) && o.Name < in.Shift.Name
-		if recent || o.Wants && before {
+		if recent || o.WantsStep && before {
 			return fmt.Sprintf("place %s takes a step of shift %s first", o.Place, o.Name)
 		}
 	}
--- a/steering/shift/shift_test.go
+++ b/steering/shift/shift_test.go
@@ -41,16 +41,16 @@
 	return InForce(name, w.declared[name], w.progress[name], places)
 }
 
-func (w *simulation) others(name string, to steering.Place) []Other {
-	var others []Other
+func (w *simulation) others(name string, to steering.Place) []CompetingShift {
+	var others []CompetingShift
 	for other, p := range w.progress {
 		s := w.inForce(other)
 		if other == name || s == nil || s.To[0] != to {
 			continue
 		}
-		others = append(others, Other{
+		others = append(others, CompetingShift{
 			Name: other, Place: to, Forward: p.Forward, Since: p.Since, Age: w.now.Sub(w.changed[other]),
-			Wants: p.Moved < s.Percent && (p.State != string(Held) || p.WaitsForTurn),
+			WantsStep: p.Moved < s.Percent && (p.State != string(Held) || p.WaitsForTurn),
 		})
 	}
 	return others
@@ -61,8 +61,8 @@
 	before := w.progress[name]
 	in := Input{Now: w.now, Shift: w.inForce(name), Progress: before, TTL: ttl, Age: w.now.Sub(w.changed[name])}
 	if in.Shift != nil {
-		in.Receivers = []Receiver{{Place: in.Shift.To[0], Service: "tickets", Known: true, Busy: w.busy}}
-		in.Others = w.others(name, in.Shift.To[0])
+		in.Receivers = []Receiver{{Place: in.Shift.To[0], Service: "tickets", Known: true, Utilization: w.busy}}
+		in.Competing = w.others(name, in.Shift.To[0])
 	}
 	d, err := Decide(in)
 	assert.NilError(w.t, err)
@@ -70,7 +70,7 @@
 		delete(w.progress, name)
 		return d
 	}
-	if d.Same || in.Shift == nil {
+	if d.Unchanged || in.Shift == nil {
 		return d
 	}
 	next := routing.ShiftProgress{Route: in.Shift.Route, Step: in.Shift.Step, EverySeconds: 3, State: string(d.State),
@@ -163,10 +163,10 @@
 	}{
 		{func(in *Input) { in.Receivers = []Receiver{{Place: "sur", Service: "tickets"}} }, "place sur has not reported its tickets slots"},
 		{func(in *Input) { in.Receivers[0].Queued = 2 }, "requests for tickets queue at place sur"},
-		{func(in *Input) { in.Receivers[0].Busy = 0.9 }, "the tickets slots of place sur are busy"},
+		{func(in *Input) { in.Receivers[0].Utilization = 0.9 }, "the tickets slots of place sur are busy"},
 		{func(in *Input) { in.FullCaps = []string{"evening"} }, "cap evening is reached"},
 		{func(in *Input) { in.Stopped = []steering.Place{"sur"} }, "place sur is under a planned stop"},
-		{func(in *Input) { in.Others = []Other{{Name: "b", Place: "sur", Forward: true}} }, "place sur takes a step of shift b first"},
+		{func(in *Input) { in.Competing = []CompetingShift{{Name: "b", Place: "sur", Forward: true}} }, "place sur takes a step of shift b first"},
 	}
 	for _, tc := range cases {
 		in := Input{Now: noon, Shift: s, TTL: ttl, Receivers: []Receiver{{Place: "sur", Service: "tickets", Known: true}}}
