--- a/cmd/internal/vmstatus/vmstatus_test.go
+++ b/cmd/internal/vmstatus/vmstatus_test.go
@@ -145,7 +145,7 @@
 	page, err := os.ReadFile("../../../docs/operations/configuration.md")
 	assert.NilError(t, err)
 	for _, part := range []string{"vm-status --all --control", "vm-status --all --watch --control", "vm-status --output json --control", "same version, other content", "does not know of the newest",
-		"behind: " + catchup.Parts.String(), "behind: " + catchup.Room.String(), "behind: " + catchup.Answers.String(), "behind: " + catchup.Holder.String()} {
+		"behind: " + catchup.ReceivingPieces.String(), "behind: " + catchup.PeersBusy.String(), "behind: " + catchup.PeersUnresponsive.String(), "behind: " + catchup.NoPeerAvailable.String()} {
 		assert.Assert(t, strings.Contains(string(page), part), "the page does not name %q", part)
 	}
 }
--- a/node/gateway/catchup/catchup_test.go
+++ b/node/gateway/catchup/catchup_test.go
@@ -53,7 +53,7 @@
 	return r.inForce
 }
 
-func (r *reader) Take(x *spread.Index) {
+func (r *reader) ApplyConfig(x *spread.Index) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.inForce = x
--- a/node/gateway/catchup/fetcher.go
+++ b/node/gateway/catchup/fetcher.go
@@ -41,8 +41,8 @@
 	Behind() (newest uint64, behindFor time.Duration, behind bool)
 	// Index returns the active configuration, or nil.
 	Index() *spread.Index
-	// Take activates a configuration.
-	Take(*spread.Index)
+	// ApplyConfig activates a configuration.
+	ApplyConfig(*spread.Index)
 	// ReadConfig reads the configuration from the store.
 	ReadConfig(ctx context.Context) error
 	// Rank returns how many VMs come before this one in the order in which VMs read the store.
@@ -137,7 +137,7 @@
 		}
 		t.fetchFrom(ctx, peer)
 		if t.assembler.Done() {
-			f.cfg.Reader.Take(t.assembler.Index())
+			f.cfg.Reader.ApplyConfig(t.assembler.Index())
 			t.slotHolder = ""
 		}
 	}
@@ -196,7 +196,7 @@
 	case err == nil:
 		t.progress = time.Now()
 		t.recordSlot(peer, result.piece)
-		t.publishProgress(Parts)
+		t.publishProgress(ReceivingPieces)
 		return
 	case result.retryAfter > 0:
 		t.avoidUntil[peer.VM] = time.Now().Add(min(result.retryAfter, maxRetryAfter))
--- a/node/gateway/catchup/golden_internal_test.go
+++ b/node/gateway/catchup/golden_internal_test.go
@@ -135,7 +135,7 @@
 // status responses as text.
 func TestGoldenWaits(t *testing.T) {
 	text := ""
-	for n, w := range []Wait{Nothing, Parts, Room, Answers, Holder} {
+	for n, w := range []Wait{NotWaiting, ReceivingPieces, PeersBusy, PeersUnresponsive, NoPeerAvailable} {
 		assert.Equal(t, int(w), n)
 		text += fmt.Sprintf("%d %q\n", w, w)
 	}
--- a/node/gateway/catchup/progress.go
+++ b/node/gateway/catchup/progress.go
@@ -6,20 +6,20 @@
 type Wait uint8
 
 const (
-	// Nothing means that the VM is not behind, or has not begun to fetch.
-	Nothing Wait = iota
-	// Parts means that pieces of the configuration are arriving.
-	Parts
-	// Room means that no VM that has the configuration can be asked now, and that at least one
-	// of them is busy sending it to others.
-	Room
-	// Answers means that the VMs that have the configuration do not respond, or that their
-	// responses break off, which points to the link. It also covers a VM that has to let
+	// NotWaiting means that the VM is not behind, or has not begun to fetch.
+	NotWaiting Wait = iota
+	// ReceivingPieces means that pieces of the configuration are arriving.
+	ReceivingPieces
+	// PeersBusy means that no VM that has the configuration can be asked now, and that at
+	// least one of them is busy sending it to others.
+	PeersBusy
+	// PeersUnresponsive means that the VMs that have the configuration do not respond, or that
+	// their responses break off, which points to the link. It also covers a VM that has to let
 	// others of its zone or region fetch first.
-	Answers
-	// Holder means that the VM receives heartbeats from no VM that has the configuration, and
-	// reads the store instead.
-	Holder
+	PeersUnresponsive
+	// NoPeerAvailable means that the VM receives heartbeats from no VM that has the
+	// configuration, and reads the store instead.
+	NoPeerAvailable
 )
 
 var waitNames = [...]string{"", "parts under way", "no VM that has it has room", "VMs that have it do not answer", "hears no VM that has it, reads the store"}
@@ -67,9 +67,9 @@
 	}
 	switch {
 	case holders == 0:
-		return Holder
+		return NoPeerAvailable
 	case busy > 0:
-		return Room
+		return PeersBusy
 	}
-	return Answers
+	return PeersUnresponsive
 }
--- a/node/gateway/feed/configread.go
+++ b/node/gateway/feed/configread.go
@@ -43,9 +43,9 @@
 	return r.index
 }
 
-// Take puts a configuration that was fetched from peers in force if it is newer than the current
-// one.
-func (r *Reader) Take(x *spread.Index) {
+// ApplyConfig puts a configuration that was fetched from peers in force if it is newer than the
+// current one.
+func (r *Reader) ApplyConfig(x *spread.Index) {
 	r.update(func() bool {
 		if !r.state.SetTable(time.Now(), x.Table()) {
 			return false
--- a/node/gateway/fleet/following_test.go
+++ b/node/gateway/fleet/following_test.go
@@ -32,15 +32,15 @@
 		assert.Assert(t, all[1].LastHeartbeat.IsZero() && !all[1].Live)
 		return all[0]
 	}
-	first := heard(5, 5, 77, catchup.Nothing)
+	first := heard(5, 5, 77, catchup.NotWaiting)
 	since := now
 	assert.Assert(t, first.Live && first.Version == 5 && first.Content == 77 && first.Since.Equal(since))
-	second := heard(5, 7, 0, catchup.Room)
+	second := heard(5, 7, 0, catchup.PeersBusy)
 	assert.Equal(t, second.Content, uint32(77), "as reported before")
 	assert.Equal(t, second.Newest, uint64(7))
-	assert.Equal(t, second.Wait, catchup.Room)
+	assert.Equal(t, second.Wait, catchup.PeersBusy)
 	assert.Assert(t, second.Since.Equal(since) && second.LastHeartbeat.Equal(now))
-	third := heard(7, 7, 0, catchup.Nothing)
+	third := heard(7, 7, 0, catchup.NotWaiting)
 	assert.Equal(t, third.Content, uint32(0), "unknown for the new version")
 	assert.Assert(t, third.Since.Equal(now))
 }
--- a/node/gateway/fleet/golden_internal_test.go
+++ b/node/gateway/fleet/golden_internal_test.go
@@ -43,7 +43,7 @@
 		Incarnation: 1<<31 + 1, Number: 1<<40 + 2, Serving: true, Leaving: true, StoreReadsFail: true, ReadingStore: true, WantsReply: true, WantsMembers: true, Crowd: 1<<30 + 3,
 		StoreDigest: feed.Digest{Revision: 5000, Content: 1<<63 + 4, ColdRevision: 4990, Config: 17, Newest: 22, ConfigRevision: 4980,
 			Evacuated: []steering.Zone{"norte-b", "sur-b"}, EvacuationRevision: 4970, AgeMs: 905},
-		ConfigContent: 1<<29 + 6, ConfigWait: catchup.Holder,
+		ConfigContent: 1<<29 + 6, ConfigWait: catchup.NoPeerAvailable,
 		Demand: placement.DemandOf{"tickets": {Rate: 1.5, RunMs: 110.25, Runs: 7, Bound: map[steering.Region]float32{"sur": 0.75}}},
 		Mates:  []uint32{1<<24 - 2, 0x010203}, Replaced: []placement.StartID{1<<31 + 8, 9},
 		Tight:    []allowance.LowBucketNotice{{Workspace: 1<<62 + 10, LeftMs: 1411}},
