--- a/cmd/internal/losses/read.go
+++ b/cmd/internal/losses/read.go
@@ -87,7 +87,7 @@
 // lines need no decoding.
 var (
 	sumsMarker  = []byte(`"msg":"` + losses.LogMessage + `"`)
-	bytesMarker = []byte(`"msg":"` + volume.LineMessage + `"`)
+	bytesMarker = []byte(`"msg":"` + volume.LogMessage + `"`)
 )
 
 // readLog reads the JSON lines of a log. It skips the text before the first brace of a line,
--- a/node/gateway/config.go
+++ b/node/gateway/config.go
@@ -69,7 +69,7 @@
 	return catchup.NewFetcher(catchup.Config{Reader: g.reader, Peers: g.peersWithNewer, Requester: g.requester, HTTP: g.peerClient,
 		Self: g.settings.VM, PieceBytes: spread.PieceBytes(g.settings.LinkMbps), Scope: g.metrics.Scope, Log: g.log,
 		OnResponse: func(from catchup.Peer, bytes int64) {
-			g.meter.Count(volume.Configuration, volume.Place{Zone: from.Zone, Region: from.Region}, bytes)
+			g.meter.Count(volume.Configuration, volume.Location{Zone: from.Zone, Region: from.Region}, bytes)
 		}})
 }
 
--- a/node/gateway/fleet/fleet.go
+++ b/node/gateway/fleet/fleet.go
@@ -220,7 +220,7 @@
 }
 
 // LocationOf returns the place of a member, or the zero value if it is not known.
-func (f *Fleet) LocationOf(name steering.VM) volume.Place {
+func (f *Fleet) LocationOf(name steering.VM) volume.Location {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.roster.LocationOf(name)
--- a/node/gateway/fleet/views.go
+++ b/node/gateway/fleet/views.go
@@ -215,14 +215,14 @@
 func readOrder(name steering.VM) uint64 { return xxhash.Sum64String("read\x00" + string(name)) }
 
 // LocationOf returns the place of a VM, or the zero value if it is not known.
-func (r *Roster) LocationOf(name steering.VM) volume.Place {
+func (r *Roster) LocationOf(name steering.VM) volume.Location {
 	if name == r.self.Name {
-		return volume.Place{Zone: r.self.Zone, Region: r.self.Region}
+		return volume.Location{Zone: r.self.Zone, Region: r.self.Region}
 	}
 	if h := r.members[name]; h != nil {
-		return volume.Place{Zone: h.Zone, Region: h.Region}
+		return volume.Location{Zone: h.Zone, Region: h.Region}
 	}
-	return volume.Place{}
+	return volume.Location{}
 }
 
 // MemberCount returns the number of VMs on record that have not left, this VM included. A VM has
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -90,7 +90,7 @@
 func New(settings *platform.Settings, logger log.Logger) (*Gateway, error) {
 	g := &Gateway{settings: settings, currentSettings: settings, log: logger, metrics: telemetry.New(string(settings.VM), string(settings.Zone)),
 		store: platform.NewStore(settings.Store), regionSplit: placement.RegionSplit{}, peaks: make(map[steering.Zone]peak),
-		meter: volume.NewMeter(volume.Place{Zone: settings.Zone, Region: settings.Region})}
+		meter: volume.NewMeter(volume.Location{Zone: settings.Zone, Region: settings.Region})}
 	scope := g.metrics.Scope
 	if err := g.newAllowances(); err != nil {
 		return nil, err
@@ -100,7 +100,7 @@
 	g.store.OnCall = func(call string, err error) {
 		scope.Tagged(map[string]string{"fault": faultName(err)}).Counter("gateway_store_calls").Inc(1)
 	}
-	g.store.OnBytes = func(bytes int) { g.meter.Count(volume.Store, volume.Place{}, int64(bytes)) }
+	g.store.OnBytes = func(bytes int) { g.meter.Count(volume.Store, volume.Location{}, int64(bytes)) }
 	b := settings.Bounds
 	g.relay = relay.New(relay.Config{Region: settings.Region, Zone: settings.Zone, Pool: g.pool,
 		Balancer: placement.NewBalancer(settings.VM, settings.Region),
@@ -293,7 +293,7 @@
 	if len(sums) == 0 {
 		return
 	}
-	_ = g.log.Log("msg", volume.LineMessage, "zone", g.settings.Zone, "bytes", sums) // the log writer counts dropped lines
+	_ = g.log.Log("msg", volume.LogMessage, "zone", g.settings.Zone, "bytes", sums) // the log writer counts dropped lines
 	for purpose, sum := range sums {
 		for distance, bytes := range sum.ByDistance() {
 			g.metrics.Scope.Tagged(map[string]string{"purpose": string(purpose), "distance": distance}).Counter("gateway_exchanged_bytes").Inc(bytes)
--- a/node/gateway/golden_internal_test.go
+++ b/node/gateway/golden_internal_test.go
@@ -24,8 +24,8 @@
 	metrics := telemetry.New("vm-1", "norte-a")
 	defer metrics.Close()
 	g := &Gateway{settings: &platform.Settings{Zone: "norte-a"}, log: telemetry.NewLogger(&lines, "info"), metrics: metrics,
-		meter: volume.NewMeter(volume.Place{Zone: "norte-a", Region: "norte"})}
-	g.meter.Count(volume.Heartbeats, volume.Place{Zone: "sur-a", Region: "sur"}, 1234)
+		meter: volume.NewMeter(volume.Location{Zone: "norte-a", Region: "norte"})}
+	g.meter.Count(volume.Heartbeats, volume.Location{Zone: "sur-a", Region: "sur"}, 1234)
 	g.logTraffic()
 	golden.Assert(t, stamp.ReplaceAllString(lines.String(), `"ts":"2026-01-02T03:04:05Z"`), "golden/bytes-line.json")
 }
--- a/node/gateway/peersync.go
+++ b/node/gateway/peersync.go
@@ -114,7 +114,9 @@
 }
 
 // locationOf returns the zone and region of an entry VM.
-func locationOf(m fleet.Member) volume.Place { return volume.Place{Zone: m.Zone, Region: m.Region} }
+func locationOf(m fleet.Member) volume.Location {
+	return volume.Location{Zone: m.Zone, Region: m.Region}
+}
 
 // countPull counts a response of a peer and its bytes by whether it was complete.
 func (g *Gateway) countPull(bytes int64, err error) {
--- a/node/gateway/relay/attempts.go
+++ b/node/gateway/relay/attempts.go
@@ -126,7 +126,7 @@
 	if f.cfg.Meter == nil {
 		return nil
 	}
-	at := volume.Place{Zone: t.Zone, Region: t.Region}
+	at := volume.Location{Zone: t.Zone, Region: t.Region}
 	return func(raw net.Conn) net.Conn { return f.cfg.Meter.Conn(raw, volume.Requests, at) }
 }
 
--- a/node/gateway/volume/volume.go
+++ b/node/gateway/volume/volume.go
@@ -59,18 +59,18 @@
 // Sums holds a Sum for each purpose with any bytes.
 type Sums map[Purpose]Sum
 
-// LineMessage is the message of the log lines that hold Sums. Tools find the lines by it.
-const LineMessage = "bytes exchanged"
+// LogMessage is the message of the log lines that hold Sums. Tools find the lines by it.
+const LogMessage = "bytes exchanged"
 
-// Place is the location of the other end of an exchange. The zero value means unknown.
-type Place struct {
+// Location is the location of the other end of an exchange. The zero value means unknown.
+type Location struct {
 	Zone   steering.Zone
 	Region steering.Region
 }
 
 // Meter counts the bytes of one entry VM. It is safe for concurrent use.
 type Meter struct {
-	self Place
+	self Location
 
 	mu     sync.Mutex
 	sums   Sums
@@ -78,12 +78,12 @@
 }
 
 // NewMeter returns a Meter for the entry VM at a location, from which distances are measured.
-func NewMeter(self Place) *Meter {
+func NewMeter(self Location) *Meter {
 	return &Meter{self: self, sums: make(Sums), totals: make(map[Purpose]int64)}
 }
 
 // Count adds bytes that were sent to or received from a location.
-func (m *Meter) Count(p Purpose, at Place, bytes int64) {
+func (m *Meter) Count(p Purpose, at Location, bytes int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	sum := m.sums[p]
@@ -100,7 +100,7 @@
 	return m.totals[p]
 }
 
-func (m *Meter) classify(at Place, bytes int64) Sum {
+func (m *Meter) classify(at Location, bytes int64) Sum {
 	switch {
 	case at.Region == "":
 		return Sum{Unknown: bytes}
@@ -122,13 +122,13 @@
 }
 
 // Conn returns a connection that counts the bytes read from and written to raw.
-func (m *Meter) Conn(raw net.Conn, p Purpose, at Place) net.Conn { return &conn{raw, m, p, at} }
+func (m *Meter) Conn(raw net.Conn, p Purpose, at Location) net.Conn { return &conn{raw, m, p, at} }
 
 type conn struct {
 	net.Conn
 	meter   *Meter
 	purpose Purpose
-	at      Place
+	at      Location
 }
 
 func (c *conn) Read(b []byte) (int, error) {
--- a/node/gateway/volume/volume_test.go
+++ b/node/gateway/volume/volume_test.go
@@ -11,20 +11,20 @@
 )
 
 func TestBytesAreCountedByPurposeAndDistance(t *testing.T) {
-	m := volume.NewMeter(volume.Place{Zone: "a", Region: "north"})
-	m.Count(volume.Heartbeats, volume.Place{Zone: "a", Region: "north"}, 1)
-	m.Count(volume.Heartbeats, volume.Place{Zone: "b", Region: "north"}, 2)
-	m.Count(volume.Heartbeats, volume.Place{Zone: "c", Region: "south"}, 4)
-	m.Count(volume.Heartbeats, volume.Place{Zone: "c", Region: "south"}, 8)
-	m.Count(volume.Store, volume.Place{}, 16)
+	m := volume.NewMeter(volume.Location{Zone: "a", Region: "north"})
+	m.Count(volume.Heartbeats, volume.Location{Zone: "a", Region: "north"}, 1)
+	m.Count(volume.Heartbeats, volume.Location{Zone: "b", Region: "north"}, 2)
+	m.Count(volume.Heartbeats, volume.Location{Zone: "c", Region: "south"}, 4)
+	m.Count(volume.Heartbeats, volume.Location{Zone: "c", Region: "south"}, 8)
+	m.Count(volume.Store, volume.Location{}, 16)
 	assert.DeepEqual(t, m.TakeSums(), volume.Sums{volume.Heartbeats: {Zone: 1, Region: 2, Across: 12}, volume.Store: {Unknown: 16}})
 	assert.Equal(t, len(m.TakeSums()), 0, "the sums were taken before")
 }
 
 func TestConnCountsBothDirections(t *testing.T) {
-	m := volume.NewMeter(volume.Place{Zone: "a", Region: "north"})
+	m := volume.NewMeter(volume.Location{Zone: "a", Region: "north"})
 	near, far := net.Pipe()
-	counted := m.Conn(near, volume.Requests, volume.Place{Zone: "a", Region: "north"})
+	counted := m.Conn(near, volume.Requests, volume.Location{Zone: "a", Region: "north"})
 	go func() {
 		got := make([]byte, 5)
 		_, _ = io.ReadFull(far, got)
