--- a/node/gateway/planted/crossed.go
+++ b/node/gateway/planted/crossed.go
@@ -3,4 +3,4 @@
 package planted
 
 // Defect is the defect in this build.
-const Defect = Crossed
+const Defect = MismatchedResponse
--- a/node/gateway/planted/planted.go
+++ b/node/gateway/planted/planted.go
@@ -9,12 +9,12 @@
 const (
 	// None is the value of Defect in a normal build.
 	None Name = ""
-	// Twice resends a request that is not idempotent after its response was lost.
-	Twice Name = "twice"
+	// UnsafeRetry resends a request that is not idempotent after its response was lost.
+	UnsafeRetry Name = "twice"
 	// FalselyNotRun tells callers that a request has not run although its response was lost.
 	FalselyNotRun Name = "falsely_not_run"
-	// Crossed forwards responses that belong to other requests.
-	Crossed Name = "crossed"
+	// MismatchedResponse forwards responses that belong to other requests.
+	MismatchedResponse Name = "crossed"
 	// LeavingIgnored keeps sending requests to targets that are leaving.
 	LeavingIgnored Name = "leaving_ignored"
 	// StaleConfig keeps the first configuration instead of applying newer ones.
--- a/node/gateway/relay/attempts.go
+++ b/node/gateway/relay/attempts.go
@@ -188,7 +188,7 @@
 // mayRetry reports whether the request may be sent once more. If not, it sets noRetryReason.
 func (x *exchange) mayRetry(e attemptResult) bool {
 	switch {
-	case x.maybeRan && !x.route.Kind.Retryable() && planted.Defect != planted.Twice:
+	case x.maybeRan && !x.route.Kind.Retryable() && planted.Defect != planted.UnsafeRetry:
 		x.noRetryReason = noRetryMayHaveRun
 	case x.r.BodyRest != nil && !e.unsent:
 		x.noRetryReason = noRetryBodySent
--- a/node/gateway/upstream/conn.go
+++ b/node/gateway/upstream/conn.go
@@ -188,7 +188,7 @@
 			return nil, true, errors.Wrap(err, "read response body")
 		}
 		id := c.requestIDOf(httpResponse.Header)
-		if planted.Defect != planted.Crossed && id != e.id && (id != "" || httpResponse.StatusCode < http.StatusMultipleChoices) {
+		if planted.Defect != planted.MismatchedResponse && id != e.id && (id != "" || httpResponse.StatusCode < http.StatusMultipleChoices) {
 			if mismatched++; mismatched > maxMismatched || !whole {
 				return nil, true, errors.Errorf("response belongs to request %q", id)
 			}
