--- a/node/gateway/allowances/counts.go
+++ b/node/gateway/allowances/counts.go
@@ -33,7 +33,7 @@
 type counts struct {
 	all       map[steering.Workspace]*Count
 	reasons   map[steering.Workspace]map[steering.Reason]int64
-	lastTaken map[steering.Workspace]Count // the counts at the last Take
+	lastTaken map[steering.Workspace]Count // the counts at the last TakeCounts
 }
 
 func newCounts() *counts {
@@ -70,9 +70,9 @@
 	c.reasons[name][reason]++
 }
 
-// Rows returns the status of the workspaces with an allowance that this VM has counted or owns,
-// sorted by name.
-func (s *Service) Rows() []status.Workspace {
+// WorkspaceStatus returns the status of the workspaces with an allowance that this VM has counted
+// or owns, sorted by name.
+func (s *Service) WorkspaceStatus() []status.Workspace {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,9 +109,9 @@
 	return names
 }
 
-// Take returns the counts since the last call: one for each of the busiest workspaces, and the sum
-// of all others.
-func (s *Service) Take() map[steering.Workspace]Count {
+// TakeCounts returns the counts since the last call: one for each of the busiest workspaces, and
+// the sum of all others.
+func (s *Service) TakeCounts() map[steering.Workspace]Count {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	taken := make(map[steering.Workspace]Count)
--- a/node/gateway/allowances/exchange.go
+++ b/node/gateway/allowances/exchange.go
@@ -109,10 +109,10 @@
 		return allowance.Reply{}, false
 	}
 	reply, becameLow, ok := s.ledger.Report(now, from, incarnation, limitOf(w), r)
-	if becameLow && s.cfg.Low != nil {
+	if becameLow && s.cfg.OnLowBucket != nil {
 		s.lowUntil[r.Workspace] = now.Add(allowance.LowBucketTTL)
 		_ = s.cfg.Log.Log("msg", "allowance nearly used up", "workspace", w.Name, "rate", w.Rate) // the log writer counts dropped lines
-		go s.cfg.Low()
+		go s.cfg.OnLowBucket()
 	}
 	return reply, ok
 }
@@ -168,8 +168,8 @@
 		_ = s.cfg.Log.Log("msg", "cannot encode allowance datagram", "err", err) // the log writer counts dropped lines
 		return
 	}
-	if s.cfg.Sent != nil {
-		s.cfg.Sent(to.name, len(raw))
+	if s.cfg.OnSend != nil {
+		s.cfg.OnSend(to.name, len(raw))
 	}
 	// A datagram that cannot be sent is treated as lost, which the next report makes up for.
 	_, _ = s.conn.WriteTo(raw, to.address)
--- a/node/gateway/allowances/service.go
+++ b/node/gateway/allowances/service.go
@@ -33,11 +33,12 @@
 	Slack allowance.Slack
 	Log   log.Logger
 	Scope tally.Scope
-	// Low, if set, is called when the bucket of a workspace that this VM owns becomes low while its
-	// callers send more than its rate. All other VMs must be informed by the next heartbeat.
-	Low func()
-	// Sent, if set, is called for each datagram with its recipient and size.
-	Sent func(to steering.VM, bytes int)
+	// OnLowBucket, if set, is called when the bucket of a workspace that this VM owns becomes low
+	// while its callers send more than its rate. All other VMs must be informed by the next
+	// heartbeat.
+	OnLowBucket func()
+	// OnSend, if set, is called for each datagram with its recipient and size.
+	OnSend func(to steering.VM, bytes int)
 }
 
 // Service decides which requests of workspaces with an allowance may run. It is safe for concurrent
@@ -117,8 +118,9 @@
 	}
 }
 
-// SetFleet sets the live entry VMs, including this one, and the number of entry VMs in the fleet.
-func (s *Service) SetFleet(live []Peer, members int) {
+// SetLivePeers sets the live entry VMs, including this one, and the number of entry VMs in the
+// fleet.
+func (s *Service) SetLivePeers(live []Peer, members int) {
 	peers := make(map[steering.VM]peer, len(live))
 	candidates := make([]allowance.Candidate, 0, len(live))
 	for _, p := range live {
@@ -274,9 +276,9 @@
 	}
 }
 
-// TightToTell returns notices about the workspaces whose buckets are low, for a heartbeat. They
-// come from this VM's own ledger and from other VMs' heartbeats.
-func (s *Service) TightToTell() []allowance.LowBucketNotice {
+// LowBucketNotices returns notices about the workspaces whose buckets are low, for a heartbeat.
+// They come from this VM's own ledger and from other VMs' heartbeats.
+func (s *Service) LowBucketNotices() []allowance.LowBucketNotice {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -300,8 +302,8 @@
 // maxNotices bounds the low-bucket notices in a heartbeat, to 400 bytes.
 const maxNotices = 32
 
-// LearnTight applies the low-bucket notices of a heartbeat.
-func (s *Service) LearnTight(notices []allowance.LowBucketNotice) {
+// ApplyLowBucketNotices applies the low-bucket notices of a heartbeat.
+func (s *Service) ApplyLowBucketNotices(notices []allowance.LowBucketNotice) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/node/gateway/allowances/service_test.go
+++ b/node/gateway/allowances/service_test.go
@@ -40,8 +40,8 @@
 	}
 	for n, conn := range conns {
 		s := allowances.New(allowances.Config{Self: g.peers[n].Name, Log: log.NewNopLogger(), Scope: tally.NoopScope,
-			Slack: allowance.Slack{Window: 5 * time.Second, Share: 0.1, Requests: 20}, Low: func() { g.low.Add(1) }}, conn)
-		s.SetFleet(g.peers, size)
+			Slack: allowance.Slack{Window: 5 * time.Second, Share: 0.1, Requests: 20}, OnLowBucket: func() { g.low.Add(1) }}, conn)
+		s.SetLivePeers(g.peers, size)
 		s.Configure(identity.NewDirectory(w))
 		ctx, stop := context.WithCancel(t.Context())
 		g.stops = append(g.stops, stop)
@@ -92,7 +92,7 @@
 	}
 	_, ok := g.all[0].Admit(t.Context(), nil, 0)
 	assert.Assert(t, ok)
-	assert.Equal(t, len(g.all[0].Rows()), 0)
+	assert.Equal(t, len(g.all[0].WorkspaceStatus()), 0)
 }
 
 // Guards against a workspace that uses up its allowance with requests that targets refused.
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -166,7 +166,7 @@
 		b.Demand = balancer.Demand(now)
 		b.Replaced = balancer.ReplacedToReport(now)
 	})
-	b.Tight = g.allowanceService.TightToTell()
+	b.Tight = g.allowanceService.LowBucketNotices()
 }
 
 // updateMembership passes the current membership to placement, retry budgets and allowances.
--- a/node/gateway/peersync.go
+++ b/node/gateway/peersync.go
@@ -73,7 +73,7 @@
 		g.relay.MergePoisonFacts(time.Now(), b.Suspects)
 	}
 	if len(b.Tight) > 0 {
-		g.allowanceService.LearnTight(b.Tight)
+		g.allowanceService.ApplyLowBucketNotices(b.Tight)
 	}
 	if len(b.Replaced) > 0 {
 		g.relay.WithBalancer(func(balancer *placement.Balancer, _ *retry.SharedBudget) {
--- a/node/gateway/workspaces.go
+++ b/node/gateway/workspaces.go
@@ -24,8 +24,8 @@
 	}
 	b := g.settings.Bounds
 	g.allowanceService = allowances.New(allowances.Config{Self: g.settings.VM, Log: g.log, Scope: g.metrics.Scope,
-		Slack: allowance.Slack{Window: b.AllowanceWindow, Share: b.AllowanceShare, Requests: b.AllowanceRequests},
-		Low:   func() { g.fleet.Announce() }, Sent: g.countAllowanceTraffic}, conn)
+		Slack:       allowance.Slack{Window: b.AllowanceWindow, Share: b.AllowanceShare, Requests: b.AllowanceRequests},
+		OnLowBucket: func() { g.fleet.Announce() }, OnSend: g.countAllowanceTraffic}, conn)
 	return nil
 }
 
@@ -45,13 +45,13 @@
 		}
 		peers = append(peers, allowances.Peer{Name: m.Name, Address: address, Weight: float64(m.Capacity)})
 	}
-	g.allowanceService.SetFleet(peers, g.fleet.MemberCount())
+	g.allowanceService.SetLivePeers(peers, g.fleet.MemberCount())
 }
 
 // logWorkspaces logs in one line how many requests of workspaces with an allowance were admitted,
 // refused and not run since the last call, and adds them to the metrics.
 func (g *Gateway) logWorkspaces() {
-	counts := g.allowanceService.Take()
+	counts := g.allowanceService.TakeCounts()
 	if len(counts) == 0 {
 		return
 	}
