--- a/node/capshare/borrow.go
+++ b/node/capshare/borrow.go
@@ -35,7 +35,7 @@
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	reply.InUse = uint32(sh.holder.InUse(now))
-	if in.Permits == 0 || !k.config.Settled() {
+	if in.Permits == 0 || !k.config.ConfirmedSincePause() {
 		return reply, nil
 	}
 	key := caps.LoanKey{From: steering.Incarnation(in.FromIncarnation), Nonce: in.Nonce}
--- a/node/capshare/config.go
+++ b/node/capshare/config.go
@@ -26,9 +26,9 @@
 	Peer func(address string) peerpb.Peer
 	// Leading says whether this entry VM is its zone's reader now.
 	Leading func() bool
-	// Settled says whether what this process knows is from after its last
-	// pause; nil means that it always is.
-	Settled func() bool
+	// ConfirmedSincePause says whether what this process knows is from after
+	// its last pause; nil means that it always is.
+	ConfirmedSincePause func() bool
 	// ListLag defaults to DefaultListLag.
 	ListLag time.Duration
 	// Random returns a number in [0,1) for jitter; nil means math/rand/v2.
@@ -50,8 +50,8 @@
 	case c.Leading == nil:
 		return c, errors.New("capshare: nobody says who leads; set Config.Leading")
 	}
-	if c.Settled == nil {
-		c.Settled = func() bool { return true }
+	if c.ConfirmedSincePause == nil {
+		c.ConfirmedSincePause = func() bool { return true }
 	}
 	if c.ListLag <= 0 {
 		c.ListLag = DefaultListLag
--- a/node/capshare/gate.go
+++ b/node/capshare/gate.go
@@ -169,7 +169,7 @@
 
 // take takes a permit of every share, or of none.
 func (k *Caps) take(shares []*share) (*taken, *shortage) {
-	if !k.config.Settled() {
+	if !k.config.ConfirmedSincePause() {
 		return nil, &shortage{sh: shares[0], next: settleWait, paused: true}
 	}
 	t := &taken{shares: shares}
--- a/node/member/config.go
+++ b/node/member/config.go
@@ -24,10 +24,10 @@
 	Pools func() []*peerpb.PoolFact
 	// OnPools takes pools of others; ages are as of the call.
 	OnPools func([]*peerpb.PoolFact)
-	// Suspects returns fingerprints to share, newest first.
-	Suspects func() []*peerpb.SuspectFact
-	// OnSuspects takes fingerprints that others share.
-	OnSuspects func([]*peerpb.SuspectFact)
+	// SuspectRequests returns fingerprints to share, newest first.
+	SuspectRequests func() []*peerpb.SuspectFact
+	// OnSuspectRequests takes fingerprints that others share.
+	OnSuspectRequests func([]*peerpb.SuspectFact)
 	// ConfigVersion returns the version in force here.
 	ConfigVersion func() int64
 	// OnConfigVersion says which version the member at a peer address has; it
@@ -144,11 +144,11 @@
 	if h.OnPools == nil {
 		h.OnPools = func([]*peerpb.PoolFact) {}
 	}
-	if h.Suspects == nil {
-		h.Suspects = func() []*peerpb.SuspectFact { return nil }
+	if h.SuspectRequests == nil {
+		h.SuspectRequests = func() []*peerpb.SuspectFact { return nil }
 	}
-	if h.OnSuspects == nil {
-		h.OnSuspects = func([]*peerpb.SuspectFact) {}
+	if h.OnSuspectRequests == nil {
+		h.OnSuspectRequests = func([]*peerpb.SuspectFact) {}
 	}
 	if h.ConfigVersion == nil {
 		h.ConfigVersion = func() int64 { return 0 }
--- a/node/member/exchange.go
+++ b/node/member/exchange.go
@@ -36,7 +36,7 @@
 		m.config.Hooks.OnPools(h.pools)
 	}
 	if len(h.suspects) > 0 {
-		m.config.Hooks.OnSuspects(h.suspects)
+		m.config.Hooks.OnSuspectRequests(h.suspects)
 	}
 	if h.peerAddress != "" {
 		m.config.Hooks.OnConfigVersion(h.peerAddress, h.version)
@@ -54,7 +54,7 @@
 
 func (m *Members) own() own {
 	h := m.config.Hooks
-	o := own{pools: h.Pools(), suspects: h.Suspects(), configVersion: h.ConfigVersion(), inFlight: h.InFlight()}
+	o := own{pools: h.Pools(), suspects: h.SuspectRequests(), configVersion: h.ConfigVersion(), inFlight: h.InFlight()}
 	o.suspects = o.suspects[:min(maxSuspects, len(o.suspects))]
 	return o
 }
--- a/node/member/failure_test.go
+++ b/node/member/failure_test.go
@@ -46,15 +46,15 @@
 	run(t, 4, threeZones, func(f *fleet, nodes []*node) {
 		paused := nodes[0]
 		rest := without(nodes, paused)
-		assert.Assert(t, paused.Settled())
+		assert.Assert(t, paused.ConfirmedSincePause())
 		f.store.Down(true) // so that it is a peer whose answer settles it
 		paused.freeze(30 * time.Second)
 		for _, n := range rest {
 			assert.Assert(t, sees(paused, seam.MemberSuspect)(n), "%s did not miss it", n.vm)
 		}
-		assert.Assert(t, !paused.Settled(), "it believes what it knew before the pause")
+		assert.Assert(t, !paused.ConfirmedSincePause(), "it believes what it knew before the pause")
 		assert.Equal(t, len(paused.InZone(paused.zone)), 4)
-		f.within(2*time.Second, "it has asked again", []*node{paused}, func(n *node) bool { return n.Settled() })
+		f.within(2*time.Second, "it has asked again", []*node{paused}, func(n *node) bool { return n.ConfirmedSincePause() })
 		assert.Equal(t, len(paused.pauses), 1)
 		for _, n := range rest {
 			assert.Assert(t, sees(n, seam.MemberLive)(paused), "it suspects %s", n.vm)
@@ -75,7 +75,7 @@
 		}()
 		paused.freeze(time.Minute)
 		for range 100 {
-			assert.Assert(t, !paused.Settled())
+			assert.Assert(t, !paused.ConfirmedSincePause())
 			time.Sleep(100 * time.Millisecond)
 		}
 		assert.Equal(t, paused.Self().State, seam.MemberGone)
--- a/node/member/members.go
+++ b/node/member/members.go
@@ -79,7 +79,7 @@
 	byVM          map[steering.VM]*publishedMember
 	byIncarnation map[steering.Incarnation]seam.Member
 	zones         []membership.ZoneStatus
-	zoneKnown     bool // see ZoneKnown
+	zoneKnown     bool // see ZoneDiscovered
 }
 
 type publishedMember struct {
@@ -133,10 +133,10 @@
 	m.publish(now)
 }
 
-// Settled tells whether what this process knows is from after its last pause:
-// a peer or the platform has answered since. Whoever holds something that
-// others may have taken over must wait for it, and then look at Self.
-func (m *Members) Settled() bool {
+// ConfirmedSincePause tells whether what this process knows is from after its
+// last pause: a peer or the platform has answered since. Whoever holds something
+// that others may have taken over must wait for it, and then look at Self.
+func (m *Members) ConfirmedSincePause() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.noticePause(time.Now())
--- a/node/member/vmlist.go
+++ b/node/member/vmlist.go
@@ -43,11 +43,11 @@
 	}
 }
 
-// ZoneKnown reports whether the published view holds the platform's list, and
-// each entry VM that it names in this zone was heard from or called in vain.
-// One that is only listed counts as suspect, and this entry VM would take its
-// pools for its own.
-func (m *Members) ZoneKnown() bool { return m.published.Load().zoneKnown }
+// ZoneDiscovered reports whether the published view holds the platform's list,
+// and each entry VM that it names in this zone was heard from or called in
+// vain. One that is only listed counts as suspect, and this entry VM would take
+// its pools for its own.
+func (m *Members) ZoneDiscovered() bool { return m.published.Load().zoneKnown }
 
 // untried tells whether a member of the zone is only listed so far.
 func (m *Members) untried(mate membership.Member) bool {
--- a/node/operator.go
+++ b/node/operator.go
@@ -29,7 +29,7 @@
 		say(w, http.StatusServiceUnavailable, "leaving")
 	case n.parts.configs.Snapshot() == nil:
 		say(w, http.StatusServiceUnavailable, "no configuration yet: neither a peer nor the platform gave one")
-	case !n.parts.members.ZoneKnown() && time.Since(n.started) < zoneGrace:
+	case !n.parts.members.ZoneDiscovered() && time.Since(n.started) < zoneGrace:
 		say(w, http.StatusServiceUnavailable, "the zone's other entry VMs are not known yet")
 	default:
 		say(w, http.StatusOK, "ready")
--- a/node/parts.go
+++ b/node/parts.go
@@ -129,7 +129,7 @@
 func (n *Node) buildMoves(p *parts, clients *peer.Clients) (err error) {
 	p.caps, err = capshare.New(capshare.Config{
 		Configs: p.configs, Members: p.members, Platform: p.platform, Peer: clients.To,
-		Leading: p.leading, Settled: p.members.Settled, Scope: n.metrics.Scope, Log: n.log,
+		Leading: p.leading, ConfirmedSincePause: p.members.ConfirmedSincePause, Scope: n.metrics.Scope, Log: n.log,
 	})
 	if err != nil {
 		return err
@@ -232,11 +232,11 @@
 			p.admit.ObservePools(told)
 			p.board.note(told, time.Now())
 		},
-		Suspects:        func() []*peerpb.SuspectFact { return p.suspects.Facts() },
-		OnSuspects:      func(told []*peerpb.SuspectFact) { p.suspects.MergeFacts(told) },
-		ConfigVersion:   func() int64 { return p.configs.Version() },
-		OnConfigVersion: func(address string, version int64) { p.configs.OnConfigVersion(address, version) },
-		InFlight:        func() int32 { return int32(p.forward.InFlight()) },
+		SuspectRequests:   func() []*peerpb.SuspectFact { return p.suspects.Facts() },
+		OnSuspectRequests: func(told []*peerpb.SuspectFact) { p.suspects.MergeFacts(told) },
+		ConfigVersion:     func() int64 { return p.configs.Version() },
+		OnConfigVersion:   func(address string, version int64) { p.configs.OnConfigVersion(address, version) },
+		InFlight:          func() int32 { return int32(p.forward.InFlight()) },
 	}
 }
 
