--- a/node/capshare/config.go
+++ b/node/capshare/config.go
@@ -24,8 +24,8 @@
 	Platform objects.API
 	// Peer returns the client of the entry VM at a peer address.
 	Peer func(address string) peerpb.Peer
-	// Leading says whether this entry VM is its zone's reader now.
-	Leading func() bool
+	// IsZoneReader says whether this entry VM is its zone's reader now.
+	IsZoneReader func() bool
 	// ConfirmedSincePause says whether what this process knows is from after
 	// its last pause; nil means that it always is.
 	ConfirmedSincePause func() bool
@@ -47,7 +47,7 @@
 		return c, errors.New("capshare: no platform given; set Config.Platform")
 	case c.Peer == nil:
 		return c, errors.New("capshare: no peer clients given; set Config.Peer")
-	case c.Leading == nil:
+	case c.IsZoneReader == nil:
 		return c, errors.New("capshare: nobody says who leads; set Config.Leading")
 	}
 	if c.ConfirmedSincePause == nil {
--- a/node/capshare/fleet_test.go
+++ b/node/capshare/fleet_test.go
@@ -106,7 +106,7 @@
 	var err error
 	n.caps, err = New(Config{
 		Configs: n, Members: n, Platform: f.store.As(vm, string(n.self.Zone)), Peer: f.peer,
-		Leading: func() bool { return f.leads(n) }, ConfirmedSincePause: func() bool { return !n.woken.Load() }, Random: rand.New(rand.NewPCG(1, uint64(f.lives))).Float64,
+		IsZoneReader: func() bool { return f.leads(n) }, ConfirmedSincePause: func() bool { return !n.woken.Load() }, Random: rand.New(rand.NewPCG(1, uint64(f.lives))).Float64,
 	})
 	assert.NilError(f.t, err)
 	ctx, stop := context.WithCancel(f.ctx)
--- a/node/capshare/seats.go
+++ b/node/capshare/seats.go
@@ -106,7 +106,7 @@
 		// and seats are not given up for that.
 		return caps.Change{}, false
 	}
-	view := sh.view(nil, k.config.Leading())
+	view := sh.view(nil, k.config.IsZoneReader())
 	view.Claimants = k.claimants(s, sh.name)
 	view.Gone = gone
 	change := caps.Plan(view)
--- a/node/capshare/survey.go
+++ b/node/capshare/survey.go
@@ -23,11 +23,12 @@
 	surveyAtOnce  = 8
 )
 
-// Total is the use of a cap by all its holders.
-type Total struct {
+// TotalUsage is the use of a cap by all its holders.
+type TotalUsage struct {
 	InUse int
-	// Silent counts the holders that did not answer; what they use is missing.
-	Silent int
+	// Unresponsive counts the holders that did not answer; what they use is
+	// missing.
+	Unresponsive int
 	// At is when the holders were asked.
 	At time.Time
 }
@@ -41,13 +42,13 @@
 type survey struct {
 	running bool
 	begun   time.Time
-	total   Total
+	total   TotalUsage
 }
 
-// Total returns the use of a cap as its holders last said, and asks them again
-// when that is a second old. It returns at once; ok is false while nothing is
-// known. The holders are asked only while somebody wants to know.
-func (k *Caps) Total(name string) (total Total, ok bool) {
+// TotalUsage returns the use of a cap as its holders last said, and asks them
+// again when that is a second old. It returns at once; ok is false while
+// nothing is known. The holders are asked only while somebody wants to know.
+func (k *Caps) TotalUsage(name string) (total TotalUsage, ok bool) {
 	now := time.Now()
 	k.surveys.mu.Lock()
 	defer k.surveys.mu.Unlock()
@@ -67,9 +68,9 @@
 func (k *Caps) ask(ctx context.Context, name string, s *survey) {
 	ctx, stop := context.WithTimeout(ctx, surveyTimeout)
 	defer stop()
-	total := Total{At: time.Now()}
+	total := TotalUsage{At: time.Now()}
 	inUse, silent := k.askHolders(ctx, name)
-	total.InUse, total.Silent = inUse, silent
+	total.InUse, total.Unresponsive = inUse, silent
 	k.surveys.mu.Lock()
 	defer k.surveys.mu.Unlock()
 	s.running = false
--- a/node/capshare/vmlist.go
+++ b/node/capshare/vmlist.go
@@ -41,7 +41,7 @@
 func (k *Caps) goneVMs(ctx context.Context, sh *share) func(routing.CapSeat) bool {
 	now := time.Now()
 	doubtful := k.noteHolders(sh, now)
-	if doubtful && k.config.Leading() {
+	if doubtful && k.config.IsZoneReader() {
 		k.readList(ctx, now)
 	}
 	return k.isGone
--- a/node/drain/watch.go
+++ b/node/drain/watch.go
@@ -25,8 +25,8 @@
 // Config holds what a Watch needs.
 type Config struct {
 	Configs seam.Configs
-	// Leading says whether this entry VM is its zone's reader now.
-	Leading func() bool
+	// IsZoneReader says whether this entry VM is its zone's reader now.
+	IsZoneReader func() bool
 	// Remaining returns what is known of the work that a stop waits for.
 	Remaining func(stop string) (drain.Remaining, bool)
 	Scope     tally.Scope
@@ -53,7 +53,7 @@
 
 // New returns a Watch.
 func New(c Config) (*Watch, error) {
-	if c.Configs == nil || c.Leading == nil || c.Remaining == nil {
+	if c.Configs == nil || c.IsZoneReader == nil || c.Remaining == nil {
 		return nil, errors.New("drain: Config.Configs, Leading and Remaining must be set")
 	}
 	if c.Scope == nil {
@@ -89,7 +89,7 @@
 
 func (w *Watch) look(now time.Time) {
 	s := w.config.Configs.Snapshot()
-	if s == nil || !w.config.Leading() {
+	if s == nil || !w.config.IsZoneReader() {
 		clear(w.stops) // the next reader starts from what it sees
 		return
 	}
--- a/node/drain/watch_test.go
+++ b/node/drain/watch_test.go
@@ -61,7 +61,7 @@
 		w := &world{inFlight: 2, snapshot: &routing.Snapshot{Stops: map[string]*routing.Stop{
 			"s": {Name: "s", Version: 1, Kind: routing.StopPlace, Subject: "sur", Deadline: begun.Add(5 * time.Minute), AbortAtDeadline: true},
 		}}}
-		watch, err := New(Config{Configs: w, Leading: func() bool { return true }, Remaining: w.remaining, Log: log.NewJSONLogger(w)})
+		watch, err := New(Config{Configs: w, IsZoneReader: func() bool { return true }, Remaining: w.remaining, Log: log.NewJSONLogger(w)})
 		assert.NilError(t, err)
 		ctx, stop := context.WithCancel(t.Context())
 		var running sync.WaitGroup
--- a/node/facts.go
+++ b/node/facts.go
@@ -233,8 +233,8 @@
 	if s == nil || s.Caps[name] == nil {
 		return operator.CapFact{}, false
 	}
-	total, known := f.parts.caps.Total(name)
-	fact := operator.CapFact{PermitsInUse: total.InUse, InUseKnown: known && total.Silent == 0}
+	total, known := f.parts.caps.TotalUsage(name)
+	fact := operator.CapFact{PermitsInUse: total.InUse, InUseKnown: known && total.Unresponsive == 0}
 	if seats := s.Seats[name]; seats != nil {
 		for _, seat := range seats.Seats {
 			fact.PermitsHeld += seat.Permits
--- a/node/parts.go
+++ b/node/parts.go
@@ -129,7 +129,7 @@
 func (n *Node) buildMoves(p *parts, clients *peer.Clients) (err error) {
 	p.caps, err = capshare.New(capshare.Config{
 		Configs: p.configs, Members: p.members, Platform: p.platform, Peer: clients.To,
-		Leading: p.leading, ConfirmedSincePause: p.members.ConfirmedSincePause, Scope: n.metrics.Scope, Log: n.log,
+		IsZoneReader: p.leading, ConfirmedSincePause: p.members.ConfirmedSincePause, Scope: n.metrics.Scope, Log: n.log,
 	})
 	if err != nil {
 		return err
@@ -144,7 +144,7 @@
 		return err
 	}
 	p.stops, err = drain.New(drain.Config{
-		Configs: p.configs, Leading: p.leading, Remaining: known.remaining, Scope: n.metrics.Scope, Log: n.log,
+		Configs: p.configs, IsZoneReader: p.leading, Remaining: known.remaining, Scope: n.metrics.Scope, Log: n.log,
 	})
 	return err
 }
