--- a/cmd/internal/benchcapacity/rig.go
+++ b/cmd/internal/benchcapacity/rig.go
@@ -44,7 +44,7 @@
 	peerpb.Peer // answers the calls that are not measured here
 	rig         *rig
 	members     *member.Members
-	configs     *dynamic.Spread
+	configs     *dynamic.Syncer
 	server      *http.Server
 	clients     *peer.Clients
 }
--- a/cmd/internal/benchlookup/node.go
+++ b/cmd/internal/benchlookup/node.go
@@ -77,7 +77,7 @@
 	world    *world
 	platform *standin.Store
 	api      objects.API
-	spread   *dynamic.Spread
+	spread   *dynamic.Syncer
 	lookups  *lookups.Lookups
 	version  map[string]int64           // of the ClientBlocks objects
 	shards   map[string]map[string]bool // of the ClientBlocks objects
--- a/node/dynamic/audit.go
+++ b/node/dynamic/audit.go
@@ -22,7 +22,7 @@
 // because all announcements and heartbeats to it were lost. It also detects
 // two different sets at the same version. Deltas would preserve such a
 // difference for ever, so the set is then listed from the platform.
-func (s *Spread) auditLoop(ctx context.Context) error {
+func (s *Syncer) auditLoop(ctx context.Context) error {
 	for {
 		if err := sleep(ctx, jittered(auditInterval)); err != nil {
 			return err
@@ -35,7 +35,7 @@
 
 // auditPeer returns the peer address of a random member of the zone, or of any
 // zone if this entry VM is the only one in its zone.
-func (s *Spread) auditPeer() (string, bool) {
+func (s *Syncer) auditPeer() (string, bool) {
 	for _, members := range [][]seam.Member{s.config.Members.InZone(s.self.Zone), s.config.Members.All()} {
 		var addresses []string
 		for _, m := range members {
@@ -50,7 +50,7 @@
 	return "", false
 }
 
-func (s *Spread) audit(ctx context.Context, address string) {
+func (s *Syncer) audit(ctx context.Context, address string) {
 	local := s.set.Load()
 	callCtx, stall := platform.WithStallTimeout(ctx, fetchTimeout)
 	defer stall.Release()
@@ -70,7 +70,7 @@
 	}
 }
 
-func (s *Spread) repair(ctx context.Context, address string) {
+func (s *Syncer) repair(ctx context.Context, address string) {
 	s.scope.Counter("audit_mismatches").Inc(1)
 	level.Error(s.log).Log("msg", "configuration checksum differs from a peer's at the same version; listing from the platform", "peer", address, "version", s.set.Load().Version())
 	if _, err := s.list(ctx); err != nil {
--- a/node/dynamic/calls_test.go
+++ b/node/dynamic/calls_test.go
@@ -42,7 +42,7 @@
 // testbedNode is a node with membership and configuration only.
 type testbedNode struct {
 	members *member.Members
-	spread  *Spread
+	spread  *Syncer
 }
 
 func startTestbed(t *testing.T, zones, perZone int) *testbed {
--- a/node/dynamic/dynamic.go
+++ b/node/dynamic/dynamic.go
@@ -21,7 +21,7 @@
 	"heatherlock/steering/routing"
 )
 
-// Config holds what a Spread needs.
+// Config holds what a Syncer needs.
 type Config struct {
 	// Platform is the platform's object API, limited by the call budget.
 	Platform objects.API
@@ -30,9 +30,9 @@
 	Peer func(address string) peerpb.Peer
 	// Seeds are the peer addresses to fetch from while no other member is known.
 	Seeds []string
-	// Facts returns what the zone's status reports besides the configuration
-	// version. If it is nil, the status reports the version alone.
-	Facts func() runtime.ZoneFacts
+	// StatusContents returns what the zone's status reports besides the
+	// configuration version. If it is nil, the status reports the version alone.
+	StatusContents func() runtime.ZoneFacts
 	// LeaseTiming is the timing of the reader lease; zero means
 	// config.DefaultLeaseTiming.
 	LeaseTiming config.LeaseTiming
@@ -40,9 +40,9 @@
 	Log         log.Logger
 }
 
-// Spread keeps the configuration of this entry VM up to date and serves it to
+// Syncer keeps the configuration of this entry VM up to date and serves it to
 // peers. It implements seam.Configs and is safe for concurrent use.
-type Spread struct {
+type Syncer struct {
 	config Config
 	self   seam.Member
 	log    log.Logger
@@ -66,10 +66,10 @@
 	confirmed    atomic.Int64 // Unix time in nanoseconds of the last confirm
 }
 
-var _ seam.Configs = (*Spread)(nil)
+var _ seam.Configs = (*Syncer)(nil)
 
-// New returns a Spread that has no configuration until Run has obtained one.
-func New(c Config) (*Spread, error) {
+// New returns a Syncer that has no configuration until Run has obtained one.
+func New(c Config) (*Syncer, error) {
 	switch {
 	case c.Platform == nil:
 		return nil, errors.New("dynamic: no platform given; set Config.Platform")
@@ -88,7 +88,7 @@
 		c.Log = log.NewNopLogger()
 	}
 	self := c.Members.Self()
-	s := &Spread{
+	s := &Syncer{
 		config:   c,
 		self:     self,
 		log:      log.With(c.Log, "part", "dynamic"),
@@ -103,7 +103,7 @@
 
 // Run obtains a first configuration from peers and the platform, then keeps it
 // up to date until ctx ends. It releases the reader lease, if held, at the end.
-func (s *Spread) Run(ctx context.Context) error {
+func (s *Syncer) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return s.fetchLoop(ctx) })
 	group.Go(func() error { return s.announceLoop(ctx) })
@@ -125,10 +125,10 @@
 }
 
 // Snapshot implements seam.Configs.
-func (s *Spread) Snapshot() *routing.Snapshot { return s.snapshot.Load() }
+func (s *Syncer) Snapshot() *routing.Snapshot { return s.snapshot.Load() }
 
 // Version returns the version of the snapshot in force, or 0 before the first.
-func (s *Spread) Version() int64 {
+func (s *Syncer) Version() int64 {
 	if snapshot := s.snapshot.Load(); snapshot != nil {
 		return snapshot.Version
 	}
@@ -137,7 +137,7 @@
 
 // Subscribe implements seam.Configs. The function f must return quickly, because
 // it delays later versions.
-func (s *Spread) Subscribe(f func(*routing.Snapshot)) {
+func (s *Syncer) Subscribe(f func(*routing.Snapshot)) {
 	s.adoptMu.Lock()
 	defer s.adoptMu.Unlock()
 	s.subscribers = append(s.subscribers, f)
@@ -145,7 +145,7 @@
 
 // Object returns a stored object of a kind in SyncedKinds, for callers that need
 // more than the snapshot contains. The value must not be modified.
-func (s *Spread) Object(kind, name string) (objects.Object, bool) {
+func (s *Syncer) Object(kind, name string) (objects.Object, bool) {
 	o, ok := s.set.Load().Get(config.ID{Kind: kind, Name: name})
 	if !ok {
 		return objects.Object{}, false
@@ -155,7 +155,7 @@
 
 // Problems returns the stored objects, and parts of objects, that are left out
 // of the snapshot.
-func (s *Spread) Problems() []*Problem {
+func (s *Syncer) Problems() []*Problem {
 	s.adoptMu.Lock()
 	defer s.adoptMu.Unlock()
 	if s.compiled == nil {
@@ -166,7 +166,7 @@
 
 // Leader reports whether this entry VM holds its zone's reader lease, and the
 // epoch of the lease, which must be part of everything that the holder writes.
-func (s *Spread) Leader() (epoch int64, leading bool) {
+func (s *Syncer) Leader() (epoch int64, leading bool) {
 	return s.lease.holding(time.Now())
 }
 
@@ -181,7 +181,7 @@
 
 // adopt applies a change to the set and publishes the result, if it differs. A
 // change that came from outside the zone is announced to the zone.
-func (s *Spread) adopt(from source, change func(*config.Set) (*config.Set, config.Verdict)) config.Verdict {
+func (s *Syncer) adopt(from source, change func(*config.Set) (*config.Set, config.Verdict)) config.Verdict {
 	s.adoptMu.Lock()
 	defer s.adoptMu.Unlock()
 	current := s.set.Load()
@@ -202,7 +202,7 @@
 }
 
 // publish compiles the set and puts the snapshot in force. adoptMu must be held.
-func (s *Spread) publish() {
+func (s *Syncer) publish() {
 	set := s.set.Load()
 	if !s.publishing || set.Version() == 0 {
 		return
@@ -220,14 +220,14 @@
 // startPublishing publishes the current set and, from then on, every later one.
 // Until it is called, a set fetched from a peer is not put in force, because the
 // platform may have a higher version.
-func (s *Spread) startPublishing() {
+func (s *Syncer) startPublishing() {
 	s.adoptMu.Lock()
 	defer s.adoptMu.Unlock()
 	s.publishing = true
 	s.publish()
 }
 
-func (s *Spread) report(took time.Duration) {
+func (s *Syncer) report(took time.Duration) {
 	set := s.compiledSet
 	s.scope.Gauge("version").Update(float64(set.Version()))
 	s.scope.Gauge("objects").Update(float64(set.Len()))
@@ -242,10 +242,10 @@
 
 // confirm records that the platform or a peer has just answered, or that a peer has
 // reported a version that is not lower than the current one.
-func (s *Spread) confirm() { s.confirmed.Store(time.Now().UnixNano()) }
+func (s *Syncer) confirm() { s.confirmed.Store(time.Now().UnixNano()) }
 
 // unconfirmedFor returns the time since the last confirm.
-func (s *Spread) unconfirmedFor() time.Duration {
+func (s *Syncer) unconfirmedFor() time.Duration {
 	return time.Since(time.Unix(0, s.confirmed.Load()))
 }
 
--- a/node/dynamic/fleet_test.go
+++ b/node/dynamic/fleet_test.go
@@ -41,11 +41,11 @@
 }
 
 // fleetNode is a node of a fleet. Each start begins a new process life, with a new
-// Spread and a new incarnation.
+// Syncer and a new incarnation.
 type fleetNode struct {
 	fleet      *fleet
 	self       seam.Member
-	spread     *Spread
+	spread     *Syncer
 	stop       context.CancelFunc
 	done       chan struct{}
 	maxVersion int64 // highest version in force in this process life
@@ -143,10 +143,10 @@
 	m.self.Incarnation = steering.Incarnation(fmt.Sprintf("life%d", f.starts))
 	f.mu.Unlock()
 	spread, err := New(Config{
-		Platform: pausablePlatform{f.store.As(string(m.self.VM), string(m.self.Zone)), &m.gate},
-		Members:  m,
-		Facts:    f.facts,
-		Peer:     func(address string) peerpb.Peer { return &fleetPeer{from: m, to: address} },
+		Platform:       pausablePlatform{f.store.As(string(m.self.VM), string(m.self.Zone)), &m.gate},
+		Members:        m,
+		StatusContents: f.facts,
+		Peer:           func(address string) peerpb.Peer { return &fleetPeer{from: m, to: address} },
 	})
 	assert.NilError(f.t, err)
 	spread.Subscribe(func(snapshot *routing.Snapshot) {
@@ -190,7 +190,7 @@
 // heartbeatLoop replaces package member: once a second each node exchanges versions
 // with a random node of its zone, and the first node of each zone also with one of
 // every other zone.
-func (m *fleetNode) heartbeatLoop(ctx context.Context, spread *Spread) {
+func (m *fleetNode) heartbeatLoop(ctx context.Context, spread *Syncer) {
 	for sleep(ctx, time.Second) == nil {
 		byZone := map[steering.Zone][]seam.Member{}
 		for _, o := range m.All() {
@@ -205,7 +205,7 @@
 	}
 }
 
-func (m *fleetNode) exchangeVersions(spread *Spread, address string) {
+func (m *fleetNode) exchangeVersions(spread *Syncer, address string) {
 	m.gate.pass()
 	peer, err := m.fleet.connect(m, address)
 	if err != nil || !m.fleet.nodes[address].gate.isOpen() {
@@ -215,9 +215,9 @@
 	peer.OnConfigVersion(m.self.PeerAddress, spread.set.Load().Version())
 }
 
-// connect returns the Spread at a peer address, or an error if the address cannot be
+// connect returns the Syncer at a peer address, or an error if the address cannot be
 // reached from a node.
-func (f *fleet) connect(from *fleetNode, address string) (*Spread, error) {
+func (f *fleet) connect(from *fleetNode, address string) (*Syncer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	to, ok := f.nodes[address]
--- a/node/dynamic/golden_internal_test.go
+++ b/node/dynamic/golden_internal_test.go
@@ -57,7 +57,7 @@
 	return seam.Member{VM: "vm-1", Incarnation: "i1", Zone: "norte-a", Region: "norte"}
 }
 
-func spreadOn(t *testing.T, platform objects.API) *Spread {
+func spreadOn(t *testing.T, platform objects.API) *Syncer {
 	t.Helper()
 	s, err := New(Config{Platform: platform, Members: alone{}, Peer: func(string) peerpb.Peer { return nil }})
 	assert.NilError(t, err)
--- a/node/dynamic/lease.go
+++ b/node/dynamic/lease.go
@@ -102,7 +102,7 @@
 
 // leaseLoop acquires and renews the zone's reader lease until ctx ends, then
 // releases it.
-func (s *Spread) leaseLoop(ctx context.Context) error {
+func (s *Syncer) leaseLoop(ctx context.Context) error {
 	defer s.releaseLease(context.WithoutCancel(ctx))
 	for {
 		var action config.Action
@@ -128,7 +128,7 @@
 // members of its zone, not counting the holder. Every entry VM decides from its
 // own view of the members. If two views differ, a few more reads are made, and
 // the conditional write lets only one candidate acquire the lease.
-func (s *Spread) isCandidate() bool {
+func (s *Syncer) isCandidate() bool {
 	holder := s.lease.holder()
 	vms := []steering.VM{s.self.VM}
 	for _, m := range s.config.Members.InZone(s.self.Zone) {
@@ -144,7 +144,7 @@
 	return false
 }
 
-func (s *Spread) readLease(ctx context.Context) {
+func (s *Syncer) readLease(ctx context.Context) {
 	callCtx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
 	stored, err := s.config.Platform.Get(callCtx, KindLease, LeaseName(s.self.Zone))
@@ -161,7 +161,7 @@
 	s.lease.update(func(l *config.Lease) { l.ObserveRecord(time.Now(), record, stored.Version) })
 }
 
-func (s *Spread) writeLease(ctx context.Context, action config.Action) {
+func (s *Syncer) writeLease(ctx context.Context, action config.Action) {
 	callCtx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
 	value, err := json.Marshal(action.Record)
@@ -186,7 +186,7 @@
 	}
 }
 
-func (s *Spread) leaseFailed(step string, err error) {
+func (s *Syncer) leaseFailed(step string, err error) {
 	s.scope.Tagged(map[string]string{"step": step, "reason": string(objects.KindOf(err))}).Counter("lease_failures").Inc(1)
 	level.Debug(s.log).Log("msg", "lease", "step", step, "err", err)
 }
@@ -208,7 +208,7 @@
 
 // releaseLease releases the lease if it is held, so that the next reader can start
 // at once instead of after the lease has expired.
-func (s *Spread) releaseLease(ctx context.Context) {
+func (s *Syncer) releaseLease(ctx context.Context) {
 	var action config.Action
 	var held bool
 	s.lease.update(func(l *config.Lease) { action, held = l.Release(time.Now()) })
--- a/node/dynamic/peers.go
+++ b/node/dynamic/peers.go
@@ -112,7 +112,7 @@
 
 // OnConfigVersion handles the version that the entry VM at a peer address reports
 // in a heartbeat or an announcement. It never blocks.
-func (s *Spread) OnConfigVersion(address string, version int64) {
+func (s *Syncer) OnConfigVersion(address string, version int64) {
 	current := s.set.Load().Version()
 	if version >= current {
 		s.confirm()
@@ -123,13 +123,13 @@
 }
 
 // Announce serves the peers' Announce call.
-func (s *Spread) Announce(_ context.Context, in *peerpb.AnnounceRequest) (*peerpb.AnnounceReply, error) {
+func (s *Syncer) Announce(_ context.Context, in *peerpb.AnnounceRequest) (*peerpb.AnnounceReply, error) {
 	s.OnConfigVersion(in.GetPeerAddress(), in.GetConfigVersion())
 	return &peerpb.AnnounceReply{ConfigVersion: s.set.Load().Version()}, nil
 }
 
 // FetchConfig serves the peers' FetchConfig call from memory.
-func (s *Spread) FetchConfig(_ context.Context, in *peerpb.FetchConfigRequest) (*peerpb.FetchConfigReply, error) {
+func (s *Syncer) FetchConfig(_ context.Context, in *peerpb.FetchConfigRequest) (*peerpb.FetchConfigReply, error) {
 	set := s.set.Load()
 	if set.Version() == 0 {
 		return nil, twirp.NewError(twirp.Unavailable, "no configuration here yet; ask another entry VM")
@@ -151,7 +151,7 @@
 }
 
 // fetchLoop fetches newer versions from the peers that reported them.
-func (s *Spread) fetchLoop(ctx context.Context) error {
+func (s *Syncer) fetchLoop(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -174,7 +174,7 @@
 // fetch fetches the configuration of the peer at address: a delta first, and the
 // whole if the delta does not match its checksum. It reports whether the peer
 // answered with a configuration that matches its checksum.
-func (s *Spread) fetch(ctx context.Context, address string) bool {
+func (s *Syncer) fetch(ctx context.Context, address string) bool {
 	verdict, err := s.fetchSince(ctx, address, s.set.Load().Version())
 	if err == nil && verdict == config.ChecksumMismatch {
 		verdict, err = s.fetchSince(ctx, address, 0)
@@ -187,7 +187,7 @@
 	return verdict != config.ChecksumMismatch
 }
 
-func (s *Spread) fetchSince(ctx context.Context, address string, have int64) (config.Verdict, error) {
+func (s *Syncer) fetchSince(ctx context.Context, address string, have int64) (config.Verdict, error) {
 	timeout := fetchTimeout
 	if have > 0 {
 		timeout = s.deltaTimeout.get()
@@ -217,7 +217,7 @@
 }
 
 // sourceOf reports whether the peer at address is in this zone.
-func (s *Spread) sourceOf(address string) source {
+func (s *Syncer) sourceOf(address string) source {
 	for _, m := range s.config.Members.All() {
 		if m.PeerAddress == address && m.Zone == s.self.Zone {
 			return sourceZone
@@ -228,7 +228,7 @@
 
 // queueAnnouncement queues a version for announcement to the zone. It replaces an
 // older one that is still queued.
-func (s *Spread) queueAnnouncement(version int64) {
+func (s *Syncer) queueAnnouncement(version int64) {
 	select {
 	case <-s.announce:
 	default:
@@ -242,7 +242,7 @@
 // announceLoop announces versions that came from outside the zone to the zone's
 // members. Heartbeats carry the version as well, but reach the members only one
 // exchange after another.
-func (s *Spread) announceLoop(ctx context.Context) error {
+func (s *Syncer) announceLoop(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -253,7 +253,7 @@
 	}
 }
 
-func (s *Spread) announceTo(ctx context.Context, members []seam.Member, version int64) {
+func (s *Syncer) announceTo(ctx context.Context, members []seam.Member, version int64) {
 	group := new(errgroup.Group)
 	group.SetLimit(maxConcurrentAnnouncements)
 	request := &peerpb.AnnounceRequest{FromVm: vmName(s.self.VM), PeerAddress: s.self.PeerAddress, ConfigVersion: version}
@@ -269,7 +269,7 @@
 	_ = group.Wait()
 }
 
-func (s *Spread) announceOne(ctx context.Context, address string, request *peerpb.AnnounceRequest) {
+func (s *Syncer) announceOne(ctx context.Context, address string, request *peerpb.AnnounceRequest) {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	reply, err := s.config.Peer(address).Announce(ctx, request)
--- a/node/dynamic/reader.go
+++ b/node/dynamic/reader.go
@@ -41,7 +41,7 @@
 // start obtains the highest configuration that peers and the platform have. It
 // completes the configuration of a peer with the platform's later changes, which
 // is far less to read than a whole list when many entry VMs start together.
-func (s *Spread) start(ctx context.Context) error {
+func (s *Syncer) start(ctx context.Context) error {
 	backoff := objects.NewBackoff(minReadBackoff, maxReadBackoff, nil)
 	for {
 		if s.fetchFromPeers(ctx) && s.set.Load().Version() == 0 {
@@ -64,7 +64,7 @@
 
 // fetchFromPeers fetches the configuration from a few members, or from the seeds
 // while no other member is known. It reports whether there was a peer to ask.
-func (s *Spread) fetchFromPeers(ctx context.Context) bool {
+func (s *Syncer) fetchFromPeers(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, startPeersTimeout)
 	defer cancel()
 	var addresses []string
@@ -95,7 +95,7 @@
 
 // readOnce reads the platform without waiting for changes: those after the current
 // version, or a whole list if there is none or it is too old to watch from.
-func (s *Spread) readOnce(ctx context.Context) error {
+func (s *Syncer) readOnce(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startReadTimeout)
 	defer cancel()
 	if version := s.set.Load().Version(); version > 0 {
@@ -110,7 +110,7 @@
 
 // watch applies the changes after revision since and returns the revision to
 // continue from.
-func (s *Spread) watch(ctx context.Context, since int64, wait time.Duration) (int64, error) {
+func (s *Syncer) watch(ctx context.Context, since int64, wait time.Duration) (int64, error) {
 	events, revision, err := s.config.Platform.Watch(ctx, since, wait, SyncedKinds()...)
 	if err != nil {
 		return since, err
@@ -128,7 +128,7 @@
 }
 
 // list applies the whole configuration and returns the revision to watch from.
-func (s *Spread) list(ctx context.Context) (int64, error) {
+func (s *Syncer) list(ctx context.Context) (int64, error) {
 	stored, revision, err := s.config.Platform.List(ctx, SyncedKinds()...)
 	if err != nil {
 		return 0, err
@@ -160,7 +160,7 @@
 // readLoop watches the platform while the lease is held. An entry VM that does not
 // hold it reads the platform only once its version has been unconfirmed for
 // maxUnconfirmed, which means that no up-to-date peer can be reached.
-func (s *Spread) readLoop(ctx context.Context) error {
+func (s *Syncer) readLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
 		held, release := s.lease.whileHeld(ctx)
 		if held != nil {
@@ -184,7 +184,7 @@
 
 // readUntilDone watches the platform until ctx ends, which happens when the lease
 // is lost.
-func (s *Spread) readUntilDone(ctx context.Context) {
+func (s *Syncer) readUntilDone(ctx context.Context) {
 	backoff := objects.NewBackoff(minReadBackoff, maxReadBackoff, nil)
 	var cursor int64
 	for ctx.Err() == nil {
@@ -207,7 +207,7 @@
 
 // readNext waits for changes after cursor and applies them. It lists the whole
 // configuration if cursor is 0 or too old to watch from.
-func (s *Spread) readNext(ctx context.Context, cursor int64) (int64, error) {
+func (s *Syncer) readNext(ctx context.Context, cursor int64) (int64, error) {
 	if cursor > 0 {
 		next, err := s.watch(ctx, cursor, watchWait)
 		if objects.KindOf(err) != objects.Gone {
--- a/node/dynamic/zonestatus.go
+++ b/node/dynamic/zonestatus.go
@@ -24,7 +24,7 @@
 // statusLoop writes the zone's status while the lease is held. It writes changes
 // at a limited rate. Without a change it writes every runtime.ZoneStatusInterval,
 // which shows that the zone is not cut off from the platform.
-func (s *Spread) statusLoop(ctx context.Context) error {
+func (s *Syncer) statusLoop(ctx context.Context) error {
 	w := &statusWriter{spread: s}
 	for {
 		if err := sleep(ctx, jittered(minStatusInterval)); err != nil {
@@ -40,7 +40,7 @@
 
 // statusWriter writes a zone's status and keeps the last one written.
 type statusWriter struct {
-	spread  *Spread
+	spread  *Syncer
 	last    runtime.ZoneStatus
 	version int64 // of the stored status; 0 if it must be read first
 }
@@ -102,14 +102,14 @@
 	return nil
 }
 
-func (s *Spread) zoneStatus(epoch int64, now time.Time) runtime.ZoneStatus {
+func (s *Syncer) zoneStatus(epoch int64, now time.Time) runtime.ZoneStatus {
 	status := runtime.ZoneStatus{
 		Zone: s.self.Zone, Region: s.self.Region, Writer: s.self.VM, Epoch: epoch, WrittenAt: now, ConfigVersion: s.Version(),
 	}
-	if s.config.Facts == nil {
+	if s.config.StatusContents == nil {
 		return status
 	}
-	facts := s.config.Facts()
+	facts := s.config.StatusContents()
 	status.Members, status.Pools, status.Draining, status.Caps = facts.Members, facts.Pools, facts.Draining, facts.Caps
 	for _, m := range status.Members {
 		if m.State == "live" && m.ConfigVersion > 0 {
--- a/node/parts.go
+++ b/node/parts.go
@@ -32,7 +32,7 @@
 	platform *objects.Budget
 	members  *member.Members
 	remote   *member.RemoteZones
-	configs  *dynamic.Spread
+	configs  *dynamic.Syncer
 	lookups  *lookups.Lookups
 	admit    *admit.Controller
 	suspects *forward.RegionSuspects
@@ -112,7 +112,7 @@
 func (n *Node) buildControl(p *parts, clients *peer.Clients) (err error) {
 	p.configs, err = dynamic.New(dynamic.Config{
 		Platform: p.platform, Members: p.members, Peer: clients.To, Seeds: n.settings.Seeds,
-		Facts: (&facts{node: n, parts: p}).zone, Scope: n.metrics.Scope, Log: n.log,
+		StatusContents: (&facts{node: n, parts: p}).zone, Scope: n.metrics.Scope, Log: n.log,
 	})
 	if err != nil {
 		return errors.Wrap(err, "node")
