--- a/node/cut.go
+++ b/node/cut.go
@@ -62,7 +62,7 @@
 			covered[target] = true
 		}
 	}
-	cut := n.parts.forward.Cut(func(t steering.Target) bool { return covered[t] })
+	cut := n.parts.forward.CancelTries(func(t steering.Target) bool { return covered[t] })
 	if cut > 0 {
 		level.Warn(n.log).Log("msg", "planned stop cut requests at its deadline", "stop", stop.Name, "requests", cut)
 	}
--- a/node/forward/plannedstop.go
+++ b/node/forward/plannedstop.go
@@ -45,10 +45,10 @@
 	return found
 }
 
-// Cut cancels the tries of this entry VM on the targets for which covered returns true and returns
-// how many there were. It must only be called for a planned stop whose operator asked for requests
-// to be cut.
-func (f *Forwarder) Cut(covered func(steering.Target) bool) int {
+// CancelTries cancels the tries of this entry VM on the targets for which covered returns true and
+// returns how many there were. It must only be called for a planned stop whose operator asked for
+// requests to be cut.
+func (f *Forwarder) CancelTries(covered func(steering.Target) bool) int {
 	found := f.activeTries.onTargets(covered)
 	for _, a := range found {
 		a.cut(errCutByStop)
