--- a/node/gateway/fleet/fleet.go
+++ b/node/gateway/fleet/fleet.go
@@ -219,7 +219,7 @@
 	return f.roster.Serving(time.Now(), selfServes)
 }
 
-// LocationOf returns the place of a member, or the zero value if it is not known.
+// LocationOf returns the location of a member, or the zero value if it is not known.
 func (f *Fleet) LocationOf(name steering.VM) volume.Location {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/node/gateway/fleet/views.go
+++ b/node/gateway/fleet/views.go
@@ -214,7 +214,7 @@
 // readOrder is a hash, so that the order does not depend on how VMs are named.
 func readOrder(name steering.VM) uint64 { return xxhash.Sum64String("read\x00" + string(name)) }
 
-// LocationOf returns the place of a VM, or the zero value if it is not known.
+// LocationOf returns the location of a VM, or the zero value if it is not known.
 func (r *Roster) LocationOf(name steering.VM) volume.Location {
 	if name == r.self.Name {
 		return volume.Location{Zone: r.self.Zone, Region: r.self.Region}
--- a/steering/spread/choose.go
+++ b/steering/spread/choose.go
@@ -36,11 +36,11 @@
 	SlotHolder steering.VM
 }
 
-// ChooseSource returns the VM to ask, or false if the asker should not ask any yet. It prefers VMs
-// in the asker's zone, then in its region, then any. Among equally near ones it returns the VM that
-// has reserved a slot for the asker, since no other VM can use that slot meanwhile, or a random
-// one. draw returns a random number from 0 to n-1. All sources must have a newer configuration than
-// the asker.
+// ChooseSource returns the VM to ask, or false if the requester should not ask any yet. It prefers
+// VMs in the requester's zone, then in its region, then any. Among equally near ones it returns the
+// VM that has reserved a slot for the requester, since no other VM can use that slot meanwhile, or
+// a random one. draw returns a random number from 0 to n-1. All sources must have a newer
+// configuration than the requester.
 //
 // If all VMs asked the first one that has the configuration, its link and the links between regions
 // would carry as many copies as there are VMs. While versions follow each other quickly, only few
--- a/steering/spread/draft.go
+++ b/steering/spread/draft.go
@@ -9,7 +9,7 @@
 	"heatherlock/steering/routes"
 )
 
-// PieceError reports a piece that cannot be applied to a draft.
+// PieceError reports a piece that cannot be assembled.
 type PieceError struct {
 	Version uint64
 	// Problem is the reason.
@@ -39,7 +39,7 @@
 	knownByBucket [][]item
 }
 
-// NewAssembler returns an empty draft.
+// NewAssembler returns an empty assembler.
 func NewAssembler() *Assembler { return &Assembler{known: make(map[uint64]item)} }
 
 // SetBase sets the configuration in force, whose items need not be fetched. It may be nil.
