--- a/cmd/internal/benchbalance/localpool.go
+++ b/cmd/internal/benchbalance/localpool.go
@@ -54,7 +54,7 @@
 	for _, t := range r.triedTargets {
 		avoid = append(avoid, targetName(t))
 	}
-	d := c.pool.Acquire(c.z.clock(), pool.Request{Deadline: epoch.Add(r.deadline), Avoid: avoid, Foreign: r.foreign, Patient: patient})
+	d := c.pool.Acquire(c.z.clock(), pool.Request{Deadline: epoch.Add(r.deadline), Avoid: avoid, CrossZone: r.foreign, NoAlternative: patient})
 	switch d.Verdict {
 	case pool.Granted:
 		granted(d.Grant, targetIndex(d.Target.Name))
@@ -127,13 +127,13 @@
 	if c.timerSet {
 		return
 	}
-	if _, ok := c.pool.Next(); !ok {
+	if _, ok := c.pool.NextTick(); !ok {
 		return
 	}
 	c.timerSet = true
 	c.z.after(tickInterval, func() {
 		c.timerSet = false
-		if next, ok := c.pool.Next(); ok && !next.After(c.z.clock()) {
+		if next, ok := c.pool.NextTick(); ok && !next.After(c.z.clock()) {
 			c.applyEffects(c.pool.Tick(c.z.clock()))
 			return
 		}
--- a/cmd/internal/benchbalance/zones.go
+++ b/cmd/internal/benchbalance/zones.go
@@ -229,12 +229,12 @@
 	}
 	at := to[tried]
 	key := spill.Pool{Place: at.name, Service: zonesService}
-	s.table.Sent(key)
+	s.table.RecordSent(key)
 	s.spillsSent[at.name]++
 	away := distance(s.home, at)
 	if at.down {
 		w.after(unreachableTimeout, func() {
-			s.table.Refused(key, steering.ReasonPeerDown, time.Second, w.clock())
+			s.table.RecordRefusal(key, steering.ReasonPeerUnreachable, time.Second, w.clock())
 			w.spill(s, r, to, tried+1)
 		})
 		return
@@ -246,7 +246,7 @@
 		w.serve(at, r, false, func() {
 			free, when := at.c.pool.Free(), w.clock()
 			w.after(away, func() {
-				s.table.Learn(key, free, when) // replies report the headroom
+				s.table.RecordFree(key, free, when) // replies report the headroom
 				w.recordAnswered(r)
 			})
 		}, func() {
@@ -256,7 +256,7 @@
 				if w.measured(r) {
 					w.refusedSpills++
 				}
-				s.table.Refused(key, steering.ReasonNoSlot, after, w.clock())
+				s.table.RecordRefusal(key, steering.ReasonNoSlot, after, w.clock())
 				w.spill(s, r, to, tried+1)
 			})
 		})
@@ -282,7 +282,7 @@
 			at.reportedFree = free
 			for _, other := range w.zones {
 				for _, s := range other.vms {
-					s.table.Learn(spill.Pool{Place: at.name, Service: zonesService}, free, when)
+					s.table.RecordFree(spill.Pool{Place: at.name, Service: zonesService}, free, when)
 				}
 			}
 		})
--- a/cmd/internal/benchcapacity/rig.go
+++ b/cmd/internal/benchcapacity/rig.go
@@ -44,7 +44,7 @@
 	peerpb.Peer // provides the methods that are not overridden here; nil, so calling them panics
 	rig         *rig
 	members     *member.Members
-	configs     *dynamic.Spread
+	configs     *dynamic.Syncer
 	server      *http.Server
 	clients     *peer.Clients
 }
--- a/cmd/internal/benchcaps/sim.go
+++ b/cmd/internal/benchcaps/sim.go
@@ -95,7 +95,7 @@
 // pendingLoan is a loan request in transit: it reaches the lender at arriveAt, and the reply
 // with the number of permits lent reaches the borrower at replyAt.
 type pendingLoan struct {
-	caps.LoanAsk
+	caps.LoanRequest
 	lender   int
 	arriveAt time.Duration
 	replyAt  time.Duration
@@ -130,7 +130,7 @@
 		if i < s.requests%s.vms {
 			seat++
 		}
-		h.Adopt(epoch, 1, seat, s.window, false)
+		h.ApplySeats(epoch, 1, seat, s.window, false)
 		sim.vms = append(sim.vms, &vm{name: steering.Incarnation(fmt.Sprint(i)), holder: h, seat: seat, skipUntil: map[int]time.Duration{}})
 	}
 	warmup := sim.vms[0].holder.Terms().SeatWait() + time.Second
@@ -153,7 +153,7 @@
 		for range arrivals[i] {
 			s.offered++
 			v.arrived++
-			v.holder.Arrive(s.time())
+			v.holder.CountRequest(s.time())
 			if !s.serve(v) {
 				v.waiting = append(v.waiting, s.now)
 				v.lendersAsked = 0
@@ -225,8 +225,8 @@
 		v.lendersAsked++
 		s.messages++
 		v.loan = &pendingLoan{
-			LoanAsk: v.holder.Ask(s.time(), max(1, v.holder.Shortfall(s.time()))),
-			lender:  lender, arriveAt: s.now + oneWayDelay, replyAt: s.now + 2*oneWayDelay,
+			LoanRequest: v.holder.RequestLoan(s.time(), max(1, v.holder.Shortfall(s.time()))),
+			lender:      lender, arriveAt: s.now + oneWayDelay, replyAt: s.now + 2*oneWayDelay,
 		}
 		return
 	}
@@ -247,7 +247,7 @@
 	if s.now < v.loan.replyAt {
 		return
 	}
-	if v.holder.Granted(s.time(), v.loan.Nonce, v.loan.lent, lender.holder.Terms().Term) == 0 {
+	if v.holder.ApplyLoan(s.time(), v.loan.Nonce, v.loan.lent, lender.holder.Terms().Term) == 0 {
 		v.skipUntil[v.loan.lender] = s.now + min(s.window/2, time.Second)
 	}
 	v.loan = nil
--- a/cmd/internal/benchlookup/deployment.go
+++ b/cmd/internal/benchlookup/deployment.go
@@ -112,10 +112,10 @@
 // memberView provides a fixed list of synthetic members to the subsystems under test.
 type memberView struct{ members []seam.Member }
 
-func (v memberView) Self() seam.Member                  { return v.members[0] }
-func (v memberView) All() []seam.Member                 { return v.members }
-func (v memberView) InZone(steering.Zone) []seam.Member { return v.members[:1] }
-func (v memberView) Evidence(steering.VM, bool)         {}
+func (v memberView) Self() seam.Member                    { return v.members[0] }
+func (v memberView) All() []seam.Member                   { return v.members }
+func (v memberView) InZone(steering.Zone) []seam.Member   { return v.members[:1] }
+func (v memberView) RecordReachability(steering.VM, bool) {}
 func (v memberView) ByIncarnation(steering.Incarnation) (seam.Member, bool) {
 	return seam.Member{}, false
 }
--- a/cmd/internal/benchlookup/node.go
+++ b/cmd/internal/benchlookup/node.go
@@ -77,7 +77,7 @@
 	deployment *deployment
 	platform   *standin.Store
 	api        objects.API
-	configs    *dynamic.Spread
+	configs    *dynamic.Syncer
 	lookups    *lookups.Lookups
 	version    map[string]int64           // version by name of the ClientBlocks object
 	shards     map[string]map[string]bool // set of shard names by name of the ClientBlocks object
--- a/cmd/internal/benchplacement/policies.go
+++ b/cmd/internal/benchplacement/policies.go
@@ -25,11 +25,11 @@
 type productPolicy struct {
 	sim       *sim
 	balancers []*placement.Balancer
-	lending   placement.Lending
+	lending   placement.RegionSplit
 }
 
 func newProductPolicy(m *sim) way {
-	p := &productPolicy{sim: m, lending: placement.Lending{}}
+	p := &productPolicy{sim: m, lending: placement.RegionSplit{}}
 	peers := make(map[steering.Region][]steering.VM)
 	for n := range regionCount * vmsPerRegion {
 		region := regionName(n / vmsPerRegion)
@@ -50,24 +50,24 @@
 
 func (p *productPolicy) choose(now time.Time, c *request) (steering.Target, bool) {
 	b := p.balancers[c.vm]
-	b.Arrived(now, service, "")
+	b.CountRequest(now, service, "")
 	pick, refusal := b.Choose(now, placement.Request{Service: service, Key: c.key, ID: c.key, Region: regionName(c.region),
-		Aim: latencyObjective, Left: deadline - now.Sub(c.firstArrived), Repeatable: true})
+		Aim: latencyObjective, TimeLeft: deadline - now.Sub(c.firstArrived), Retryable: true})
 	if refusal != nil {
 		c.retryAfter = refusal.RetryAfter
 		return "", false
 	}
-	b.Began(now, pick.Target, c.key, pick.Trial)
+	b.RequestPlaced(now, pick.Target, c.key, pick.Trial)
 	c.pick = pick
 	return pick.Target.Name, true
 }
 
 func (p *productPolicy) finished(now time.Time, c *request, o placement.Outcome) {
-	r := placement.Report{Outcome: o, Took: now.Sub(c.sent)}
+	r := placement.Report{Outcome: o, Latency: now.Sub(c.sent)}
 	if o == placement.Served || o == placement.Shed {
 		r.LoadKnown, r.Running, r.Waiting = true, c.target.running, c.target.waiting
 	}
-	p.balancers[c.vm].Ended(now, c.pick.Target, r, c.pick.Trial, c.pick.Wait > 0)
+	p.balancers[c.vm].RequestEnded(now, c.pick.Target, r, c.pick.Trial, c.pick.Wait > 0)
 }
 
 // updateLending stands for the exchange of demand among entry VMs: it sums the demand by region,
@@ -82,10 +82,10 @@
 		}
 		demand[region].AddAll(b.Demand(now))
 	}
-	p.lending = placement.NextLending(p.lending, placement.Situation{Demand: demand, Slots: p.balancers[0].Slots(), Regions: regionCount, ShiftShare: maxShiftShare})
+	p.lending = placement.NextRegionSplit(p.lending, placement.SplitInput{Demand: demand, Slots: p.balancers[0].Slots(), Regions: regionCount, MaxRegionShift: maxShiftShare})
 	for _, b := range p.balancers {
-		b.SetLending(p.lending)
-		b.Learn(placement.Runs(demand))
+		b.SetRegionSplit(p.lending)
+		b.SetServiceTimes(placement.Runs(demand))
 	}
 }
 
--- a/cmd/internal/losses/read.go
+++ b/cmd/internal/losses/read.go
@@ -86,8 +86,8 @@
 // Every line with sums contains one of these markers and few other lines do, so that most
 // lines need no decoding.
 var (
-	sumsMarker  = []byte(`"msg":"` + losses.LineMessage + `"`)
-	bytesMarker = []byte(`"msg":"` + volume.LineMessage + `"`)
+	sumsMarker  = []byte(`"msg":"` + losses.LogMessage + `"`)
+	bytesMarker = []byte(`"msg":"` + volume.LogMessage + `"`)
 )
 
 // readLog reads the JSON lines of a log. It skips the text before the first brace of a line,
--- a/node/admit/config.go
+++ b/node/admit/config.go
@@ -18,14 +18,14 @@
 	To(address string) peerpb.Peer
 }
 
-// Config holds the dependencies and limits of an Admit. Members, Configs, Peers
-// and Loads are required. The zero value of any other field selects the default
-// in the comment beside it.
+// Config holds the dependencies and limits of a Controller. Members, Configs,
+// Peers and Loads are required. The zero value of any other field selects the
+// default in the comment beside it.
 type Config struct {
 	Members seam.Members
 	Configs seam.Configs
 	Peers   Peers
-	// AcquirePeers returns clients for Acquire calls. It needs MaxAsks
+	// AcquirePeers returns clients for Acquire calls. It needs MaxAcquireCalls
 	// connections to each entry VM.
 	AcquirePeers Peers // Peers
 	Loads        LoadReader
@@ -42,8 +42,8 @@
 	// MaxWait bounds the queue time of a request that no other place accepts.
 	// Other requests wait for at most about one service time.
 	MaxWait time.Duration // 500 ms
-	// ForeignMaxWait bounds the queue time of requests from other zones.
-	ForeignMaxWait time.Duration // 100 ms
+	// CrossZoneMaxWait bounds the queue time of requests from other zones.
+	CrossZoneMaxWait time.Duration // 100 ms
 	// ReplySlack is how long the owner's reply may take beyond MaxWait.
 	ReplySlack time.Duration // 300 ms
 	// ProbeAfter is how long an Acquire call may wait for its reply before the
@@ -59,12 +59,13 @@
 	CheckAfter time.Duration // 2 s
 }
 
-// MaxAsks is the maximum number of Acquire calls that wait at one other entry VM.
+// MaxAcquireCalls is the maximum number of Acquire calls that wait at one other
+// entry VM.
 //
 // A call that waits for a free connection looks like an owner that doesn't
 // respond. If a healthy owner were skipped for that reason, a second VM would
 // grant the same slots.
-const MaxAsks = 64
+const MaxAcquireCalls = 64
 
 const (
 	defaultUpkeepInterval   = 50 * time.Millisecond
@@ -119,7 +120,7 @@
 	orDefault(&c.UpkeepInterval, defaultUpkeepInterval)
 	orDefault(&c.PauseLimit, defaultPauseLimit)
 	orDefault(&c.MaxWait, defaultMaxWait)
-	orDefault(&c.ForeignMaxWait, defaultForeignMaxWait)
+	orDefault(&c.CrossZoneMaxWait, defaultForeignMaxWait)
 	orDefault(&c.ReplySlack, defaultReplySlack)
 	orDefault(&c.ProbeAfter, defaultProbeAfter)
 	orDefault(&c.PeerTimeout, defaultPeerTimeout)
@@ -129,7 +130,7 @@
 		c.Pool.WaitPart = defaultWaitPart
 	}
 	c.Pool.MaxWait = c.MaxWait
-	c.Pool.ForeignMaxWait = c.ForeignMaxWait
+	c.Pool.CrossZoneMaxWait = c.CrossZoneMaxWait
 	return c
 }
 
--- a/node/admit/zone_test.go
+++ b/node/admit/zone_test.go
@@ -118,9 +118,9 @@
 	}
 }
 
-func (v *zoneView) Self() seam.Member          { return v.self }
-func (v *zoneView) All() []seam.Member         { return v.read() }
-func (v *zoneView) Evidence(steering.VM, bool) {}
+func (v *zoneView) Self() seam.Member                    { return v.self }
+func (v *zoneView) All() []seam.Member                   { return v.read() }
+func (v *zoneView) RecordReachability(steering.VM, bool) {}
 func (v *zoneView) ByIncarnation(steering.Incarnation) (seam.Member, bool) {
 	return seam.Member{}, false
 }
@@ -142,7 +142,7 @@
 // entryVM is one entry VM of the zone under test.
 type entryVM struct {
 	name    steering.VM
-	admit   *Admit
+	admit   *Controller
 	view    *zoneView
 	metrics tally.TestScope
 	stop    context.CancelFunc
--- a/node/capshare/borrow.go
+++ b/node/capshare/borrow.go
@@ -37,7 +37,7 @@
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	reply.InUse = uint32(sh.holder.InUse(now))
-	if in.Permits == 0 || !k.config.Settled() {
+	if in.Permits == 0 || !k.config.ConfirmedSincePause() {
 		return reply, nil
 	}
 	key := caps.LoanKey{From: steering.Incarnation(in.FromIncarnation), Nonce: in.Nonce}
@@ -76,7 +76,7 @@
 
 // nextLoan chooses a lender and starts a loan request. It returns false if no permit is missing
 // or there is nobody to ask.
-func (k *Caps) nextLoan(sh *share) (lender seam.Member, ask caps.LoanAsk, ok bool) {
+func (k *Caps) nextLoan(sh *share) (lender seam.Member, ask caps.LoanRequest, ok bool) {
 	now := time.Now()
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -85,13 +85,13 @@
 		want = max(want, 1)
 	}
 	if want <= 0 {
-		return seam.Member{}, caps.LoanAsk{}, false
+		return seam.Member{}, caps.LoanRequest{}, false
 	}
 	lenders := k.lenders(sh, now)
 	if len(lenders) == 0 {
-		return seam.Member{}, caps.LoanAsk{}, false
+		return seam.Member{}, caps.LoanRequest{}, false
 	}
-	return lenders[0], sh.holder.Ask(now, want), true
+	return lenders[0], sh.holder.RequestLoan(now, want), true
 }
 
 // lenders returns the holders to ask: those of the own zone first, then those of the own region.
@@ -134,7 +134,7 @@
 
 // borrowFrom asks one holder and reports whether it lent permits. If the call fails, borrowFrom
 // retries it once with the same nonce, so that a lost reply does not lend twice.
-func (k *Caps) borrowFrom(ctx context.Context, sh *share, lender seam.Member, ask caps.LoanAsk) bool {
+func (k *Caps) borrowFrom(ctx context.Context, sh *share, lender seam.Member, ask caps.LoanRequest) bool {
 	request := &peerpb.BorrowRequest{
 		FromVm: string(sh.self.VM), FromIncarnation: string(sh.self.Incarnation),
 		Cap: sh.name, CapVersion: ask.Version, Permits: uint32(ask.Permits), Nonce: ask.Nonce,
@@ -153,7 +153,7 @@
 		sh.backOffLender(now, lender.VM)
 		return false
 	}
-	gained := sh.holder.Granted(now, reply.Nonce, int(reply.Permits), time.Duration(reply.TermMs)*time.Millisecond)
+	gained := sh.holder.ApplyLoan(now, reply.Nonce, int(reply.Permits), time.Duration(reply.TermMs)*time.Millisecond)
 	k.metrics.borrowed.Inc(int64(gained))
 	if gained == 0 {
 		sh.backOffLender(now, lender.VM)
@@ -177,7 +177,7 @@
 	defer stop()
 	reply, err := k.config.Peer(lender.PeerAddress).Borrow(ctx, in)
 	if err == nil {
-		k.config.Members.Evidence(lender.VM, true)
+		k.config.Members.RecordReachability(lender.VM, true)
 	}
 	return reply, err
 }
--- a/node/capshare/capshare.go
+++ b/node/capshare/capshare.go
@@ -19,7 +19,7 @@
 // because members join and leave without one.
 const checkInterval = time.Second
 
-// Caps holds this entry VM's permits. It implements seam.CapGate.
+// Caps holds this entry VM's permits. It implements seam.CapLimiter.
 type Caps struct {
 	config     Config
 	self       seam.Member
@@ -38,7 +38,7 @@
 	startTask  func(func(context.Context))
 }
 
-var _ seam.CapGate = (*Caps)(nil)
+var _ seam.CapLimiter = (*Caps)(nil)
 
 // New returns a Caps that holds no permits.
 func New(c Config) (*Caps, error) {
--- a/node/capshare/config.go
+++ b/node/capshare/config.go
@@ -23,11 +23,11 @@
 	Platform objects.API
 	// Peer returns a client for the entry VM at a peer address.
 	Peer func(address string) peerpb.Peer
-	// Leading reports whether this entry VM is currently its zone's reader.
-	Leading func() bool
-	// Settled reports whether the state of this process is newer than its last pause. Nil means
-	// that it always is.
-	Settled func() bool
+	// IsZoneReader reports whether this entry VM is currently its zone's reader.
+	IsZoneReader func() bool
+	// ConfirmedSincePause reports whether the state of this process is newer than its last
+	// pause. Nil means that it always is.
+	ConfirmedSincePause func() bool
 	// ListLag is the longest that the platform's list of VMs may lag. Zero means DefaultListLag.
 	ListLag time.Duration
 	// Random returns a number in [0,1) for jitter. Nil means math/rand/v2.
@@ -46,11 +46,11 @@
 		return c, errors.New("capshare: no platform given; set Config.Platform")
 	case c.Peer == nil:
 		return c, errors.New("capshare: no peer clients given; set Config.Peer")
-	case c.Leading == nil:
+	case c.IsZoneReader == nil:
 		return c, errors.New("capshare: no check for the zone reader given; set Config.Leading")
 	}
-	if c.Settled == nil {
-		c.Settled = func() bool { return true }
+	if c.ConfirmedSincePause == nil {
+		c.ConfirmedSincePause = func() bool { return true }
 	}
 	if c.ListLag <= 0 {
 		c.ListLag = DefaultListLag
--- a/node/capshare/fleet_test.go
+++ b/node/capshare/fleet_test.go
@@ -106,7 +106,7 @@
 	var err error
 	n.caps, err = New(Config{
 		Configs: n, Members: n, Platform: f.store.As(vm, string(n.self.Zone)), Peer: f.peer,
-		Leading: func() bool { return f.isZoneReader(n) }, Settled: func() bool { return !n.paused.Load() }, Random: rand.New(rand.NewPCG(1, uint64(f.incarnations))).Float64,
+		IsZoneReader: func() bool { return f.isZoneReader(n) }, ConfirmedSincePause: func() bool { return !n.paused.Load() }, Random: rand.New(rand.NewPCG(1, uint64(f.incarnations))).Float64,
 	})
 	assert.NilError(f.t, err)
 	ctx, stop := context.WithCancel(f.ctx)
@@ -236,7 +236,7 @@
 	return all[i], true
 }
 
-func (n *entryVM) Evidence(steering.VM, bool) {}
+func (n *entryVM) RecordReachability(steering.VM, bool) {}
 
 // peerClient is the client for one entry VM.
 type peerClient struct {
--- a/node/capshare/gate.go
+++ b/node/capshare/gate.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// Admit implements seam.CapGate.
+// Admit implements seam.CapLimiter.
 func (k *Caps) Admit(ctx context.Context, service steering.Service, home, place steering.Place) (seam.CapPermit, error) {
 	shares := k.capTable.Load().sharesFor(service, home, place)
 	if len(shares) == 0 {
@@ -146,7 +146,7 @@
 	now := time.Now()
 	for _, sh := range shares {
 		sh.mu.Lock()
-		sh.holder.Arrive(now)
+		sh.holder.CountRequest(now)
 		sh.mu.Unlock()
 	}
 }
@@ -167,7 +167,7 @@
 
 // take takes a permit from every share, or from none.
 func (k *Caps) take(shares []*share) (*takenPermits, *shortage) {
-	if !k.config.Settled() {
+	if !k.config.ConfirmedSincePause() {
 		return nil, &shortage{sh: shares[0], retryAfter: pausedRetryAfter, paused: true}
 	}
 	t := &takenPermits{shares: shares}
--- a/node/capshare/seats.go
+++ b/node/capshare/seats.go
@@ -106,7 +106,7 @@
 		// seats are not given up for that.
 		return caps.Change{}, false
 	}
-	planView := sh.planView(nil, k.config.Leading())
+	planView := sh.planView(nil, k.config.IsZoneReader())
 	planView.Claimants = k.claimants(s, sh.name)
 	planView.Gone = gone
 	change := caps.Plan(planView)
--- a/node/capshare/share.go
+++ b/node/capshare/share.go
@@ -72,7 +72,7 @@
 	} else if s.seats != nil && s.seats.Version < snapshot.Version {
 		// The record was deleted, which happens once it contains no seats.
 		s.seats = nil
-		s.holder.Adopt(now, snapshot.Version, 0, 0, false)
+		s.holder.ApplySeats(now, snapshot.Version, 0, 0, false)
 	}
 	s.holder.Shrink(now, caps.Plan(s.planView(nil, false)).Keep)
 }
@@ -89,7 +89,7 @@
 			own = seat.Permits
 		}
 	}
-	s.holder.Adopt(now, seats.Version, own, time.Duration(seats.WindowMs)*time.Millisecond, caps.Exceeds(seats, s.holder.Rule()))
+	s.holder.ApplySeats(now, seats.Version, own, time.Duration(seats.WindowMs)*time.Millisecond, caps.Exceeds(seats, s.holder.Rule()))
 }
 
 // planView returns the input of caps.Plan. The caller holds s.mu. Without claimants, only
--- a/node/capshare/usagepoll.go
+++ b/node/capshare/usagepoll.go
@@ -23,11 +23,12 @@
 	pollConcurrency = 8
 )
 
-// Total is the usage of a cap by all its holders.
-type Total struct {
+// TotalUsage is the usage of a cap by all its holders.
+type TotalUsage struct {
 	InUse int
-	// Silent is the number of holders that did not answer. Their usage is missing in InUse.
-	Silent int
+	// Unresponsive is the number of holders that did not answer. Their usage is missing in
+	// InUse.
+	Unresponsive int
 	// At is when the holders were asked.
 	At time.Time
 }
@@ -41,13 +42,13 @@
 type usagePoll struct {
 	running   bool
 	startedAt time.Time
-	total     Total
+	total     TotalUsage
 }
 
-// Total returns the usage of a cap as its holders reported it last, and starts a new poll if the
-// last one started a second ago or earlier. It does not wait for the poll; ok is false while
-// there is no recent result. The holders are polled only while somebody calls Total.
-func (k *Caps) Total(name string) (total Total, ok bool) {
+// TotalUsage returns the usage of a cap as its holders reported it last, and starts a new poll
+// if the last one started a second ago or earlier. It does not wait for the poll; ok is false
+// while there is no recent result. The holders are polled only while somebody calls Total.
+func (k *Caps) TotalUsage(name string) (total TotalUsage, ok bool) {
 	now := time.Now()
 	k.usagePolls.mu.Lock()
 	defer k.usagePolls.mu.Unlock()
@@ -67,9 +68,9 @@
 func (k *Caps) pollUsage(ctx context.Context, name string, s *usagePoll) {
 	ctx, stop := context.WithTimeout(ctx, pollTimeout)
 	defer stop()
-	total := Total{At: time.Now()}
+	total := TotalUsage{At: time.Now()}
 	inUse, unanswered := k.pollHolders(ctx, name)
-	total.InUse, total.Silent = inUse, unanswered
+	total.InUse, total.Unresponsive = inUse, unanswered
 	k.usagePolls.mu.Lock()
 	defer k.usagePolls.mu.Unlock()
 	s.running = false
--- a/node/capshare/vmlist.go
+++ b/node/capshare/vmlist.go
@@ -40,7 +40,7 @@
 func (k *Caps) goneVMs(ctx context.Context, sh *share) func(routing.CapSeat) bool {
 	now := time.Now()
 	anyNotReachable := k.recordHolders(sh, now)
-	if anyNotReachable && k.config.Leading() {
+	if anyNotReachable && k.config.IsZoneReader() {
 		k.readList(ctx, now)
 	}
 	return k.isGone
--- a/node/components.go
+++ b/node/components.go
@@ -31,10 +31,10 @@
 type components struct {
 	platform   *objects.Budget
 	members    *member.Members
-	remote     *member.Remote
-	configs    *dynamic.Spread
+	remote     *member.RemoteZones
+	configs    *dynamic.Syncer
 	lookups    *lookups.Lookups
-	admit      *admit.Admit
+	admit      *admit.Controller
 	suspects   *forward.RegionSuspects
 	caps       *capshare.Caps
 	shifts     *shiftdriver.Driver
@@ -79,7 +79,7 @@
 	calls := withStallTimeout(withDial(peer.NewControlClient(p.peerClientTLS()), options.Dial))
 	acquires := withDial(peer.NewHTTPClient(p.peerClientTLS()), options.Dial)
 	if transport, ok := acquires.Transport.(*http.Transport); ok {
-		transport.MaxConnsPerHost = admit.MaxAsks
+		transport.MaxConnsPerHost = admit.MaxAcquireCalls
 	}
 	loads := loadClient(options.Dial)
 	p.clients = []*http.Client{calls, acquires, loads}
@@ -93,7 +93,7 @@
 	}
 	p.admit = admit.New(admit.Config{
 		Members: p.members, Configs: p.configs, Peers: clients, AcquirePeers: peer.NewClients(acquires),
-		Loads: admit.HTTPLoads{Client: loads}, Scope: n.metrics.Scope, Log: n.log,
+		Loads: admit.HTTPLoadReader{Client: loads}, Scope: n.metrics.Scope, Log: n.log,
 	})
 	if err := n.buildTrafficControl(p, clients); err != nil {
 		return nil, errors.Wrap(err, "node")
@@ -114,12 +114,12 @@
 func (n *Node) buildConfiguration(p *components, clients *peer.Clients) (err error) {
 	p.configs, err = dynamic.New(dynamic.Config{
 		Platform: p.platform, Members: p.members, Peer: clients.To, Seeds: n.settings.Seeds,
-		Facts: (&runtimeInfo{node: n, components: p}).zoneStatus, Scope: n.metrics.Scope, Log: n.log,
+		StatusContents: (&runtimeInfo{node: n, components: p}).zoneStatus, Scope: n.metrics.Scope, Log: n.log,
 	})
 	if err != nil {
 		return errors.Wrap(err, "node")
 	}
-	p.remote = member.NewRemote(member.RemoteConfig{Members: p.members, Configs: p.configs, Scope: n.metrics.Scope})
+	p.remote = member.NewRemoteZones(member.RemoteZonesConfig{Members: p.members, Configs: p.configs, Scope: n.metrics.Scope})
 	p.lookups, err = lookups.New(lookups.Config{Configs: p.configs, Members: p.members, Scope: n.metrics.Scope, Log: n.log})
 	if err != nil {
 		return errors.Wrap(err, "node")
@@ -131,7 +131,7 @@
 func (n *Node) buildTrafficControl(p *components, clients *peer.Clients) (err error) {
 	p.caps, err = capshare.New(capshare.Config{
 		Configs: p.configs, Members: p.members, Platform: p.platform, Peer: clients.To,
-		Leading: p.isZoneReader, Settled: p.members.Settled, Scope: n.metrics.Scope, Log: n.log,
+		IsZoneReader: p.isZoneReader, ConfirmedSincePause: p.members.ConfirmedSincePause, Scope: n.metrics.Scope, Log: n.log,
 	})
 	if err != nil {
 		return err
@@ -146,7 +146,7 @@
 		return err
 	}
 	p.stops, err = drain.New(drain.Config{
-		Configs: p.configs, Leading: p.isZoneReader, Remaining: info.remainingWork, Scope: n.metrics.Scope, Log: n.log,
+		Configs: p.configs, IsZoneReader: p.isZoneReader, Remaining: info.remainingWork, Scope: n.metrics.Scope, Log: n.log,
 	})
 	return err
 }
@@ -181,7 +181,7 @@
 	})
 	p.forward = forward.New(forward.Config{
 		Self: p.members.Self(), Limits: n.settings.Limits, Configs: p.configs, Members: p.members,
-		Admitter: p.admit, Caps: p.caps, Remote: p.remote, Looker: p.lookups, Leaver: p.leaveState,
+		Admitter: p.admit, Caps: p.caps, RemoteZones: p.remote, LookupResolver: p.lookups, Leaver: p.leaveState,
 		Outcomes: forward.NewOutcomes(forward.OutcomesConfig{
 			Incarnation: n.incarnation, Started: n.started, Limits: n.settings.Limits, Scope: n.metrics.Scope,
 		}),
@@ -236,11 +236,11 @@
 			p.admit.ObservePools(received)
 			p.poolFacts.update(received, time.Now())
 		},
-		Suspects:        func() []*peerpb.SuspectFact { return p.suspects.Facts() },
-		OnSuspects:      func(received []*peerpb.SuspectFact) { p.suspects.Learn(received) },
-		ConfigVersion:   func() int64 { return p.configs.Version() },
-		OnConfigVersion: func(address string, version int64) { p.configs.OnConfigVersion(address, version) },
-		InFlight:        func() int32 { return int32(p.forward.InFlight()) },
+		SuspectRequests:   func() []*peerpb.SuspectFact { return p.suspects.Facts() },
+		OnSuspectRequests: func(received []*peerpb.SuspectFact) { p.suspects.MergeFacts(received) },
+		ConfigVersion:     func() int64 { return p.configs.Version() },
+		OnConfigVersion:   func(address string, version int64) { p.configs.OnConfigVersion(address, version) },
+		InFlight:          func() int32 { return int32(p.forward.InFlight()) },
 	}
 }
 
--- a/node/drain/watch.go
+++ b/node/drain/watch.go
@@ -25,8 +25,8 @@
 // Config configures a Watch.
 type Config struct {
 	Configs seam.Configs
-	// Leading reports whether this entry VM is currently its zone's reader.
-	Leading func() bool
+	// IsZoneReader reports whether this entry VM is currently its zone's reader.
+	IsZoneReader func() bool
 	// Remaining returns the known requests that a stop waits for; false if nothing is known.
 	Remaining func(stop string) (drain.Remaining, bool)
 	Scope     tally.Scope
@@ -53,7 +53,7 @@
 
 // New returns a Watch. It returns an error if Configs, Leading or Remaining is missing.
 func New(c Config) (*Watch, error) {
-	if c.Configs == nil || c.Leading == nil || c.Remaining == nil {
+	if c.Configs == nil || c.IsZoneReader == nil || c.Remaining == nil {
 		return nil, errors.New("drain: Config.Configs, Leading and Remaining must be set")
 	}
 	if c.Scope == nil {
@@ -89,7 +89,7 @@
 
 func (w *Watch) check(now time.Time) {
 	s := w.config.Configs.Snapshot()
-	if s == nil || !w.config.Leading() {
+	if s == nil || !w.config.IsZoneReader() {
 		clear(w.stops) // the zone's next reader starts with the stops it finds
 		return
 	}
@@ -113,7 +113,7 @@
 		f = &stopState{lifecycle: drain.NewPlannedStop(), version: stop.Version}
 		w.stops[stop.Name] = f
 	}
-	if f.lifecycle.Look(now, stop, r) {
+	if f.lifecycle.Update(now, stop, r) {
 		w.report(stop, f.lifecycle.State(), r)
 	}
 	w.warnOfDeadline(now, stop, f, r)
@@ -129,7 +129,7 @@
 		w.overdue.Inc(1)
 	}
 	level.Info(w.config.Log).Log("part", "drain", "msg", "planned stop", "stop", stop.Name, "state", state,
-		"inFlight", r.InFlight, "allReported", r.Complete)
+		"inFlight", r.InFlight, "allReported", r.AllReported)
 }
 
 // warnOfDeadline warns once per version of a stop that its deadline is near and requests are
@@ -141,5 +141,5 @@
 	f.warned = true
 	w.warned.Inc(1)
 	level.Warn(w.config.Log).Log("part", "drain", "msg", "deadline of a planned stop is near and requests are still in flight", "stop", stop.Name,
-		"deadline", stop.Deadline.Format(time.RFC3339), "inFlight", r.InFlight, "cuts", stop.Cut)
+		"deadline", stop.Deadline.Format(time.RFC3339), "inFlight", r.InFlight, "cuts", stop.AbortAtDeadline)
 }
--- a/node/drain/watch_test.go
+++ b/node/drain/watch_test.go
@@ -32,7 +32,7 @@
 func (w *system) remaining(string) (drain.Remaining, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return drain.Remaining{InFlight: w.inFlight, Complete: true}, true
+	return drain.Remaining{InFlight: w.inFlight, AllReported: true}, true
 }
 
 // statesLogged returns the state that each log line reports, or "warning" if it has none.
@@ -59,9 +59,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		begun := time.Now()
 		w := &system{inFlight: 2, snapshot: &routing.Snapshot{Stops: map[string]*routing.Stop{
-			"s": {Name: "s", Version: 1, Kind: routing.StopPlace, Subject: "sur", Deadline: begun.Add(5 * time.Minute), Cut: true},
+			"s": {Name: "s", Version: 1, Kind: routing.StopPlace, Subject: "sur", Deadline: begun.Add(5 * time.Minute), AbortAtDeadline: true},
 		}}}
-		watch, err := New(Config{Configs: w, Leading: func() bool { return true }, Remaining: w.remaining, Log: log.NewJSONLogger(w)})
+		watch, err := New(Config{Configs: w, IsZoneReader: func() bool { return true }, Remaining: w.remaining, Log: log.NewJSONLogger(w)})
 		assert.NilError(t, err)
 		ctx, stop := context.WithCancel(t.Context())
 		var running sync.WaitGroup
--- a/node/dynamic/golden_internal_test.go
+++ b/node/dynamic/golden_internal_test.go
@@ -57,7 +57,7 @@
 	return seam.Member{VM: "vm-1", Incarnation: "i1", Zone: "norte-a", Region: "norte"}
 }
 
-func spreadOn(t *testing.T, platform objects.API) *Spread {
+func spreadOn(t *testing.T, platform objects.API) *Syncer {
 	t.Helper()
 	s, err := New(Config{Platform: platform, Members: alone{}, Peer: func(string) peerpb.Peer { return nil }})
 	assert.NilError(t, err)
@@ -174,7 +174,7 @@
 	all = append(all,
 		config.Object{ID: config.ID{Kind: "ShiftProgress", Name: "move"}, Version: 31, Value: golden.Get(t, "../../shiftdriver/testdata/golden/progress-full.json")},
 		config.Object{ID: config.ID{Kind: "CapSeats", Name: "limit"}, Version: 32, Value: valueIn(t, "../../capshare/testdata/golden/seats-full.txt")})
-	set, _ := new(config.Set).Listed(all, 40)
+	set, _ := new(config.Set).ApplyList(all, 40)
 	compiled := compile(set, nil, nil)
 	assert.Equal(t, len(compiled.problems), 0, "%v", compiled.problems)
 	s := compiled.snapshot
@@ -196,7 +196,7 @@
 		From: []steering.Place{"norte-1"}, To: []steering.Place{"sur-1"}, Percent: 60, Step: 20, Every: 21 * time.Second, Moved: 40}})
 	assert.DeepEqual(t, s.Caps, map[string]*routing.Cap{"limit": {Name: "limit", Version: 6, Shift: "move", Requests: 22, Window: 2300 * time.Millisecond}})
 	assert.DeepEqual(t, s.Stops, map[string]*routing.Stop{"stop": {Name: "stop", Version: 7, Kind: routing.StopZone, Subject: "sur-a",
-		At: time.Date(2026, 2, 3, 4, 5, 6, 0, time.UTC), Deadline: time.Date(2026, 2, 3, 5, 6, 7, 0, time.UTC), Cut: true}})
+		At: time.Date(2026, 2, 3, 4, 5, 6, 0, time.UTC), Deadline: time.Date(2026, 2, 3, 5, 6, 7, 0, time.UTC), AbortAtDeadline: true}})
 	assert.DeepEqual(t, s.Progress, map[string]*routing.ShiftProgress{"move": {Version: 31, ShiftVersion: 11, Service: "tickets", Route: routing.Route{From: "norte", To: "sur-1"},
 		Step: 20, EverySeconds: 21, Moved: 40, State: "held", HeldBy: "sur-1 is busy", WaitsForTurn: true, RemainingSeconds: 90,
 		Since: time.Date(2026, 1, 2, 2, 4, 5, 678000000, time.UTC), Forward: true, Driver: "sur-a-1", Epoch: 51}})
--- a/node/forward/fakes_test.go
+++ b/node/forward/fakes_test.go
@@ -140,8 +140,8 @@
 	e := &entryVM{w: w, zone: m.Zone, allow: true, slots: map[steering.Target]int{},
 		down: map[steering.VM]bool{}, stored: map[steering.Key]*fakeRun{}, scope: tally.NewTestScope("", nil)}
 	e.Forwarder = New(Config{
-		Self: m, Limits: static.Settings{}.WithDefaults().Limits, Configs: e, Members: e, Admitter: e, Caps: e, Remote: e,
-		Looker: e, Leaver: e, Outcomes: e, Suspects: e, Retries: e, Dial: w.net.Dial, Scope: e.scope, Log: w.failOnErrorLog(log.NewJSONLogger(log.NewSyncWriter(&e.log))),
+		Self: m, Limits: static.Settings{}.WithDefaults().Limits, Configs: e, Members: e, Admitter: e, Caps: e, RemoteZones: e,
+		LookupResolver: e, Leaver: e, Outcomes: e, Suspects: e, Retries: e, Dial: w.net.Dial, Scope: e.scope, Log: w.failOnErrorLog(log.NewJSONLogger(log.NewSyncWriter(&e.log))),
 	})
 	w.serve([]string{callerA, callerB}[i], &http.Server{
 		Handler: e, ConnContext: e.ConnContext, ConnState: e.ConnState, DisableGeneralOptionsHandler: true,
@@ -203,7 +203,7 @@
 	}
 	return seam.Member{}, false
 }
-func (e *entryVM) Evidence(vm steering.VM, ok bool) {
+func (e *entryVM) RecordReachability(vm steering.VM, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.down[vm] = !ok
@@ -235,11 +235,11 @@
 	return false
 }
 
-func (e *entryVM) Headroom(steering.Place, steering.Service) (int, time.Duration) { return 7, 0 }
-func (e *entryVM) Owner(steering.Place, steering.Service) (seam.Member, bool)     { return e.self, true }
-func (e *entryVM) Hint(steering.Place, steering.Service, int)                     {}
-func (e *entryVM) Refused(steering.Place, steering.Service, *steering.Refusal)    {}
-func (e *entryVM) First(retry.Pool, int)                                          {}
+func (e *entryVM) Headroom(steering.Place, steering.Service) (int, time.Duration)    { return 7, 0 }
+func (e *entryVM) Owner(steering.Place, steering.Service) (seam.Member, bool)        { return e.self, true }
+func (e *entryVM) Hint(steering.Place, steering.Service, int)                        {}
+func (e *entryVM) RecordRefusal(steering.Place, steering.Service, *steering.Refusal) {}
+func (e *entryVM) RecordRequest(retry.Pool, int)                                     {}
 func (e *entryVM) Retry(now time.Time, r retry.Request, t retry.Tries, ran steering.Ran) retry.Denial {
 	if !e.allow {
 		return retry.DenyBudget
@@ -247,12 +247,12 @@
 	return retry.NewBudgets().Retry(now, r, t, ran)
 }
 func (e *entryVM) Hedge(time.Time, retry.Request, retry.Tries) retry.Denial { return retry.DenyBudget }
-func (e *entryVM) Begin(context.Context, poison.Mark) (v poison.Verdict, r *steering.Refusal) {
+func (e *entryVM) Begin(context.Context, poison.Fingerprints) (v poison.Verdict, r *steering.Refusal) {
 	return v, nil
 }
-func (e *entryVM) Trying(poison.Mark, poison.Verdict, steering.Target)         {}
-func (e *entryVM) End(poison.Mark, poison.Verdict, routing.Target, TryOutcome) {}
-func (e *entryVM) Home(netip.Addr) (steering.Place, bool)                      { return "p-a", true }
+func (e *entryVM) SetTrialTarget(poison.Fingerprints, poison.Verdict, steering.Target) {}
+func (e *entryVM) End(poison.Fingerprints, poison.Verdict, routing.Target, TryOutcome) {}
+func (e *entryVM) Home(netip.Addr) (steering.Place, bool)                              { return "p-a", true }
 func (e *entryVM) Lookup(netip.Addr, steering.Service) (a seam.LookupAnswer, err error) {
 	return a, nil
 }
@@ -309,14 +309,14 @@
 	case run.whole:
 		return nil, &run.answer, nil
 	}
-	return nil, nil, steering.Unknown(steering.ReasonKeyBusy, "running or unknown")
+	return nil, nil, steering.RefuseUnknown(steering.ReasonKeyBusy, "running or unknown")
 }
 
 func (r *fakeRun) Head(status int, h http.Header) {
 	r.answer.Status, r.answer.Header = status, h.Clone()
 }
 func (r *fakeRun) Body(p []byte)               { r.answer.Body = append(r.answer.Body, p...) }
-func (r *fakeRun) Whole(h http.Header)         { r.whole, r.answer.Trailer = true, h }
+func (r *fakeRun) Complete(h http.Header)      { r.whole, r.answer.Trailer = true, h }
 func (r *fakeRun) Refused(s *steering.Refusal) { r.refused = s }
 
 // do sends a request to the caller listener of entry VM ea.
--- a/node/forward/hedge.go
+++ b/node/forward/hedge.go
@@ -32,7 +32,7 @@
 // begin prepares a try on a granted target.
 func (x *exchange) begin(grant seam.Grant, permit seam.CapPermit, verdict poison.Verdict) *attempt {
 	target := grant.Target()
-	x.f.suspects.Trying(x.mark, verdict, target.Name)
+	x.f.suspects.SetTrialTarget(x.mark, verdict, target.Name)
 	a := &attempt{
 		grant: grant, target: target, verdict: verdict, started: time.Now(), cut: x.cancel,
 		upstream: &upstream{
@@ -212,7 +212,7 @@
 
 // discardTry accounts for a try whose response is not relayed.
 func (x *exchange) discardTry(a *attempt, s *sentTry, cancelled bool) tryResult {
-	result := newTryResult(seam.OutcomeCancelled, steering.Unknown(steering.ReasonCancelled, "another try answered first"))
+	result := newTryResult(seam.OutcomeCancelled, steering.RefuseUnknown(steering.ReasonCancelled, "another try answered first"))
 	switch {
 	case s.notStarted != nil:
 		result = *s.notStarted
--- a/node/forward/interfaces.go
+++ b/node/forward/interfaces.go
@@ -21,15 +21,15 @@
 }
 
 // Recorder receives the outcome of the one execution of a key. Head is called first, then Body any
-// number of times, then exactly one of Whole and Refused. If no response was begun, only Refused is
-// called.
+// number of times, then exactly one of Complete and Refused. If no response was begun, only Refused
+// is called.
 type Recorder interface {
 	// Head records the response's status and header.
 	Head(status int, header http.Header)
 	// Body records a piece of the response body. p is only valid during the call.
 	Body(p []byte)
-	// Whole records that the response is complete.
-	Whole(trailer http.Header)
+	// Complete records that the response is complete.
+	Complete(trailer http.Header)
 	// Refused records a run without a complete response. After RanNo the key may run again; after
 	// any other value it never does.
 	Refused(*steering.Refusal)
@@ -60,20 +60,20 @@
 	// Begin checks whether a request may be tried, before any target receives it. While a similar
 	// request is tried alone it blocks until that try ends or ctx is done. If the refusal is nil,
 	// the caller must call End, and must not send the request to the targets in Verdict.Avoid.
-	Begin(ctx context.Context, m poison.Mark) (poison.Verdict, *steering.Refusal)
-	// Trying sets the target on which the request is tried.
-	Trying(m poison.Mark, v poison.Verdict, target steering.Target)
+	Begin(ctx context.Context, m poison.Fingerprints) (poison.Verdict, *steering.Refusal)
+	// SetTrialTarget sets the target on which the request is tried.
+	SetTrialTarget(m poison.Fingerprints, v poison.Verdict, target steering.Target)
 	// End records how the try ended. If it was called with TryConnectionBroken and the target was
 	// lost, the region's live entry VMs have been notified when End returns, as far as they respond
 	// in time.
-	End(m poison.Mark, v poison.Verdict, target routing.Target, e TryOutcome)
+	End(m poison.Fingerprints, v poison.Verdict, target routing.Target, e TryOutcome)
 }
 
 // Retries manages the retry budgets of pools.
 type Retries interface {
-	// First counts the first try of a request, which adds percent hundredths of a retry to the
-	// pool's budget.
-	First(pool retry.Pool, percent int)
+	// RecordRequest counts the first try of a request, which adds percent hundredths of a retry to
+	// the pool's budget.
+	RecordRequest(pool retry.Pool, percent int)
 	// Retry decides whether a failed try may be followed by another one, and charges it to the
 	// budget.
 	Retry(now time.Time, r retry.Request, t retry.Tries, ran steering.Ran) retry.Denial
--- a/node/gateway/config.go
+++ b/node/gateway/config.go
@@ -31,14 +31,14 @@
 	if !behind || table == nil || behindFor < g.staleLimit() {
 		return false
 	}
-	return len(g.fleet.Holders(table.Version)) > 0
+	return len(g.fleet.ConfigHolders(table.Version)) > 0
 }
 
 // staleLimit returns for how long a VM that has learned of a newer configuration may still serve
 // by its own: the bound on activating the newer one, less the time that this VM may have taken to
 // learn of it.
 func (g *Gateway) staleLimit() time.Duration {
-	bound := g.bounds.Load().Apply
+	bound := g.bounds.Load().MaxConfigApplyTime
 	if bound <= 0 {
 		return defaultStaleLimit
 	}
@@ -54,29 +54,29 @@
 // recordNewest records the sender of a heartbeat that announces a newer version than any known
 // before.
 func (g *Gateway) recordNewest(before uint64, b fleet.Beat) {
-	if announced := max(b.Known.Config, b.Known.Newest); announced > before {
+	if announced := max(b.StoreDigest.Config, b.StoreDigest.Newest); announced > before {
 		g.newest.Store(&newestConfig{announced, b.From.Name})
 	}
 }
 
 // newConfigHandler returns the handler that serves the configuration to peers.
 func (g *Gateway) newConfigHandler() *catchup.Handler {
-	return &catchup.Handler{Index: g.reader.Index, Room: g.sendLimiter, Scope: g.metrics.Scope, Log: g.log}
+	return &catchup.Handler{Index: g.reader.Index, SendLimiter: g.sendLimiter, Scope: g.metrics.Scope, Log: g.log}
 }
 
 // newFetcher returns the fetcher of newer configurations, whose traffic is metered by distance.
 func (g *Gateway) newFetcher() *catchup.Fetcher {
-	return catchup.NewFetcher(catchup.Config{Reader: g.reader, Peers: g.peersWithNewer, Asker: g.requester, HTTP: g.peerClient,
+	return catchup.NewFetcher(catchup.Config{Reader: g.reader, Peers: g.peersWithNewer, Requester: g.requester, HTTP: g.peerClient,
 		Self: g.settings.VM, PieceBytes: spread.PieceBytes(g.settings.LinkMbps), Scope: g.metrics.Scope, Log: g.log,
 		OnResponse: func(from catchup.Peer, bytes int64) {
-			g.meter.Count(volume.Configuration, volume.Place{Zone: from.Zone, Region: from.Region}, bytes)
+			g.meter.Count(volume.Configuration, volume.Location{Zone: from.Zone, Region: from.Region}, bytes)
 		}})
 }
 
 // peersWithNewer returns the live VMs whose configuration is newer than a version.
 func (g *Gateway) peersWithNewer(above uint64) []catchup.Peer {
 	var all []catchup.Peer
-	for _, h := range g.fleet.Holders(above) {
+	for _, h := range g.fleet.ConfigHolders(above) {
 		all = append(all, catchup.Peer{Address: h.Control,
 			Source: spread.Source{VM: h.Name, Zone: h.Zone, Region: h.Region, Version: h.Version}})
 	}
@@ -85,7 +85,7 @@
 
 // requester returns the zone and region of this VM, and how many live VMs in each of them fetch
 // before it.
-func (g *Gateway) requester() spread.Asker {
-	zone, region := g.fleet.AskRank()
-	return spread.Asker{Zone: g.settings.Zone, Region: g.settings.Region, ZoneRank: zone, RegionRank: region}
+func (g *Gateway) requester() spread.Requester {
+	zone, region := g.fleet.RequestRank()
+	return spread.Requester{Zone: g.settings.Zone, Region: g.settings.Region, ZoneRank: zone, RegionRank: region}
 }
--- a/node/gateway/feed/configread.go
+++ b/node/gateway/feed/configread.go
@@ -43,9 +43,9 @@
 	return r.index
 }
 
-// Take puts a configuration that was fetched from peers in force if it is newer than the current
-// one.
-func (r *Reader) Take(x *spread.Index) {
+// ApplyConfig puts a configuration that was fetched from peers in force if it is newer than the
+// current one.
+func (r *Reader) ApplyConfig(x *spread.Index) {
 	r.update(func() bool {
 		if !r.state.SetTable(time.Now(), x.Table()) {
 			return false
@@ -105,7 +105,7 @@
 	_, since, _ := r.revisions()
 	if since > 0 {
 		next, err := r.store.ConfigChanges(ctx, since, 0)
-		if platform.FaultOf(err) != platform.FaultHistoryGone {
+		if platform.FaultOf(err) != platform.FaultRevisionExpired {
 			r.applyConfigRead(began, next, err)
 			return err
 		}
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -58,14 +58,14 @@
 	fleet       *fleet.Fleet
 	reader      *feed.Reader
 	fetcher     *catchup.Fetcher
-	sendLimiter *spread.Room // limits what this VM sends to peers
+	sendLimiter *spread.SendLimiter // limits what this VM sends to peers
 	peerClient  *http.Client
 	pulling     atomic.Bool
 	callers     *callers.Server
 	leaving     atomic.Bool
 	// announced is set once a heartbeat was requested to announce that this VM takes requests.
 	announced        atomic.Bool
-	regionSplit      placement.Lending
+	regionSplit      placement.RegionSplit
 	meter            *volume.Meter
 	allowanceService *allowances.Service
 	servers          []*http.Server
@@ -89,31 +89,31 @@
 // serves nothing until Run is called.
 func New(settings *platform.Settings, logger log.Logger) (*Gateway, error) {
 	g := &Gateway{settings: settings, currentSettings: settings, log: logger, metrics: telemetry.New(string(settings.VM), string(settings.Zone)),
-		store: platform.NewStore(settings.Store), regionSplit: placement.Lending{}, peaks: make(map[steering.Zone]peak),
-		meter: volume.NewMeter(volume.Place{Zone: settings.Zone, Region: settings.Region})}
+		store: platform.NewStore(settings.Store), regionSplit: placement.RegionSplit{}, peaks: make(map[steering.Zone]peak),
+		meter: volume.NewMeter(volume.Location{Zone: settings.Zone, Region: settings.Region})}
 	scope := g.metrics.Scope
 	if err := g.newAllowances(); err != nil {
 		return nil, err
 	}
 	g.pool = upstream.NewPool(upstream.Dial, platform.RequestIDOf)
-	g.pool.Opened = func() { scope.Counter("gateway_target_connections_opened").Inc(1) }
-	g.store.Called = func(call string, err error) {
+	g.pool.OnOpen = func() { scope.Counter("gateway_target_connections_opened").Inc(1) }
+	g.store.OnCall = func(call string, err error) {
 		scope.Tagged(map[string]string{"fault": faultName(err)}).Counter("gateway_store_calls").Inc(1)
 	}
-	g.store.Moved = func(bytes int) { g.meter.Count(volume.Store, volume.Place{}, int64(bytes)) }
+	g.store.OnBytes = func(bytes int) { g.meter.Count(volume.Store, volume.Location{}, int64(bytes)) }
 	b := settings.Bounds
 	g.relay = relay.New(relay.Config{Region: settings.Region, Zone: settings.Zone, Pool: g.pool,
 		Balancer: placement.NewBalancer(settings.VM, settings.Region),
 		Retry:    retry.NewSharedBudget(retryConfig(b)),
-		Log:      logger, TargetBeat: time.Duration(settings.HeartbeatMs) * time.Millisecond,
-		Events: relay.NewEvents(scope), StoreAge: func() time.Duration { return time.Duration(g.reader.Digest().AgeMs) * time.Millisecond },
-		Members: func() int { return g.fleet.Size() }, Behind: func() bool { _, _, behind := g.reader.Behind(); return behind }, Outdated: g.outdated,
+		Log:      logger, TargetHeartbeatInterval: time.Duration(settings.HeartbeatMs) * time.Millisecond,
+		Metrics: relay.NewMetrics(scope), StoreAge: func() time.Duration { return time.Duration(g.reader.Digest().AgeMs) * time.Millisecond },
+		MemberCount: func() int { return g.fleet.LiveCount() }, Behind: func() bool { _, _, behind := g.reader.Behind(); return behind }, ConfigOutdated: g.outdated,
 		Meter: g.meter, Allowances: g.allowanceService})
 	g.callers = callers.NewServer(g.relay, g.relay.Limits, maxCallerConnections)
 	state := feed.NewState(time.Duration(settings.HeartbeatMs)*time.Millisecond, settings.Zones)
 	g.reader = feed.NewReader(g.store, g, state, readerPeers{g}, logger)
 	g.peerClient = newPeerClient()
-	g.sendLimiter = spread.NewRoom(settings.LinkMbps)
+	g.sendLimiter = spread.NewSendLimiter(settings.LinkMbps)
 	g.fetcher = g.newFetcher()
 	g.applyBounds(b)
 	return g, g.newFleet()
@@ -145,10 +145,10 @@
 		}
 		seeds = append(seeds, platform.PeerAddressOf(host, g.settings.PeerPorts))
 	}
-	g.fleet = fleet.New(fleet.Config{Self: g.self(), Seeds: seeds, Log: g.log, Own: g.fillHeartbeat,
-		Suspects: func(all bool) []poison.Fact { return g.relay.TakeFacts(time.Now(), all) },
-		Heard:    g.handleHeartbeat, Changed: g.updateMembership,
-		Sent: func(to fleet.Member, bytes int) { g.meter.Count(volume.Heartbeats, locationOf(to), int64(bytes)) }}, conn)
+	g.fleet = fleet.New(fleet.Config{Self: g.self(), Seeds: seeds, Log: g.log, FillBeat: g.fillHeartbeat,
+		Suspects:   func(all bool) []poison.Fact { return g.relay.TakePoisonFacts(time.Now(), all) },
+		HandleBeat: g.handleHeartbeat, OnMembersChange: g.updateMembership,
+		OnSend: func(to fleet.Member, bytes int) { g.meter.Count(volume.Heartbeats, locationOf(to), int64(bytes)) }}, conn)
 	return nil
 }
 
@@ -157,16 +157,16 @@
 func (g *Gateway) fillHeartbeat(b *fleet.Beat) {
 	b.Leaving = g.leaving.Load()
 	b.Serving = g.relay.Ready() && !b.Leaving
-	b.Known = g.reader.Digest()
-	b.StoreFails = g.reader.Failing()
-	b.Reads = g.reader.Reading()
+	b.StoreDigest = g.reader.Digest()
+	b.StoreReadsFail = g.reader.Failing()
+	b.ReadingStore = g.reader.Reading()
 	b.ConfigContent, b.ConfigWait = uint32(g.reader.ContentHash()), g.fetcher.Progress().Wait
 	now := time.Now()
 	g.relay.WithBalancer(func(balancer *placement.Balancer, _ *retry.SharedBudget) {
 		b.Demand = balancer.Demand(now)
-		b.Replaced = balancer.ReplacedToTell(now)
+		b.Replaced = balancer.ReplacedToReport(now)
 	})
-	b.Tight = g.allowanceService.TightToTell()
+	b.Tight = g.allowanceService.LowBucketNotices()
 }
 
 // updateMembership passes the current membership to placement, retry budgets and allowances.
@@ -175,18 +175,18 @@
 	for _, m := range g.fleet.Live() {
 		peers[m.Region] = append(peers[m.Region], m.Name)
 	}
-	dark := g.fleet.DarkZones()
-	known := g.fleet.Known()
+	dark := g.fleet.UnreachableZones()
+	known := g.fleet.RecordCount()
 	g.updateAllowancePeers()
 	g.relay.WithBalancer(func(balancer *placement.Balancer, budget *retry.SharedBudget) {
 		balancer.SetPeers(peers)
-		balancer.SetDark(dark)
+		balancer.SetUnreachableZones(dark)
 		budget.SetMembers(known)
 	})
 }
 
-// Configured implements feed.Sink.
-func (g *Gateway) Configured(t *routes.Table, known time.Duration) {
+// ConfigChanged implements feed.Sink.
+func (g *Gateway) ConfigChanged(t *routes.Table, known time.Duration) {
 	if g.relay.SetTable(t) {
 		_ = g.log.Log("msg", "configuration in force", "config", t.Version, "routes", len(t.Routes), "known_ms", known.Milliseconds()) // the log writer counts dropped lines
 		g.allowanceService.Configure(t.Workspaces)
@@ -196,13 +196,13 @@
 	}
 }
 
-// Placed implements feed.Sink.
-func (g *Gateway) Placed(targets []placement.Target, generationOf func(steering.Target) (steering.Generation, bool)) {
+// TargetsChanged implements feed.Sink.
+func (g *Gateway) TargetsChanged(targets []placement.Target, generationOf func(steering.Target) (steering.Generation, bool)) {
 	g.relay.SetTargets(targets)
 	g.logTargets(targets)
-	g.pool.Retain(generationOf)
+	g.pool.CloseStale(generationOf)
 	g.metrics.Scope.Gauge("gateway_targets").Update(float64(len(targets)))
-	g.relay.SetReady()
+	g.relay.SetTargetsKnown()
 	g.becameReady()
 }
 
@@ -241,7 +241,7 @@
 	stop()
 	g.closeServers()
 	g.workers.Wait()
-	g.relay.LogSums()
+	g.relay.LogOutcomeCounts()
 	g.logTraffic()
 	g.logWorkspaces()
 	_ = g.log.Log("msg", "stopped", "vm", g.settings.VM)
@@ -265,7 +265,7 @@
 		g.updateRegionSplit()
 		g.updateMembership()
 		g.updateGauges()
-		g.relay.LogSums()
+		g.relay.LogOutcomeCounts()
 		if time.Since(lastTraffic) >= trafficLogInterval {
 			lastTraffic = time.Now()
 			g.logTraffic()
@@ -280,9 +280,9 @@
 	demand := g.fleet.Demand()
 	g.relay.WithBalancer(func(balancer *placement.Balancer, _ *retry.SharedBudget) {
 		demand[g.settings.Region].AddAll(balancer.Demand(time.Now()))
-		balancer.Learn(placement.Runs(demand))
-		g.regionSplit = placement.NextLending(g.regionSplit, placement.Situation{Demand: demand, Slots: balancer.Slots(), Regions: g.regionCount(), ShiftShare: g.bounds.Load().ShiftShare})
-		balancer.SetLending(g.regionSplit)
+		balancer.SetServiceTimes(placement.Runs(demand))
+		g.regionSplit = placement.NextRegionSplit(g.regionSplit, placement.SplitInput{Demand: demand, Slots: balancer.Slots(), Regions: g.regionCount(), MaxRegionShift: g.bounds.Load().MaxRegionShift})
+		balancer.SetRegionSplit(g.regionSplit)
 	})
 }
 
@@ -293,7 +293,7 @@
 	if len(sums) == 0 {
 		return
 	}
-	_ = g.log.Log("msg", volume.LineMessage, "zone", g.settings.Zone, "bytes", sums) // the log writer counts dropped lines
+	_ = g.log.Log("msg", volume.LogMessage, "zone", g.settings.Zone, "bytes", sums) // the log writer counts dropped lines
 	for purpose, sum := range sums {
 		for distance, bytes := range sum.ByDistance() {
 			g.metrics.Scope.Tagged(map[string]string{"purpose": string(purpose), "distance": distance}).Counter("gateway_exchanged_bytes").Inc(bytes)
@@ -319,22 +319,22 @@
 	kept := make(map[steering.Service]float64)
 	g.relay.WithBalancer(func(balancer *placement.Balancer, budget *retry.SharedBudget) {
 		ejected, replaced = balancer.Ejected(), balancer.Replaced()
-		tries = budget.Left(time.Now())
+		tries = budget.Available(time.Now())
 		for service := range g.regionSplit {
-			kept[service] = g.regionSplit.Kept(service, g.settings.Region)
+			kept[service] = g.regionSplit.LocalShare(service, g.settings.Region)
 		}
 	})
 	g.logEjected(ejected)
 	g.logReplaced(replaced)
 	scope.Gauge("gateway_targets_ejected").Update(float64(len(ejected)))
 	scope.Gauge("gateway_targets_replaced").Update(float64(len(replaced)))
-	scope.Gauge("gateway_peers").Update(float64(g.fleet.Size()))
+	scope.Gauge("gateway_peers").Update(float64(g.fleet.LiveCount()))
 	newest, behindFor, _ := g.reader.Behind()
 	scope.Gauge("gateway_config_newest").Update(float64(newest))
 	scope.Gauge("gateway_config_behind_ms").Update(float64(behindFor.Milliseconds()))
 	scope.Gauge("gateway_store_age_ms").Update(float64(g.reader.Digest().AgeMs))
 	scope.Gauge("gateway_read_rank").Update(float64(g.reader.Rank()))
-	scope.Gauge("gateway_requests_running").Update(float64(g.callers.Running()))
+	scope.Gauge("gateway_requests_running").Update(float64(g.callers.InFlight()))
 	scope.Gauge("gateway_caller_connections").Update(float64(g.callers.Connections()))
 	for service, left := range tries {
 		scope.Tagged(map[string]string{"service": string(service)}).Gauge("gateway_tries_left").Update(left)
--- a/node/gateway/golden_internal_test.go
+++ b/node/gateway/golden_internal_test.go
@@ -24,8 +24,8 @@
 	metrics := telemetry.New("vm-1", "norte-a")
 	defer metrics.Close()
 	g := &Gateway{settings: &platform.Settings{Zone: "norte-a"}, log: telemetry.NewLogger(&lines, "info"), metrics: metrics,
-		meter: volume.NewMeter(volume.Place{Zone: "norte-a", Region: "norte"})}
-	g.meter.Count(volume.Heartbeats, volume.Place{Zone: "sur-a", Region: "sur"}, 1234)
+		meter: volume.NewMeter(volume.Location{Zone: "norte-a", Region: "norte"})}
+	g.meter.Count(volume.Heartbeats, volume.Location{Zone: "sur-a", Region: "sur"}, 1234)
 	g.logTraffic()
 	golden.Assert(t, stamp.ReplaceAllString(lines.String(), `"ts":"2026-01-02T03:04:05Z"`), "golden/bytes-line.json")
 }
@@ -45,7 +45,7 @@
 		Rejected: []status.Rejected{{Version: "r20", Reason: "route x names no service"}}}
 	apart := o
 	apart.Outliers = []status.Outlier{{Row: behind, Why: "behind"}}
-	for name, view := range map[string]status.View{"agree": {Overview: o}, "apart": {Overview: apart, Silent: []steering.Zone{"oeste-a"}}} {
+	for name, view := range map[string]status.FleetView{"agree": {Overview: o}, "apart": {Overview: apart, Silent: []steering.Zone{"oeste-a"}}} {
 		var page bytes.Buffer
 		assert.NilError(t, pageTemplate.Execute(&page, view))
 		golden.Assert(t, page.String(), "golden/page-"+name+".html")
--- a/node/gateway/peersync.go
+++ b/node/gateway/peersync.go
@@ -57,31 +57,31 @@
 // ReadRank implements feed.Peers.
 func (f readerPeers) ReadRank(fails bool) int { return f.g.fleet.ReadRank(fails) }
 
-// ReadBegun implements feed.Peers.
-func (f readerPeers) ReadBegun() time.Time { return f.g.fleet.ReadBegun() }
+// LastReadStart implements feed.Peers.
+func (f readerPeers) LastReadStart() time.Time { return f.g.fleet.LastReadStart() }
 
-// Reading implements feed.Sink.
-func (g *Gateway) Reading() { g.fleet.Announce() }
+// ReadStarted implements feed.Sink.
+func (g *Gateway) ReadStarted() { g.fleet.Announce() }
 
-// Refreshed implements feed.Sink.
-func (g *Gateway) Refreshed() { g.fleet.Announce() }
+// ReadSucceeded implements feed.Sink.
+func (g *Gateway) ReadSucceeded() { g.fleet.Announce() }
 
 // handleHeartbeat merges what a peer reports, and pulls target updates from the peer if it has a
 // newer revision.
 func (g *Gateway) handleHeartbeat(b fleet.Beat) {
 	if len(b.Suspects) > 0 {
-		g.relay.LearnFacts(time.Now(), b.Suspects)
+		g.relay.MergePoisonFacts(time.Now(), b.Suspects)
 	}
 	if len(b.Tight) > 0 {
-		g.allowanceService.LearnTight(b.Tight)
+		g.allowanceService.ApplyLowBucketNotices(b.Tight)
 	}
 	if len(b.Replaced) > 0 {
 		g.relay.WithBalancer(func(balancer *placement.Balancer, _ *retry.SharedBudget) {
-			balancer.LearnReplaced(time.Now(), b.Replaced)
+			balancer.MarkReplaced(time.Now(), b.Replaced)
 		})
 	}
 	newest, _, _ := g.reader.Behind()
-	pull := g.reader.Merge(b.Known)
+	pull := g.reader.Merge(b.StoreDigest)
 	g.recordNewest(newest, b)
 	if _, _, behind := g.reader.Behind(); behind {
 		g.fetcher.Wake()
@@ -91,12 +91,12 @@
 	}
 	go func() {
 		defer g.pulling.Store(false)
-		if zoneRank, _ := g.fleet.AskRank(); b.From.Zone != g.settings.Zone && zoneRank >= pullersPerZone {
+		if zoneRank, _ := g.fleet.RequestRank(); b.From.Zone != g.settings.Zone && zoneRank >= pullersPerZone {
 			// A peer of this zone is about to announce the same update. The flag is cleared before
 			// the second check, so that the heartbeat of that peer can start the pull instead.
 			time.Sleep(zonePeerWait)
 			g.pulling.Store(false)
-			if !g.reader.Merge(b.Known) || !g.pulling.CompareAndSwap(false, true) {
+			if !g.reader.Merge(b.StoreDigest) || !g.pulling.CompareAndSwap(false, true) {
 				return
 			}
 		}
@@ -114,7 +114,9 @@
 }
 
 // locationOf returns the zone and region of an entry VM.
-func locationOf(m fleet.Member) volume.Place { return volume.Place{Zone: m.Zone, Region: m.Region} }
+func locationOf(m fleet.Member) volume.Location {
+	return volume.Location{Zone: m.Zone, Region: m.Region}
+}
 
 // countPull counts a response of a peer and its bytes by whether it was complete.
 func (g *Gateway) countPull(bytes int64, err error) {
@@ -148,7 +150,7 @@
 // pull fetches and applies all target updates that a peer has and this VM lacks. It returns the
 // number of bytes received, also on error.
 func (g *Gateway) pull(address string) (bytes int64, err error) {
-	query := url.Values{paramSince: {strconv.FormatInt(g.reader.Position(), 10)}}
+	query := url.Values{paramSince: {strconv.FormatInt(g.reader.KnownRevision(), 10)}}
 	ctx, stall := platform.WithStallTimeout(context.Background(), pullTimeout)
 	defer stall.Release()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+pathKnown+"?"+query.Encode(), nil)
@@ -186,7 +188,7 @@
 			return
 		}
 		update := g.reader.UpdateSince(since)
-		if _, ok := g.sendLimiter.Promise(time.Now(), spread.Ask{Bytes: entryBytes * len(update.Entries), Outline: true}); !ok {
+		if _, ok := g.sendLimiter.Reserve(time.Now(), spread.LinkLoad{Bytes: entryBytes * len(update.Entries), Outline: true}); !ok {
 			g.metrics.Scope.Counter("gateway_targets_asked_in_vain").Inc(1)
 			http.Error(w, "the link is full; ask another entry VM", http.StatusServiceUnavailable)
 			return
--- a/node/gateway/relay/attempts.go
+++ b/node/gateway/relay/attempts.go
@@ -18,8 +18,8 @@
 // attemptResult is the result of an attempt.
 type attemptResult struct {
 	pick     placement.Pick
-	response *upstream.Answer
-	info     platform.Answer
+	response *upstream.Response
+	info     platform.Response
 	err      error
 	// notRun is set when the request is proven not to have run in this attempt.
 	notRun bool
@@ -80,16 +80,16 @@
 func (x *exchange) startAttempt(ctx context.Context) *placement.Refusal {
 	pick, refusal := x.f.choose(x.placementRequest())
 	if refusal != nil {
-		x.noCapacity, x.warmTime = refusal, refusal.Warm
+		x.noCapacity, x.warmTime = refusal, refusal.WarmRunTime
 		return refusal
 	}
-	x.lastPick, x.warmTime = pick, pick.Warm
+	x.lastPick, x.warmTime = pick, pick.WarmRunTime
 	x.attempts++
 	x.running++
 	x.tried = append(x.tried, pick.Target.Name)
 	x.history = append(x.history, tried{Target: pick.Target.Name, Zone: pick.Target.Zone, Rank: pick.Rank, Trial: pick.Trial,
 		ExpectedMs: pick.Expected.Milliseconds(), WaitMs: pick.Wait.Milliseconds(), AtMs: time.Since(x.r.Received).Milliseconds(),
-		slots: pick.Target.Slots, crossRegion: pick.Away})
+		slots: pick.Target.Slots, crossRegion: pick.OtherRegion})
 	go x.attempt(ctx, pick)
 	return nil
 }
@@ -97,7 +97,7 @@
 func (x *exchange) placementRequest() placement.Request {
 	now := time.Now()
 	r := placement.Request{Service: x.service, ID: x.call.ID, Region: x.f.cfg.Region, Allowed: x.mayRunIn,
-		Left: x.deadline.Sub(now), Rank: x.workspace.RankOr(x.route.Rank), Repeatable: x.route.Kind.Repeatable(), Tried: x.tried}
+		TimeLeft: x.deadline.Sub(now), Rank: x.workspace.RankOr(x.route.Rank), Retryable: x.route.Kind.Retryable(), Tried: x.tried}
 	if x.route.KeyAffinity {
 		r.Key = x.call.Key
 	}
@@ -113,7 +113,7 @@
 	response, err := x.f.cfg.Pool.Do(ctx, upstream.Call{
 		Target: pick.Target.Name, Generation: pick.Target.Generation, Address: pick.Target.Address,
 		MaxConnections: x.maxConnections(), DialTimeout: min(dialTimeout, max(time.Until(x.deadline), time.Millisecond)),
-		BeforeSend: func() { sentAt = time.Now() }, Opened: x.f.metered(pick.Target),
+		BeforeSend: func() { sentAt = time.Now() }, OnOpen: x.f.metered(pick.Target),
 	}, x.targetRequest(pick))
 	e := x.classify(pick, response, err)
 	e.report = x.f.reportResult(ctx, x, e, sentAt)
@@ -126,7 +126,7 @@
 	if f.cfg.Meter == nil {
 		return nil
 	}
-	at := volume.Place{Zone: t.Zone, Region: t.Region}
+	at := volume.Location{Zone: t.Zone, Region: t.Region}
 	return func(raw net.Conn) net.Conn { return f.cfg.Meter.Conn(raw, volume.Requests, at) }
 }
 
@@ -136,7 +136,7 @@
 	if service == nil || service.MaxConnections <= 0 {
 		return 0
 	}
-	return max(service.MaxConnections/max(x.f.cfg.Members(), 1), 1)
+	return max(service.MaxConnections/max(x.f.cfg.MemberCount(), 1), 1)
 }
 
 func (x *exchange) targetRequest(pick placement.Pick) *upstream.Request {
@@ -148,20 +148,20 @@
 	if planted.Defect == planted.ReusedAddress {
 		expected = ""
 	}
-	platform.MarkForTarget(header, expected, time.Until(x.deadline))
+	platform.SetTargetHeaders(header, expected, time.Until(x.deadline))
 	return &upstream.Request{Method: x.r.Method, Path: x.r.Path, Host: x.r.Host, Header: header,
-		Body: x.r.Body, Rest: x.r.Rest, Length: x.r.Length, ID: x.call.ID}
+		Body: x.r.Body, BodyRest: x.r.BodyRest, Length: x.r.Length, ID: x.call.ID}
 }
 
 // classify returns the result of an attempt, with what the response or the error proves.
-func (x *exchange) classify(pick placement.Pick, response *upstream.Answer, err error) attemptResult {
+func (x *exchange) classify(pick placement.Pick, response *upstream.Response, err error) attemptResult {
 	e := attemptResult{pick: pick, response: response, err: err}
 	if err != nil {
 		e.unsent = stageOf(err) != upstream.Sent
 		e.notRun = e.unsent
 		return e
 	}
-	e.info = platform.ReadAnswer(response.Status, response.Header)
+	e.info = platform.ReadResponse(response.Status, response.Header)
 	e.notRun = e.info.NotRun
 	switch {
 	case e.notRun:
@@ -188,9 +188,9 @@
 // mayRetry reports whether the request may be sent once more. If not, it sets noRetryReason.
 func (x *exchange) mayRetry(e attemptResult) bool {
 	switch {
-	case x.maybeRan && !x.route.Kind.Repeatable() && planted.Defect != planted.Twice:
+	case x.maybeRan && !x.route.Kind.Retryable() && planted.Defect != planted.UnsafeRetry:
 		x.noRetryReason = noRetryMayHaveRun
-	case x.r.Rest != nil && !e.unsent:
+	case x.r.BodyRest != nil && !e.unsent:
 		x.noRetryReason = noRetryBodySent
 	case !x.attemptsLeft() || x.attempts >= x.route.MaxAttempts+maxExtraAttempts:
 		x.noRetryReason = noRetryMaxAttempts
@@ -217,7 +217,7 @@
 // target takes a retry from the budget.
 func (x *exchange) retry(ctx context.Context, e attemptResult) bool {
 	if !e.unsent && !x.f.takeRetry(x.service) {
-		x.f.cfg.Events.Refused(steering.ReasonRetryBudget)
+		x.f.cfg.Metrics.Refused(steering.ReasonRetryBudget)
 		x.noRetryReason = noRetryBudget
 		return false
 	}
@@ -229,9 +229,9 @@
 		return false
 	}
 	if !e.notRun {
-		x.f.cfg.Allowances.Ran(x.workspace)
+		x.f.cfg.Allowances.RecordExtraRun(x.workspace)
 	}
-	x.f.cfg.Events.Retried(retryReason(e))
+	x.f.cfg.Metrics.Retried(retryReason(e))
 	return true
 }
 
@@ -251,7 +251,7 @@
 
 // hedge sends an overdue idempotent request to a second target, if the retry budget allows.
 func (x *exchange) hedge(ctx context.Context) {
-	if !x.route.Kind.Repeatable() || x.r.Rest != nil || x.running != 1 || !x.attemptsLeft() {
+	if !x.route.Kind.Retryable() || x.r.BodyRest != nil || x.running != 1 || !x.attemptsLeft() {
 		return
 	}
 	if !x.f.takeRetry(x.service) {
@@ -261,8 +261,8 @@
 		x.f.returnRetry(x.service)
 		return
 	}
-	x.f.cfg.Allowances.Ran(x.workspace)
-	x.f.cfg.Events.Retried("overdue")
+	x.f.cfg.Allowances.RecordExtraRun(x.workspace)
+	x.f.cfg.Metrics.Retried("overdue")
 }
 
 // hedgeDelay returns how long to wait for the first response before the request is hedged.
--- a/node/gateway/relay/exchange.go
+++ b/node/gateway/relay/exchange.go
@@ -19,7 +19,7 @@
 	f        *Relay
 	service  steering.Service
 	r        *callers.Request
-	call     platform.Call
+	call     platform.RequestInfo
 	header   http.Header // end-to-end header fields, shared by all attempts
 	deadline time.Time   // when the request is given up
 
@@ -31,7 +31,7 @@
 	maybeRan      bool
 	tried         []steering.Target
 	lastPick      placement.Pick
-	fingerprints  poison.Mark
+	fingerprints  poison.Fingerprints
 	verdict       poison.Verdict
 	history       []tried
 	noCapacity    *placement.Refusal // of the last attempt that found no target with capacity
@@ -39,7 +39,7 @@
 	warmTime      time.Duration      // last known latency of the service with a warm cache
 }
 
-func newExchange(f *Relay, e routeMatch, r *callers.Request, call platform.Call) *exchange {
+func newExchange(f *Relay, e routeMatch, r *callers.Request, call platform.RequestInfo) *exchange {
 	x := &exchange{routeMatch: e, f: f, r: r, call: call, service: e.route.Service(),
 		header: endToEnd(r.Header), results: make(chan attemptResult, e.route.MaxAttempts+maxExtraAttempts+1)} // one more for a hedge
 	platform.RemoveIdentity(x.header)
@@ -66,7 +66,7 @@
 // returns nil if the caller left.
 func (x *exchange) run(ctx context.Context) *callers.Response {
 	x.f.recordRequest(x.service, x.singleHome())
-	if x.r.Rest != nil && x.r.Length > x.table.Limits.BodyBytes {
+	if x.r.BodyRest != nil && x.r.Length > x.table.Limits.BodyBytes {
 		return x.refuse(steering.ReasonBodyTooLarge, 0)
 	}
 	if retryAfter, held := x.checkPoison(); held {
@@ -94,7 +94,7 @@
 		case <-deadline.C:
 			return x.timedOut()
 		case <-ctx.Done():
-			x.f.cfg.Events.Refused(steering.ReasonCancelled)
+			x.f.cfg.Metrics.Refused(steering.ReasonCancelled)
 			x.recordOutcome(losses.Failed, steering.ReasonCancelled)
 			return nil
 		}
@@ -118,7 +118,7 @@
 // its caller leaves. A request that must run at most once is left to finish, since cancelling it
 // would leave its outcome unknown.
 func (x *exchange) workContext(ctx context.Context) (context.Context, context.CancelFunc) {
-	if x.route.Kind.Repeatable() {
+	if x.route.Kind.Retryable() {
 		return context.WithDeadline(ctx, x.deadline)
 	}
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), x.deadline.Add(timeoutGrace))
--- a/node/gateway/relay/golden_internal_test.go
+++ b/node/gateway/relay/golden_internal_test.go
@@ -26,8 +26,8 @@
 // lose the zone.
 func TestGoldenSumsLine(t *testing.T) {
 	golden.Assert(t, logged(func(f *Relay) {
-		f.outcomeCounts.tally.Add(losses.Kind{Service: "tickets", Repeats: "once", AimMs: 400}, losses.Late, losses.Waited, true)
-		f.LogSums()
+		f.outcomeCounts.tally.Add(losses.Kind{Service: "tickets", Repeats: "once", AimMs: 400}, losses.Late, losses.WaitedForSlot, true)
+		f.LogOutcomeCounts()
 	}), "golden/sums-line.json")
 }
 
--- a/node/gateway/relay/outcomes.go
+++ b/node/gateway/relay/outcomes.go
@@ -34,30 +34,30 @@
 func (s *outcomeCounts) add(k losses.Kind, r losses.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r.Used = s.tally.Used(k, r.Deadline)
-	if r.Outcome == losses.InAim && r.Aim > 0 && r.Used+r.Took > r.Aim {
+	r.TimeUsed = s.tally.TimeUsed(k, r.Deadline)
+	if r.Outcome == losses.InAim && r.Aim > 0 && r.TimeUsed+r.Latency > r.Aim {
 		r.Outcome = losses.Late
 	}
 	cause := losses.Cause("")
 	if r.Outcome != losses.InAim {
 		cause = losses.CauseOf(r)
 	}
-	s.tally.Add(k, r.Outcome, cause, r.Used > 0)
+	s.tally.Add(k, r.Outcome, cause, r.TimeUsed > 0)
 }
 
-// LogSums logs the counts of the requests that ended since the last call in one line, or nothing if
-// there were none.
-func (f *Relay) LogSums() {
+// LogOutcomeCounts logs the counts of the requests that ended since the last call in one line, or
+// nothing if there were none.
+func (f *Relay) LogOutcomeCounts() {
 	f.outcomeCounts.mu.Lock()
 	all := f.outcomeCounts.tally.Take()
 	f.outcomeCounts.mu.Unlock()
 	if len(all) > 0 {
-		_ = f.cfg.Log.Log("msg", losses.LineMessage, "zone", f.cfg.Zone, "sums", all) // the log writer counts dropped lines
+		_ = f.cfg.Log.Log("msg", losses.LogMessage, "zone", f.cfg.Zone, "sums", all) // the log writer counts dropped lines
 	}
 }
 
 // recordRefused counts a request that was refused before an exchange was started for it.
-func (f *Relay) recordRefused(route *routes.Route, call platform.Call, reason steering.Reason) {
+func (f *Relay) recordRefused(route *routes.Route, call platform.RequestInfo, reason steering.Reason) {
 	service := steering.Service("")
 	if route != nil && len(route.Parts) > 0 {
 		service = route.Parts[0].Service
@@ -76,7 +76,7 @@
 
 func (x *exchange) recordEnd(o losses.Outcome, reason steering.Reason, ready time.Duration) {
 	r := losses.Request{Outcome: o, Reason: reason, Aim: x.route.Aim, Deadline: x.call.Deadline,
-		Ready: ready, Took: time.Since(x.r.Received), Warm: x.warmTime}
+		Ready: ready, Latency: time.Since(x.r.Received), WarmRunTime: x.warmTime}
 	for _, t := range x.history {
 		if t.End == "" && reason == "" {
 			continue // lost the race against the other attempt of a hedged request
@@ -89,13 +89,13 @@
 // summary returns what an attempt showed about its target. An attempt that has not ended counts as
 // silent.
 func (t tried) summary(received time.Time) losses.Try {
-	summary := losses.Try{Outcome: t.report.Outcome, Took: t.report.Took, Spoiled: t.unusable, Wait: time.Duration(t.WaitMs) * time.Millisecond, Away: t.crossRegion}
+	summary := losses.Try{Outcome: t.report.Outcome, Latency: t.report.Latency, InvalidResponse: t.unusable, Wait: time.Duration(t.WaitMs) * time.Millisecond, OtherRegion: t.crossRegion}
 	if t.End == "" {
 		summary.Outcome = placement.Silent
-		summary.Took = time.Since(received) - time.Duration(t.AtMs)*time.Millisecond
+		summary.Latency = time.Since(received) - time.Duration(t.AtMs)*time.Millisecond
 		return summary
 	}
-	summary.Crowded = t.report.Crowded(t.slots)
+	summary.Saturated = t.report.Saturated(t.slots)
 	return summary
 }
 
--- a/node/gateway/relay/responses.go
+++ b/node/gateway/relay/responses.go
@@ -32,9 +32,9 @@
 		return x.refuse(steering.ReasonShed, shedRetryAfter)
 	}
 	if e.err == nil {
-		return x.outcomeUnknown(steering.ReasonAnswerCrossed)
+		return x.outcomeUnknown(steering.ReasonResponseMismatched)
 	}
-	return x.outcomeUnknown(steering.ReasonTargetDied)
+	return x.outcomeUnknown(steering.ReasonTargetLost)
 }
 
 // shedRetryAfter is the Retry-After once targets refused a request: about one service time.
@@ -43,13 +43,13 @@
 // refuse returns the response to a request that has not run.
 func (x *exchange) refuse(reason steering.Reason, retryAfter time.Duration) *callers.Response {
 	x.recordOutcome(losses.Refused, reason)
-	x.f.cfg.Allowances.Return(x.workspace, reason)
+	x.f.cfg.Allowances.ReturnCredit(x.workspace, reason)
 	return x.f.refuse(x.requestInfo(x.call), reason, retryAfter, x.detail())
 }
 
 // outcomeUnknown returns the response to a request that may have run.
 func (x *exchange) outcomeUnknown(reason steering.Reason) *callers.Response {
-	x.f.cfg.Events.Refused(reason)
+	x.f.cfg.Metrics.Refused(reason)
 	x.recordOutcome(losses.Failed, reason)
 	x.f.logRequest("outcome unknown", x.requestInfo(x.call), reason, x.detail())
 	status := http.StatusBadGateway
@@ -81,14 +81,14 @@
 
 // deliver passes a target's response on to the caller.
 func (x *exchange) deliver(e attemptResult) *callers.Response {
-	x.f.cfg.Events.Served(x.route.Kind, e.response.Status, time.Since(x.r.Received))
+	x.f.cfg.Metrics.Served(x.route.Kind, e.response.Status, time.Since(x.r.Received))
 	ready := time.Since(x.r.Received)
 	if len(x.history) > 1 || e.response.Status >= http.StatusInternalServerError {
 		x.f.logRequest("passed on", x.requestInfo(x.call), "", append(x.detail(), "status", e.response.Status))
 	}
 	return &callers.Response{Status: e.response.Status, Header: endToEnd(e.response.Header), Body: e.response.Body,
-		Rest: e.response.Rest, Length: e.response.Length, Close: x.r.Rest != nil,
-		Turn: func() { x.recordResponse(outcomeOfStatus(e.response.Status), ready) }}
+		BodyRest: e.response.BodyRest, Length: e.response.Length, Close: x.r.BodyRest != nil,
+		BeforeWrite: func() { x.recordResponse(outcomeOfStatus(e.response.Status), ready) }}
 }
 
 func formatSeconds(d time.Duration) string {
--- a/node/gateway/relay/workspaces_test.go
+++ b/node/gateway/relay/workspaces_test.go
@@ -28,7 +28,7 @@
 func (g *rig) configure(version uint64, workspaces ...*identity.Workspace) {
 	old := g.relay.Table()
 	public := &routes.Route{Name: "public", Host: "shop.example", Prefix: "/public/", Timeout: time.Second, MaxAttempts: 2,
-		Public: true, Parts: []routes.Part{{Service: service, Weight: 1}}}
+		Public: true, Parts: []routes.WeightedService{{Service: service, Weight: 1}}}
 	g.relay.SetTable(routes.NewTable(version, append(old.Routes[:3:3], public), []*routes.Service{{Name: service, MaxConnections: 50}}, old.Limits, workspaces...))
 }
 
@@ -123,7 +123,7 @@
 	assert.Equal(t, g.readWith("/read/1", "Api-Key: k-both").StatusCode, 200)
 	got := g.readWith("/read/1", "Api-Key: k-norte")
 	assert.Equal(t, got.StatusCode, 503)
-	assert.Equal(t, got.Header.Get("Heatherlock-Reason"), string(steering.ReasonNoCommonHome))
+	assert.Equal(t, got.Header.Get("Heatherlock-Reason"), string(steering.ReasonNoCommonHomeRegion))
 	assert.Equal(t, len(g.runs()), 1)
 }
 
--- a/node/gateway/status/status.go
+++ b/node/gateway/status/status.go
@@ -1,5 +1,5 @@
 // Package status defines the status that an entry VM on the users' platform reports to operators,
-// as JSON from GET /v1/status on its control listener. It also holds the client: Ask and its
+// as JSON from GET /v1/status on its control listener. It also holds the client: Fetch and its
 // variants request the status of VMs, Gather combines the statuses of one VM of each zone, and
 // Summarize derives from them which configuration each VM uses.
 package status
@@ -33,8 +33,9 @@
 	// PeersLive and PeersKnown count live entry VMs and those on record, this one included.
 	PeersLive  int `json:"peers_live"`
 	PeersKnown int `json:"peers_known"`
-	// DarkZones holds the zones from whose entry VMs this VM receives no heartbeats any more.
-	DarkZones []steering.Zone `json:"dark_zones"`
+	// UnreachableZones holds the zones from whose entry VMs this VM receives no heartbeats any
+	// more.
+	UnreachableZones []steering.Zone `json:"dark_zones"`
 	// EvacuatedZones holds the zones under evacuation, whose targets get no new requests.
 	EvacuatedZones []steering.Zone `json:"evacuated_zones"`
 	// RequestsRunning and CallerConnections count the requests in flight and the open connections
--- a/node/gateway/upstream/exchange.go
+++ b/node/gateway/upstream/exchange.go
@@ -20,22 +20,22 @@
 	Path   string
 	Host   string
 	Header http.Header // end-to-end header fields only
-	// Body is the whole body, or its beginning if Rest holds more.
-	Body []byte
-	Rest io.Reader
+	// Body is the whole body, or its beginning if BodyRest holds more.
+	Body     []byte
+	BodyRest io.Reader
 	// Length is the length of the body; a negative length sends it in chunks.
 	Length int64
 	// ID is the request ID, which the response must repeat.
 	ID string
 }
 
-// Answer is a target's response.
-type Answer struct {
+// Response is a target's response.
+type Response struct {
 	Status int
 	Header http.Header
-	// Body is the whole body, or its beginning when Rest holds more.
-	Body []byte
-	Rest io.ReadCloser
+	// Body is the whole body, or its beginning when BodyRest holds more.
+	Body     []byte
+	BodyRest io.ReadCloser
 	// Length is the stated length; negative if none was stated.
 	Length int64
 }
@@ -84,13 +84,13 @@
 	DialTimeout time.Duration
 	// BeforeSend, if set, is called before the first byte is written.
 	BeforeSend func()
-	// Opened, if set, is given each connection that is opened for the call, and returns the one to
+	// OnOpen, if set, is given each connection that is opened for the call, and returns the one to
 	// use.
-	Opened func(net.Conn) net.Conn
+	OnOpen func(net.Conn) net.Conn
 }
 
 // Do sends a request and returns the response. A non-nil error is an *Error.
-func (p *Pool) Do(ctx context.Context, call Call, r *Request) (*Answer, error) {
+func (p *Pool) Do(ctx context.Context, call Call, r *Request) (*Response, error) {
 	h := p.poolOf(call.Target, call.Generation)
 	e := &exchange{request: &http.Request{Method: r.Method}, id: r.ID, done: make(chan result, 1)}
 	c := h.takeIdle(time.Now())
@@ -117,7 +117,7 @@
 
 // exchange writes the request and waits for the response. If ctx ends first, the connection is
 // closed, so that the target stops work on the request.
-func (c *conn) exchange(ctx context.Context, e *exchange, r *Request) (*Answer, error) {
+func (c *conn) exchange(ctx context.Context, e *exchange, r *Request) (*Response, error) {
 	stop := context.AfterFunc(ctx, c.close)
 	defer stop()
 	counted := &countingWriter{to: c.raw}
@@ -140,7 +140,7 @@
 
 // handleWriteError returns the response if one arrived before the request was sent completely, and
 // else the error of the failed write.
-func (c *conn) handleWriteError(e *exchange, counted *countingWriter, err error) (*Answer, error) {
+func (c *conn) handleWriteError(e *exchange, counted *countingWriter, err error) (*Response, error) {
 	timer := time.NewTimer(earlyResponseWait)
 	defer timer.Stop()
 	select {
@@ -191,8 +191,8 @@
 	if _, err := w.Write(r.Body); err != nil {
 		return err
 	}
-	if r.Rest != nil {
-		if _, err := io.Copy(w, r.Rest); err != nil {
+	if r.BodyRest != nil {
+		if _, err := io.Copy(w, r.BodyRest); err != nil {
 			return err
 		}
 	}
@@ -204,8 +204,8 @@
 	if _, err := chunks.Write(r.Body); err != nil {
 		return err
 	}
-	if r.Rest != nil {
-		if _, err := io.Copy(chunks, r.Rest); err != nil {
+	if r.BodyRest != nil {
+		if _, err := io.Copy(chunks, r.BodyRest); err != nil {
 			return err
 		}
 	}
--- a/node/leave.go
+++ b/node/leave.go
@@ -71,7 +71,7 @@
 	lifecycle.Stop(time.Now(), n.lookupTTL()+lookupPropagationMargin)
 	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
-	for lifecycle.Look(time.Now(), n.components.forward.InFlight()) != drain.Left {
+	for lifecycle.Update(time.Now(), n.components.forward.InFlight()) != drain.Left {
 		select {
 		case <-ctx.Done():
 			return
--- a/node/lookups/lookups.go
+++ b/node/lookups/lookups.go
@@ -42,8 +42,8 @@
 	Log         log.Logger
 }
 
-// Lookups answers look-ups from the current plan. It implements seam.Looker and
-// is safe for concurrent use.
+// Lookups answers look-ups from the current plan. It implements
+// seam.LookupResolver and is safe for concurrent use.
 type Lookups struct {
 	config  Config
 	current atomic.Pointer[servedPlan]
@@ -51,7 +51,7 @@
 	metrics metrics
 }
 
-var _ seam.Looker = (*Lookups)(nil)
+var _ seam.LookupResolver = (*Lookups)(nil)
 
 // servedPlan is a plan with its answers for the data path and as HTTP bodies.
 type servedPlan struct {
@@ -126,7 +126,7 @@
 	}
 	self := l.config.Members.Self()
 	start := time.Now()
-	plan := lookup.NewPlan(lookup.Input{
+	plan := lookup.NewPlan(lookup.PlanInput{
 		Snapshot: snapshot, Members: members, Zone: self.Zone, Region: self.Region, Now: now, TTL: l.config.TTL,
 	})
 	l.current.Store(newServedPlan(plan, snapshot, members, now))
@@ -137,7 +137,7 @@
 	if current == nil || current.snapshot != snapshot || !slices.Equal(current.members, members) {
 		return true
 	}
-	next := current.plan.NextChange()
+	next := current.plan.NextStopStart()
 	return !next.IsZero() && !now.Before(next)
 }
 
@@ -163,9 +163,9 @@
 func stateOf(state seam.MemberState) (lookup.MemberState, bool) {
 	switch state {
 	case seam.MemberLive:
-		return lookup.Usable, true
+		return lookup.Live, true
 	case seam.MemberSuspect:
-		return lookup.Doubtful, true
+		return lookup.Suspect, true
 	}
 	return 0, false
 }
@@ -188,8 +188,8 @@
 	return v
 }
 
-// Lookup implements seam.Looker. The slice in the answer is shared and must not
-// be modified. The error is a *steering.Refusal.
+// Lookup implements seam.LookupResolver. The slice in the answer is shared and
+// must not be modified. The error is a *steering.Refusal.
 func (l *Lookups) Lookup(client netip.Addr, service steering.Service) (seam.LookupAnswer, error) {
 	v := l.current.Load()
 	if v == nil {
@@ -206,7 +206,7 @@
 	return steering.Refuse(steering.ReasonNotReady, notReadyRetryAfter, "no configuration yet")
 }
 
-// Home implements seam.Looker.
+// Home implements seam.LookupResolver.
 func (l *Lookups) Home(client netip.Addr) (steering.Place, bool) {
 	v := l.current.Load()
 	if v == nil {
--- a/node/member/exchange.go
+++ b/node/member/exchange.go
@@ -36,7 +36,7 @@
 		m.config.Hooks.OnPools(h.pools)
 	}
 	if len(h.suspects) > 0 {
-		m.config.Hooks.OnSuspects(h.suspects)
+		m.config.Hooks.OnSuspectRequests(h.suspects)
 	}
 	if h.peerAddress != "" {
 		m.config.Hooks.OnConfigVersion(h.peerAddress, h.version)
@@ -54,7 +54,7 @@
 
 func (m *Members) localState() localState {
 	h := m.config.Hooks
-	o := localState{pools: h.Pools(), suspects: h.Suspects(), configVersion: h.ConfigVersion(), inFlight: h.InFlight()}
+	o := localState{pools: h.Pools(), suspects: h.SuspectRequests(), configVersion: h.ConfigVersion(), inFlight: h.InFlight()}
 	o.suspects = o.suspects[:min(maxSuspects, len(o.suspects))]
 	return o
 }
@@ -73,7 +73,7 @@
 		reports = append(m.view.Reports(maxReportsCrossZone-1, m.relayRound*maxReportsCrossZone, now), m.view.OwnReport(m.heartbeat, now))
 		n.pools = m.pools.sample(maxPoolsCrossZone, m.config.Random, now)
 	} else {
-		n.liveness = livenessToWire(m.view.Beats(maxHeartbeats, now), o.configVersion)
+		n.liveness = livenessToWire(m.view.Heartbeats(maxHeartbeats, now), o.configVersion)
 		n.pools = m.pools.sample(maxPoolsInZone, m.config.Random, now)
 	}
 	for _, r := range reports {
@@ -110,12 +110,12 @@
 	for _, w := range n.members {
 		changed = m.view.Merge(factFromWire(w), now) || changed
 	}
-	changed = m.view.Hear(membership.Beat{ID: n.from, Beat: n.heartbeat, ConfigVersion: n.configVersion}, now) || changed
+	changed = m.view.RecordHeartbeat(membership.Beat{ID: n.from, Beat: n.heartbeat, ConfigVersion: n.configVersion}, now) || changed
 	for _, b := range livenessFromWire(n.liveness, n.configVersion) {
-		changed = m.view.Hear(b, now) || changed
+		changed = m.view.RecordHeartbeat(b, now) || changed
 	}
 	for _, w := range n.reports {
-		changed = m.view.HearReport(reportFromWire(w), now) || changed
+		changed = m.view.RecordReport(reportFromWire(w), now) || changed
 	}
 	m.changed = m.changed || changed
 	if m.changed && now.Sub(m.publishedAt) >= minPublishInterval {
@@ -149,7 +149,7 @@
 	h := m.applyPayload(payload{from: from, heartbeat: r.Beat, configVersion: r.ConfigVersion, members: r.Members, liveness: r.Liveness,
 		reports: r.Reports, pools: r.Pools, suspects: r.Suspects}, 0, now)
 	zone, known := m.view.ZoneOf(from)
-	n := m.composePayload(o, known && zone != m.self.Place.Zone, now)
+	n := m.composePayload(o, known && zone != m.self.Location.Zone, now)
 	reply := &peerpb.BeatReply{From: uint32(n.from), Beat: n.heartbeat, ConfigVersion: n.configVersion, Members: n.members,
 		Liveness: n.liveness, Reports: n.reports, Pools: n.pools, Suspects: n.suspects, ViewDigest: m.view.Digest()}
 	if peerBuckets, ok := bucketsFromWire(r.Buckets); ok {
--- a/node/member/failure_test.go
+++ b/node/member/failure_test.go
@@ -45,15 +45,15 @@
 	run(t, 4, threeZones, func(f *fleet, nodes []*node) {
 		paused := nodes[0]
 		rest := without(nodes, paused)
-		assert.Assert(t, paused.Settled())
+		assert.Assert(t, paused.ConfirmedSincePause())
 		f.store.Down(true) // so that the reply of a peer settles it
 		paused.pauseFor(30 * time.Second)
 		for _, n := range rest {
 			assert.Assert(t, seesState(paused, seam.MemberSuspect)(n), "%s does not suspect the paused member", n.vm)
 		}
-		assert.Assert(t, !paused.Settled(), "the view is settled although no answer arrived since the pause")
+		assert.Assert(t, !paused.ConfirmedSincePause(), "the view is settled although no answer arrived since the pause")
 		assert.Equal(t, len(paused.InZone(paused.zone)), 4)
-		f.waitFor(2*time.Second, "the view is settled again", []*node{paused}, func(n *node) bool { return n.Settled() })
+		f.waitFor(2*time.Second, "the view is settled again", []*node{paused}, func(n *node) bool { return n.ConfirmedSincePause() })
 		assert.Equal(t, len(paused.pauses), 1)
 		for _, n := range rest {
 			assert.Assert(t, seesState(n, seam.MemberLive)(paused), "the resumed member suspects %s", n.vm)
@@ -74,7 +74,7 @@
 		}()
 		paused.pauseFor(time.Minute)
 		for range 100 {
-			assert.Assert(t, !paused.Settled())
+			assert.Assert(t, !paused.ConfirmedSincePause())
 			time.Sleep(100 * time.Millisecond)
 		}
 		assert.Equal(t, paused.Self().State, seam.MemberGone)
@@ -210,7 +210,7 @@
 			time.Sleep(500 * time.Millisecond)
 			for _, n := range nodes {
 				for _, m := range n.All() {
-					oldest = max(oldest, time.Since(m.Heard))
+					oldest = max(oldest, time.Since(m.LastReceived))
 					if m.State != seam.MemberLive {
 						wrongStates++
 					}
--- a/node/member/gossip.go
+++ b/node/member/gossip.go
@@ -91,7 +91,7 @@
 	now := time.Now()
 	p, ok := partner{}, false
 	if m.isReporter(now) {
-		p, ok = m.crossZonePartner(reporterRole, func(x membership.Member) string { return string(x.Place.Zone) }, now)
+		p, ok = m.crossZonePartner(reporterRole, func(x membership.Member) string { return string(x.Location.Zone) }, now)
 	}
 	m.mu.Unlock()
 	if ok {
@@ -112,7 +112,7 @@
 func (m *Members) removeExpired(context.Context) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.view.Forget(time.Now())
+	m.view.RemoveExpired(time.Now())
 }
 
 // startExchange exchanges with a partner in the background. It skips the exchange if maxExchanges
@@ -181,11 +181,11 @@
 	if p.vm == "" {
 		return
 	}
-	m.view.Direct(p.vm, ok, now)
+	m.view.RecordCall(p.vm, ok, now)
 	if known := m.published.Load().byVM[p.vm]; !ok || known == nil || known.State != seam.MemberLive {
 		m.publish(now)
 	}
-	if ok && p.crossZone && p.region != m.self.Place.Region {
+	if ok && p.crossZone && p.region != m.self.Location.Region {
 		m.roundTrips[p.region] = smoothRoundTrip(m.roundTrips[p.region], took)
 	}
 }
--- a/node/member/members.go
+++ b/node/member/members.go
@@ -56,9 +56,9 @@
 	c = c.withDefaults()
 	now := time.Now()
 	self := membership.Fact{
-		VM:   c.Self.VM,
-		Life: membership.Life{Started: c.Started.UnixNano(), Incarnation: c.Self.Incarnation},
-		Place: membership.Place{Zone: c.Self.Zone, Region: c.Self.Region, CallerAddress: c.Self.CallerAddress,
+		VM:             c.Self.VM,
+		IncarnationKey: membership.IncarnationKey{Started: c.Started.UnixNano(), Incarnation: c.Self.Incarnation},
+		Location: membership.Location{Zone: c.Self.Zone, Region: c.Self.Region, CallerAddress: c.Self.CallerAddress,
 			PeerAddress: c.Self.PeerAddress, OperatorAddress: c.Self.OperatorAddress},
 	}
 	m := &Members{
@@ -79,13 +79,13 @@
 	byVM          map[steering.VM]*publishedMember
 	byIncarnation map[steering.Incarnation]seam.Member
 	zones         []membership.ZoneStatus
-	zoneKnown     bool // see Members.ZoneKnown
+	zoneKnown     bool // see Members.ZoneDiscovered
 }
 
 type publishedMember struct {
 	seam.Member
-	// successRecordedAt is when Evidence last recorded a success in Unix nanoseconds. It lets the
-	// data path take the lock at most once a second per member.
+	// successRecordedAt is when RecordReachability last recorded a success in Unix nanoseconds.
+	// It lets the data path take the lock at most once a second per member.
 	successRecordedAt atomic.Int64
 }
 
@@ -112,8 +112,8 @@
 // Zones returns the status of each zone, ordered by name.
 func (m *Members) Zones() []membership.ZoneStatus { return m.published.Load().zones }
 
-// Evidence implements seam.Members.
-func (m *Members) Evidence(vm steering.VM, reachable bool) {
+// RecordReachability implements seam.Members.
+func (m *Members) RecordReachability(vm steering.VM, reachable bool) {
 	now := time.Now()
 	known, ok := m.published.Load().byVM[vm]
 	if !ok {
@@ -126,17 +126,18 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.noticePause(now)
-	m.view.Direct(vm, reachable, now)
+	m.view.RecordCall(vm, reachable, now)
 	if !reachable {
 		m.scope.Counter("evidence_unreachable").Inc(1)
 	}
 	m.publish(now)
 }
 
-// Settled reports whether the state of this process is newer than its last pause: a peer or the
-// platform has answered since, and this incarnation was not replaced. A holder of anything that
-// others may have taken over must wait until Settled returns true and then check Self.
-func (m *Members) Settled() bool {
+// ConfirmedSincePause reports whether the state of this process is newer than its last pause: a
+// peer or the platform has answered since, and this incarnation was not replaced. A holder of
+// anything that others may have taken over must wait until Settled returns true and then check
+// Self.
+func (m *Members) ConfirmedSincePause() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.noticePause(time.Now())
@@ -165,7 +166,7 @@
 	m.lastTick = now
 	m.settled = false
 	m.pausedAt = now
-	m.view.Credit(gap, now)
+	m.view.CompensatePause(gap, now)
 	m.scope.Counter("pauses").Inc(1)
 	level.Warn(m.logger).Log("event", "pause", "for", gap, "remedy", "check the load and the scheduling of this VM")
 	go m.config.Hooks.OnPause(gap)
@@ -227,7 +228,7 @@
 	}
 	for _, member := range now.all {
 		before, known := old.byVM[member.VM]
-		if member.Zone == m.self.Place.Zone && known && before.State != member.State {
+		if member.Zone == m.self.Location.Zone && known && before.State != member.State {
 			level.Info(m.logger).Log("event", "member", "vm", member.VM, "state", stateNames[member.State])
 			m.scope.Tagged(map[string]string{"state": stateNames[member.State]}).Counter("state_changes").Inc(1)
 		}
--- a/node/member/partners.go
+++ b/node/member/partners.go
@@ -36,7 +36,7 @@
 // order, or a seed if no member can be called.
 func (m *Members) inZonePartner(now time.Time) (partner, bool) {
 	const retryPeriod = 3
-	if due := m.view.Retry(now); len(due) > 0 {
+	if due := m.view.DueForRetry(now); len(due) > 0 {
 		chosen := due[m.config.Random(len(due))]
 		if chosen.Failures == 1 || m.heartbeat%retryPeriod == 0 {
 			return m.partnerOf(chosen)
@@ -45,7 +45,7 @@
 	usable := map[steering.VM]partner{}
 	for _, member := range m.view.ZoneMembers(now) {
 		p, ok := m.partnerOf(member)
-		if ok && !member.Failed.After(member.Reached) {
+		if ok && !member.LastFailure.After(member.LastSuccess) {
 			usable[p.vm] = p
 		}
 	}
@@ -88,7 +88,7 @@
 
 // seedPartner returns a random seed other than this member's own address.
 func (m *Members) seedPartner() (partner, bool) {
-	seeds := slices.DeleteFunc(slices.Clone(m.config.Seeds), func(s string) bool { return s == m.self.Place.PeerAddress })
+	seeds := slices.DeleteFunc(slices.Clone(m.config.Seeds), func(s string) bool { return s == m.self.Location.PeerAddress })
 	if len(seeds) == 0 {
 		return partner{}, false
 	}
@@ -98,11 +98,11 @@
 // partnerOf returns false for a member that cannot be called (no peer address) or need not be
 // (gone, or this member itself).
 func (m *Members) partnerOf(member membership.Member) (partner, bool) {
-	if member.VM == m.self.VM || member.State == membership.StateGone || member.Place.PeerAddress == "" {
+	if member.VM == m.self.VM || member.State == membership.StateGone || member.Location.PeerAddress == "" {
 		return partner{}, false
 	}
-	p := partner{vm: member.VM, id: anyIncarnation, region: member.Place.Region, address: member.Place.PeerAddress,
-		crossZone: member.Place.Zone != m.self.Place.Zone}
+	p := partner{vm: member.VM, id: anyIncarnation, region: member.Location.Region, address: member.Location.PeerAddress,
+		crossZone: member.Location.Zone != m.self.Location.Zone}
 	if member.Known() {
 		p.id = member.ID()
 	}
@@ -126,7 +126,7 @@
 			live = append(live, member.VM)
 		}
 	}
-	ranked := membership.Rank(role+"\x00"+string(m.self.Place.Zone), live)
+	ranked := membership.Rank(role+"\x00"+string(m.self.Location.Zone), live)
 	return ranked[:min(n, len(ranked))]
 }
 
@@ -160,7 +160,7 @@
 	for _, member := range members {
 		byVM[member.VM] = member
 		all = append(all, member.VM)
-		if member.State == membership.StateLive && !member.Failed.After(member.Reached) {
+		if member.State == membership.StateLive && !member.LastFailure.After(member.LastSuccess) {
 			reachable = append(reachable, member.VM)
 		}
 	}
@@ -177,8 +177,8 @@
 
 // otherRegion returns the region of a member as its group, or an empty name for the own region.
 func (m *Members) otherRegion(member membership.Member) string {
-	if member.Place.Region == m.self.Place.Region {
+	if member.Location.Region == m.self.Location.Region {
 		return ""
 	}
-	return string(member.Place.Region)
+	return string(member.Location.Region)
 }
--- a/node/member/remote.go
+++ b/node/member/remote.go
@@ -13,17 +13,17 @@
 	"heatherlock/steering/spill"
 )
 
-// RemoteConfig configures a Remote.
-type RemoteConfig struct {
+// RemoteZonesConfig configures a Remote.
+type RemoteZonesConfig struct {
 	Members *Members
 	Configs seam.Configs
 	Params  spill.Params
 	Scope   tally.Scope // nil disables metrics
 }
 
-// Remote keeps hints about the free slots of places outside the own zone. It implements
-// seam.Remote. Package steering/spill orders the places.
-type Remote struct {
+// RemoteZones keeps hints about the free slots of places outside the own zone. It implements
+// seam.RemoteZones. Package steering/spill orders the places.
+type RemoteZones struct {
 	members *Members
 	configs seam.Configs
 	scope   tally.Scope
@@ -36,45 +36,45 @@
 	placesByService map[steering.Service][]*routing.Place
 }
 
-var _ seam.Remote = (*Remote)(nil)
+var _ seam.RemoteZones = (*RemoteZones)(nil)
 
-// NewRemote returns a Remote without hints.
-func NewRemote(c RemoteConfig) *Remote {
+// NewRemoteZones returns a RemoteZones without hints.
+func NewRemoteZones(c RemoteZonesConfig) *RemoteZones {
 	if c.Scope == nil {
 		c.Scope = tally.NoopScope
 	}
-	return &Remote{members: c.Members, configs: c.Configs, scope: c.Scope.SubScope("remote"),
+	return &RemoteZones{members: c.Members, configs: c.Configs, scope: c.Scope.SubScope("remote"),
 		table: spill.NewTable(c.Params), version: -1}
 }
 
 // OnPools records the free slots that heartbeats carried. It is meant for Hooks.OnPools.
-func (r *Remote) OnPools(facts []*peerpb.PoolFact) {
+func (r *RemoteZones) OnPools(facts []*peerpb.PoolFact) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, f := range facts {
-		r.table.Learn(poolOf(f), int(f.Free), now.Add(-time.Duration(f.AgeMs)*time.Millisecond))
+		r.table.RecordFree(poolOf(f), int(f.Free), now.Add(-time.Duration(f.AgeMs)*time.Millisecond))
 	}
 }
 
-// Hint implements seam.Remote.
-func (r *Remote) Hint(place steering.Place, service steering.Service, free int) {
+// Hint implements seam.RemoteZones.
+func (r *RemoteZones) Hint(place steering.Place, service steering.Service, free int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.table.Learn(spill.Pool{Place: place, Service: service}, free, time.Now())
+	r.table.RecordFree(spill.Pool{Place: place, Service: service}, free, time.Now())
 }
 
-// Refused implements seam.Remote.
-func (r *Remote) Refused(place steering.Place, service steering.Service, refusal *steering.Refusal) {
+// RecordRefusal implements seam.RemoteZones.
+func (r *RemoteZones) RecordRefusal(place steering.Place, service steering.Service, refusal *steering.Refusal) {
 	r.scope.Counter("refused").Inc(1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.table.Refused(spill.Pool{Place: place, Service: service}, refusal.Reason, refusal.RetryAfter, time.Now())
+	r.table.RecordRefusal(spill.Pool{Place: place, Service: service}, refusal.Reason, refusal.RetryAfter, time.Now())
 }
 
-// Candidates implements seam.Remote. The request is counted against the hint of the first place,
-// because it is sent there next.
-func (r *Remote) Candidates(service steering.Service, home steering.Place) []steering.Place {
+// Candidates implements seam.RemoteZones. The request is counted against the hint of the first
+// place, because it is sent there next.
+func (r *RemoteZones) Candidates(service steering.Service, home steering.Place) []steering.Place {
 	snapshot := r.configs.Snapshot()
 	if snapshot == nil {
 		return nil
@@ -88,21 +88,21 @@
 		r.scope.Counter("no_candidate").Inc(1)
 		return nil
 	}
-	r.table.Sent(spill.Pool{Place: places[0], Service: service})
+	r.table.RecordSent(spill.Pool{Place: places[0], Service: service})
 	return places
 }
 
 // removeExpired drops expired hints, at most once a second.
-func (r *Remote) removeExpired(now time.Time) {
+func (r *RemoteZones) removeExpired(now time.Time) {
 	if now.Sub(r.lastExpiry) > time.Second {
 		r.lastExpiry = now
-		r.table.Forget(now)
+		r.table.RemoveExpired(now)
 	}
 }
 
 // candidates lists the places outside the own zone that have targets for the service and whose
 // zone has a live entry VM to forward to.
-func (r *Remote) candidates(snapshot *routing.Snapshot, service steering.Service, home steering.Place) []spill.Candidate {
+func (r *RemoteZones) candidates(snapshot *routing.Snapshot, service steering.Service, home steering.Place) []spill.Candidate {
 	self := r.members.Self()
 	var list []spill.Candidate
 	for _, place := range r.placesWith(snapshot, service) {
@@ -114,7 +114,7 @@
 	return list
 }
 
-func (r *Remote) placesWith(snapshot *routing.Snapshot, service steering.Service) []*routing.Place {
+func (r *RemoteZones) placesWith(snapshot *routing.Snapshot, service steering.Service) []*routing.Place {
 	if r.version != snapshot.Version {
 		r.version = snapshot.Version
 		r.placesByService = map[steering.Service][]*routing.Place{}
@@ -139,7 +139,7 @@
 	return services
 }
 
-func (r *Remote) reachable(zone steering.Zone) bool {
+func (r *RemoteZones) reachable(zone steering.Zone) bool {
 	usable := r.members.InZone(zone)
 	return len(usable) > 0 && usable[0].State == seam.MemberLive
 }
@@ -156,7 +156,7 @@
 // distanceStep is the difference in round trip between two ranks.
 const distanceStep = 10 * time.Millisecond
 
-func (r *Remote) distanceRank(place *routing.Place, own steering.Region, home steering.Place, snapshot *routing.Snapshot) int {
+func (r *RemoteZones) distanceRank(place *routing.Place, own steering.Region, home steering.Place, snapshot *routing.Snapshot) int {
 	homePlace := snapshot.Places[home]
 	switch {
 	case place.Name == home:
--- a/node/member/remote_test.go
+++ b/node/member/remote_test.go
@@ -33,7 +33,7 @@
 		snapshot := &routing.Snapshot{Version: 1, Places: map[steering.Place]*routing.Place{
 			"own": placeIn("own", "norte-a"), "near": placeIn("near", "norte-b"), "far": placeIn("far", "sur-a"),
 		}}
-		remote := NewRemote(RemoteConfig{Members: nodes[0].Members, Configs: staticConfigs{snapshot}})
+		remote := NewRemoteZones(RemoteZonesConfig{Members: nodes[0].Members, Configs: staticConfigs{snapshot}})
 		first := func() steering.Place {
 			places := remote.Candidates("tickets", "own")
 			if len(places) == 0 {
@@ -46,13 +46,13 @@
 		assert.Equal(t, first(), steering.Place("far"))
 		remote.Hint("near", "tickets", 5)
 		assert.Equal(t, first(), steering.Place("near"))
-		remote.Refused("near", "tickets", steering.Refuse(steering.ReasonRampLimited, 2*time.Second, "full"))
+		remote.RecordRefusal("near", "tickets", steering.Refuse(steering.ReasonRampLimited, 2*time.Second, "full"))
 		assert.DeepEqual(t, remote.Candidates("tickets", "own"), []steering.Place{"far"})
 		f.setPartitioned("sur-a", true)
 		f.waitFor(15*time.Second, "the far zone is suspect", nodes[:1], func(n *node) bool {
 			return seesState(nodes[4], seam.MemberSuspect)(n) && seesState(nodes[5], seam.MemberSuspect)(n)
 		})
-		remote.Refused("near", "tickets", steering.Refuse(steering.ReasonRampLimited, 2*time.Second, "full"))
+		remote.RecordRefusal("near", "tickets", steering.Refuse(steering.ReasonRampLimited, 2*time.Second, "full"))
 		assert.Equal(t, first(), steering.Place(""))
 		time.Sleep(3 * time.Second)
 		assert.DeepEqual(t, remote.Candidates("tickets", "own"), []steering.Place{"near"})
--- a/node/member/vmlist.go
+++ b/node/member/vmlist.go
@@ -43,16 +43,16 @@
 	}
 }
 
-// ZoneKnown reports whether the published view includes the platform's list and every listed
+// ZoneDiscovered reports whether the published view includes the platform's list and every listed
 // entry VM of this zone either sent a heartbeat or was called without success. A member that is
-// only listed counts as suspect; before ZoneKnown returns true, this entry VM would therefore claim
-// the pools that such a member owns.
-func (m *Members) ZoneKnown() bool { return m.published.Load().zoneKnown }
+// only listed counts as suspect; before ZoneDiscovered returns true, this entry VM would therefore
+// claim the pools that such a member owns.
+func (m *Members) ZoneDiscovered() bool { return m.published.Load().zoneKnown }
 
 // onlyListed reports whether a member of the own zone is known from the list alone and was not
 // called yet.
 func (m *Members) onlyListed(other membership.Member) bool {
-	return other.Place.Zone == m.self.Place.Zone && other.VM != m.self.VM &&
+	return other.Location.Zone == m.self.Location.Zone && other.VM != m.self.VM &&
 		!other.Known() && other.Failures == 0 && other.State != membership.StateGone
 }
 
--- a/node/operator.go
+++ b/node/operator.go
@@ -30,7 +30,7 @@
 		writeText(w, http.StatusServiceUnavailable, "leaving")
 	case n.components.configs.Snapshot() == nil:
 		writeText(w, http.StatusServiceUnavailable, "no configuration yet: neither a peer nor the platform gave one")
-	case !n.components.members.ZoneKnown() && time.Since(n.started) < zoneDiscoveryTimeout:
+	case !n.components.members.ZoneDiscovered() && time.Since(n.started) < zoneDiscoveryTimeout:
 		writeText(w, http.StatusServiceUnavailable, "the zone's other entry VMs are not known yet")
 	default:
 		writeText(w, http.StatusOK, "ready")
--- a/node/operator/runtime.go
+++ b/node/operator/runtime.go
@@ -77,8 +77,8 @@
 type StopFact struct {
 	// InFlight is the number of requests that the stopped part of the system is still running.
 	InFlight int
-	// Complete is set once every entry VM that may still have such requests has reported.
-	Complete bool
+	// AllReported is set once every entry VM that may still have such requests has reported.
+	AllReported bool
 }
 
 // CapFact is the use of a cap's permits.
--- a/node/runtimeinfo.go
+++ b/node/runtimeinfo.go
@@ -35,7 +35,7 @@
 	for _, m := range f.components.members.All() {
 		all = append(all, operator.MemberFact{
 			VM: string(m.VM), Incarnation: string(m.Incarnation), Zone: string(m.Zone), Region: string(m.Region),
-			OperatorAddress: m.OperatorAddress, State: memberState(m.State), Age: ageOf(m.Heard, now),
+			OperatorAddress: m.OperatorAddress, State: memberState(m.State), Age: ageOf(m.LastReceived, now),
 			ConfigVersion: m.ConfigVersion,
 		})
 	}
@@ -68,10 +68,10 @@
 	var all []operator.ZoneFact
 	for _, z := range f.components.members.Zones() {
 		fact := operator.ZoneFact{
-			Zone: string(z.Zone), Region: string(regions[z.Zone]), ConfigVersion: z.ConfigVersion, Age: ageOf(z.Heard, now),
+			Zone: string(z.Zone), Region: string(regions[z.Zone]), ConfigVersion: z.ConfigVersion, Age: ageOf(z.LastReport, now),
 		}
 		if z.Silent {
-			fact.CutOffSince = z.Heard
+			fact.CutOffSince = z.LastReport
 		}
 		all = append(all, fact)
 	}
@@ -164,7 +164,7 @@
 // is part of the configuration in force.
 func (f *runtimeInfo) remainingWork(stop string) (drain.Remaining, bool) {
 	fact, known := f.Stop(stop)
-	return drain.Remaining{InFlight: fact.InFlight, Complete: known && fact.Complete}, known
+	return drain.Remaining{InFlight: fact.InFlight, AllReported: known && fact.AllReported}, known
 }
 
 // entryVMStop reports the requests in flight of an entry VM that a planned stop covers. The stop is
@@ -172,10 +172,10 @@
 func (f *runtimeInfo) entryVMStop(stop *routing.Stop) (operator.StopFact, bool) {
 	for _, m := range f.components.members.All() {
 		if string(m.VM) == stop.Subject && m.State != seam.MemberGone {
-			return operator.StopFact{InFlight: m.InFlight, Complete: false}, true
+			return operator.StopFact{InFlight: m.InFlight, AllReported: false}, true
 		}
 	}
-	return operator.StopFact{Complete: true}, true
+	return operator.StopFact{AllReported: true}, true
 }
 
 func (f *runtimeInfo) targetStop(s *routing.Snapshot, stop *routing.Stop, now time.Time) operator.StopFact {
@@ -194,7 +194,7 @@
 			}
 		}
 	}
-	fact.Complete = len(pending) == 0
+	fact.AllReported = len(pending) == 0
 	return fact
 }
 
@@ -237,8 +237,8 @@
 	if s == nil || s.Caps[name] == nil {
 		return operator.CapFact{}, false
 	}
-	total, known := f.components.caps.Total(name)
-	fact := operator.CapFact{PermitsInUse: total.InUse, InUseKnown: known && total.Silent == 0}
+	total, known := f.components.caps.TotalUsage(name)
+	fact := operator.CapFact{PermitsInUse: total.InUse, InUseKnown: known && total.Unresponsive == 0}
 	if seats := s.Seats[name]; seats != nil {
 		for _, seat := range seats.Seats {
 			fact.PermitsHeld += seat.Permits
@@ -258,7 +258,7 @@
 		}
 		zoneStatus.Members = append(zoneStatus.Members, runtime.MemberStatus{
 			VM: m.VM, State: string(memberState(m.State)), ConfigVersion: m.ConfigVersion, InFlight: m.InFlight,
-			AgeMs: ageOf(m.Heard, now).Milliseconds(),
+			AgeMs: ageOf(m.LastReceived, now).Milliseconds(),
 		})
 	}
 	for _, entry := range f.pools(now) {
--- a/node/seam/seam.go
+++ b/node/seam/seam.go
@@ -43,9 +43,9 @@
 	PeerAddress     string
 	OperatorAddress string
 	State           MemberState
-	// Heard is the time of the last direct or relayed sign that the member is
-	// alive.
-	Heard time.Time
+	// LastReceived is the time of the last direct or relayed sign that the member
+	// is alive.
+	LastReceived time.Time
 	// ConfigVersion is the highest configuration version known to be in force at
 	// the member.
 	ConfigVersion int64
@@ -64,9 +64,9 @@
 	// ByIncarnation returns the member with an incarnation, as it appears in the
 	// keys that the member issued.
 	ByIncarnation(steering.Incarnation) (Member, bool)
-	// Evidence records whether a call from this entry VM to a member showed that
-	// the member is reachable.
-	Evidence(vm steering.VM, reachable bool)
+	// RecordReachability records whether a call from this entry VM to a member
+	// showed that the member is reachable.
+	RecordReachability(vm steering.VM, reachable bool)
 }
 
 // AdmitRequest is a request for a slot on a target.
@@ -77,13 +77,13 @@
 	Deadline time.Time
 	// Home is the place that the caller belongs to; empty if unknown.
 	Home steering.Place
-	// Foreign is set for a request from another zone.
-	Foreign bool
+	// CrossZone is set for a request from another zone.
+	CrossZone bool
 	// Avoid lists the targets to which this request was already sent.
 	Avoid []steering.Target
-	// Patient is set for a request that no other place accepts. It may wait longer
-	// in the queue.
-	Patient bool
+	// NoAlternative is set for a request that no other place accepts. It may wait
+	// longer in the queue.
+	NoAlternative bool
 }
 
 // Outcome reports to the pool how a granted request ended.
@@ -131,8 +131,8 @@
 	Owner(place steering.Place, service steering.Service) (Member, bool)
 }
 
-// CapGate enforces the caps of shifts on the requests that the shifts move here.
-type CapGate interface {
+// CapLimiter enforces the caps of shifts on the requests that the shifts move here.
+type CapLimiter interface {
 	// Admit takes a permit of every cap that applies to requests of service from
 	// home to place. A cap limits the number of requests started in a window.
 	// Admit is therefore called for each attempt, after the target's slot was
@@ -153,20 +153,20 @@
 	Done(sent bool)
 }
 
-// Remote keeps hints about the headroom of other zones. Hints avoid round trips
-// that would end in a refusal; they never admit a request.
-type Remote interface {
+// RemoteZones keeps hints about the headroom of other zones. Hints avoid round
+// trips that would end in a refusal; they never admit a request.
+type RemoteZones interface {
 	// Candidates returns places outside this zone that may serve a request of
 	// service whose caller belongs to home, best first.
 	Candidates(service steering.Service, home steering.Place) []steering.Place
 	// Hint records the headroom that a reply from a place carried.
 	Hint(place steering.Place, service steering.Service, free int)
-	// Refused records that a place refused a request or could not be reached.
-	Refused(place steering.Place, service steering.Service, refusal *steering.Refusal)
+	// RecordRefusal records that a place refused a request or could not be reached.
+	RecordRefusal(place steering.Place, service steering.Service, refusal *steering.Refusal)
 }
 
-// Looker answers look-ups from in-memory state.
-type Looker interface {
+// LookupResolver answers look-ups from in-memory state.
+type LookupResolver interface {
 	// Lookup returns the entry VMs that a client should use for a service.
 	Lookup(client netip.Addr, service steering.Service) (LookupAnswer, error)
 	// Home returns the home place of a client, and whether it has one.
--- a/node/shiftdriver/driver.go
+++ b/node/shiftdriver/driver.go
@@ -179,7 +179,7 @@
 		return nil
 	}
 	decision, err := shift.Decide(d.input(s, name, now))
-	if err != nil || decision.Same {
+	if err != nil || decision.Unchanged {
 		return err
 	}
 	if s.Shifts[name] == nil && !decision.Delete {
@@ -216,7 +216,7 @@
 	if inForce := s.Shifts[name]; inForce != nil {
 		return inForce.To
 	}
-	if to := routing.Resolve(s.Places, s.Progress[name].Route.To); len(to) > 0 {
+	if to := routing.ResolvePlaces(s.Places, s.Progress[name].Route.To); len(to) > 0 {
 		return to
 	}
 	return slices.Collect(maps.Keys(s.Places))
--- a/node/shiftdriver/track.go
+++ b/node/shiftdriver/track.go
@@ -145,7 +145,7 @@
 	for _, key := range receivingPools(s, in.Shift) {
 		sample := t.samples[key]
 		in.Receivers = append(in.Receivers, shift.Receiver{
-			Place: key.place, Service: key.service, Known: sample.known, Busy: sample.utilization, Queued: sample.queued,
+			Place: key.place, Service: key.service, Known: sample.known, Utilization: sample.utilization, Queued: sample.queued,
 		})
 	}
 	for capName, at := range t.capFull {
@@ -160,15 +160,15 @@
 			in.Stopped = append(in.Stopped, to)
 		}
 	}
-	in.Others = d.competing(s, name, now)
+	in.Competing = d.competing(s, name, now)
 	return in
 }
 
 // competing returns the other shifts that move the same service to one of this shift's
 // receiving places. A shift without a service moves all services.
-func (d *Driver) competing(s *routing.Snapshot, name string, now time.Time) []shift.Other {
+func (d *Driver) competing(s *routing.Snapshot, name string, now time.Time) []shift.CompetingShift {
 	self := s.Shifts[name]
-	var competing []shift.Other
+	var competing []shift.CompetingShift
 	for _, other := range shiftNames(s) {
 		o := s.Shifts[other]
 		if other == name || o == nil || o.Service != "" && self.Service != "" && o.Service != self.Service {
@@ -178,10 +178,10 @@
 		if i < 0 {
 			continue
 		}
-		entry := shift.Other{Name: other, Place: o.To[i], Wants: o.Moved < o.Percent, Age: now.Sub(d.states[other].movedAt)}
+		entry := shift.CompetingShift{Name: other, Place: o.To[i], WantsStep: o.Moved < o.Percent, Age: now.Sub(d.states[other].movedAt)}
 		if p := s.Progress[other]; p != nil {
 			entry.Forward, entry.Since = p.Forward, p.Since
-			entry.Wants = entry.Wants && (p.State != string(shift.Held) || p.WaitsForTurn)
+			entry.WantsStep = entry.WantsStep && (p.State != string(shift.Held) || p.WaitsForTurn)
 		}
 		competing = append(competing, entry)
 	}
--- a/node/stopdeadline.go
+++ b/node/stopdeadline.go
@@ -36,7 +36,7 @@
 		return
 	}
 	for _, stop := range snapshot.Stops {
-		if !stop.Cut || stop.Deadline.IsZero() || now.Before(stop.Deadline) {
+		if !stop.AbortAtDeadline || stop.Deadline.IsZero() || now.Before(stop.Deadline) {
 			continue
 		}
 		if stop.Kind == routing.StopEntryVM {
@@ -62,7 +62,7 @@
 			covered[target] = true
 		}
 	}
-	aborted := n.components.forward.Cut(func(t steering.Target) bool { return covered[t] })
+	aborted := n.components.forward.CancelTries(func(t steering.Target) bool { return covered[t] })
 	if aborted > 0 {
 		level.Warn(n.log).Log("msg", "planned stop reached its deadline; aborted its remaining requests", "stop", stop.Name, "requests", aborted)
 	}
--- a/standin/witness/callers.go
+++ b/standin/witness/callers.go
@@ -150,14 +150,14 @@
 // isHomeGone reports whether reason is one that a repeated request gets if the entry
 // VM that stores the state of its key has crashed or restarted.
 func isHomeGone(reason string) bool {
-	return reason == string(steering.ReasonHomeGone) || reason == string(steering.ReasonPeerDown)
+	return reason == string(steering.ReasonKeyOwnerGone) || reason == string(steering.ReasonPeerUnreachable)
 }
 
 func (u *uploadRecord) refused(t Try) {
 	switch {
 	case t.Ran == RanNo || t.Excused:
 	case u.entryVMKilled && isHomeGone(t.Reason):
-	case t.Reason == string(steering.ReasonAnswerCut) || t.Reason == string(steering.ReasonAnswerCrossed):
+	case t.Reason == string(steering.ReasonResponseTruncated) || t.Reason == string(steering.ReasonResponseMismatched):
 		u.answerLost = true
 	default:
 		u.recordCut(t.Reason + " by " + t.EntryVM)
