--- a/spec/caps.pml
+++ b/spec/caps.pml
@@ -13,8 +13,8 @@
  * clocks run alike, so the margin for their rates is left out; the state machine
  * in steering/caps tests it, as well as changes of the cap.
  *
- * Models: steering/caps Holder (Take, Lend, Ask, Granted, Adopt, Shrink) and
- * Plan (raise, clear, enter, lower).
+ * Models: steering/caps Holder (Take, Lend, RequestLoan, ApplyLoan, ApplySeats,
+ * Shrink) and Plan (raiseSeats, clear, claimOwnSeat, lowerOwnSeat).
  *
  * @break BREAK_TAKEBACK_EARLY              the lender counts a loan as back after the term, without a window
  * @break BREAK_LEND_BUSY                   the lender lends a permit that it used less than a window ago
--- a/spec/credits.pml
+++ b/spec/credits.pml
@@ -9,7 +9,7 @@
  * a step is not taken. The last two messages of each kind stay deliverable, any number
  * of times and in any order.
  *
- * Models: steering/allowance Account (Admit, Report, Replied) and Ledger (Report).
+ * Models: steering/allowance Account (Admit, Report, ApplyReply) and Ledger (Report).
  *
  * @break BREAK_ANY_REPLY        a VM takes the answer to an earlier report
  * @break BREAK_REPLY_TWICE      a VM takes an answer twice
--- a/spec/digest.pml
+++ b/spec/digest.pml
@@ -19,7 +19,7 @@
  * runs in which a step is not taken. A digest does not age on its way. Clocks run
  * alike. A read is counted from its beginning.
  *
- * Models: node/gateway/feed State.Merge, freshBy, Fresh and Reader.read.
+ * Models: node/gateway/feed State.Merge, adoptAge, MarkRead and Reader.read.
  *
  * @break BREAK_ANY_YOUNGER   a peer's age at the same revision counts if it is any younger
  * @break BREAK_FROM_THE_END  a read counts as young when it ends, not when it began
