--- a/cmd/heatherlockd/platform.go
+++ b/cmd/heatherlockd/platform.go
@@ -19,8 +19,7 @@
 
 // platformGCPercent trades CPU time for memory, which is expensive on these VMs.
 // Compared with the default of 100, a day of 11 VMs took 6.7 instead of 8.2
-// GB-seconds of memory and 17 instead of 13 seconds of CPU time (phic-booking,
-// trouble-1, one run each).
+// GB-seconds of memory and 17 instead of 13 seconds of CPU time.
 const platformGCPercent = 40
 
 // settingsPollInterval is how often the settings file is checked for changes that
