--- a/cmd/internal/benchbalance/zone.go
+++ b/cmd/internal/benchbalance/zone.go
@@ -163,7 +163,7 @@
 	z.startBursts()
 }
 
-// burstEvery is the time between two bursts.
+// burstInterval is the time between two bursts.
 const burstInterval = 4 * time.Second
 
 // startBursts makes BurstSize requests arrive within 10 ms, every burstInterval.
--- a/node/capshare/usagepoll.go
+++ b/node/capshare/usagepoll.go
@@ -47,7 +47,8 @@
 
 // TotalUsage returns the usage of a cap as its holders reported it last, and starts a new poll
 // if the last one started a second ago or earlier. It does not wait for the poll; ok is false
-// while there is no recent result. The holders are polled only while somebody calls Total.
+// while there is no recent result. The holders are polled only while
+// TotalUsage is called.
 func (k *Caps) TotalUsage(name string) (total TotalUsage, ok bool) {
 	now := time.Now()
 	k.usagePolls.mu.Lock()
--- a/node/gateway/relay/outcomes.go
+++ b/node/gateway/relay/outcomes.go
@@ -30,7 +30,7 @@
 	return losses.Kind{Service: service, Repeats: route.Kind.String(), AimMs: route.Aim.Milliseconds()}
 }
 
-// add counts a request that ended as r describes. It sets r.Used itself.
+// add counts a request that ended as r describes. It sets r.TimeUsed itself.
 func (s *outcomeCounts) add(k losses.Kind, r losses.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/node/member/config.go
+++ b/node/member/config.go
@@ -42,7 +42,7 @@
 
 // Config configures Members. Zero durations take the defaults.
 type Config struct {
-	// Self is this entry VM. State and Heard are ignored.
+	// Self is this entry VM. State and LastReceived are ignored.
 	Self seam.Member
 	// Started orders the incarnations of this VM. Zero means now.
 	Started time.Time
--- a/node/member/members.go
+++ b/node/member/members.go
@@ -135,8 +135,8 @@
 
 // ConfirmedSincePause reports whether the state of this process is newer than its last pause: a
 // peer or the platform has answered since, and this incarnation was not replaced. A holder of
-// anything that others may have taken over must wait until Settled returns true and then check
-// Self.
+// anything that others may have taken over must wait until ConfirmedSincePause returns true
+// and then check Self.
 func (m *Members) ConfirmedSincePause() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -154,10 +154,9 @@
 // noticePause detects a pause of this process by a late tick. The caller holds m.mu.
 //
 // After a pause the process would act on outdated state although other members have taken over
-// its work, and two owners would use the same resource. Every method that
-// records received information in the view, and Settled, therefore checks for a late tick first.
-// The gap is computed with and without the monotonic clock, because a suspended VM may stop that
-// clock.
+// its work, and two owners would use the same resource. Every method that records received
+// information in the view, and ConfirmedSincePause, therefore checks for a late tick first. The gap
+// is computed with and without the monotonic clock, because a suspended VM may stop that clock.
 func (m *Members) noticePause(now time.Time) {
 	gap := max(now.Sub(m.lastTick), now.Round(0).Sub(m.lastTick.Round(0)))
 	if gap <= m.config.HeartbeatInterval+pauseThreshold {
--- a/node/member/remote.go
+++ b/node/member/remote.go
@@ -13,7 +13,7 @@
 	"heatherlock/steering/spill"
 )
 
-// RemoteZonesConfig configures a Remote.
+// RemoteZonesConfig configures a RemoteZones.
 type RemoteZonesConfig struct {
 	Members *Members
 	Configs seam.Configs
