--- a/api/check/golden_test.go
+++ b/api/check/golden_test.go
@@ -10,8 +10,9 @@
 	"heatherlock/api/check"
 )
 
-// Guards against files of operators that are no longer read, or of which a field is lost when
-// it is sent on. The file is kept by hand, with every field of every kind; -update leaves it.
+// Guards against operators' files that can no longer be decoded, or that lose a field when they are
+// encoded again. The input file sets every field of every kind. It is maintained by hand and is not
+// changed by -update.
 func TestGoldenObjects(t *testing.T) {
 	parts, err := check.Split(bytes.NewReader(golden.Get(t, "golden/objects.json")))
 	assert.NilError(t, err)
--- a/node/capshare/golden_internal_test.go
+++ b/node/capshare/golden_internal_test.go
@@ -17,7 +17,7 @@
 	"heatherlock/steering/routing"
 )
 
-// stored is a platform that keeps the text of the last write.
+// stored is a fake platform that records the last write as text.
 type stored struct {
 	objects.API
 	written string
@@ -33,8 +33,8 @@
 	return objects.Object{Kind: kind, Name: name, Version: version + 1, Value: value}, nil
 }
 
-// Guards against seats that entry VMs of another version read differently: the permits of a
-// cap would be used twice, or by nobody.
+// Guards against seats that entry VMs of another version decode differently: the permits of a cap
+// would be used twice or not at all.
 func TestGoldenSeats(t *testing.T) {
 	full := routing.CapSeats{Version: 41, CapVersion: 11, Requests: 12, WindowMs: 1300,
 		Seats: []routing.CapSeat{{VM: "vm-1", Incarnation: "i1", Permits: 5}, {VM: "vm-2", Incarnation: "i2", Permits: 7}}}
@@ -46,7 +46,7 @@
 			assert.NilError(t, k.write(t.Context(), sh, &seats))
 			golden.Assert(t, platform.written, "golden/seats-"+name+".txt")
 			want := seats
-			want.Version = max(seats.Version, 30) + 1 // that of the stored object
+			want.Version = max(seats.Version, 30) + 1 // the version of the stored object
 			assert.DeepEqual(t, *sh.seats, want)
 		})
 	}
--- a/node/dynamic/golden_internal_test.go
+++ b/node/dynamic/golden_internal_test.go
@@ -23,8 +23,7 @@
 	"heatherlock/steering/routing"
 )
 
-// keeper is a fake platform that records the text of the last write and returns a fixed
-// value.
+// keeper is a fake platform that records the last write as text and returns a fixed value.
 type keeper struct {
 	objects.API
 	written string
@@ -50,7 +49,7 @@
 	return []objects.Object{{Kind: kinds[0], Value: s.value}}, 42, s.err
 }
 
-// alone is a membership without any other entry VM.
+// alone is the membership of an entry VM that knows no other members.
 type alone struct{ seam.Members }
 
 func (alone) Self() seam.Member {
@@ -64,7 +63,7 @@
 	return s
 }
 
-// valueIn returns the value in a golden file of a write: the second line.
+// valueIn returns the stored value, the second line, of a golden file that records a write.
 func valueIn(t *testing.T, name string) json.RawMessage {
 	t.Helper()
 	_, value, found := bytes.Cut(golden.Get(t, name), []byte("\n"))
@@ -72,8 +71,8 @@
 	return bytes.TrimSpace(value)
 }
 
-// Guards against a lease that entry VMs of another version read differently: two would read
-// for one zone, or none.
+// Guards against a lease that entry VMs of another version decode differently: a zone would have two
+// readers, or none.
 func TestGoldenLease(t *testing.T) {
 	record := config.Record{Holder: "vm-2", Incarnation: "i2", Epoch: 11, Beat: 12}
 	platform := &keeper{}
@@ -90,8 +89,8 @@
 	assert.Equal(t, s.lease.holder(), steering.VM("vm-2"))
 }
 
-// Guards against a zone status that is decoded in part only, so that operators see an
-// incomplete one, or that a reader of an older epoch overwrites.
+// Guards against a zone status that is only partly decoded, so that operators see an incomplete
+// status, and against one that a reader with an older epoch overwrites.
 func TestGoldenZoneStatus(t *testing.T) {
 	full := runtime.ZoneStatus{Zone: "norte-a", Region: "norte", Writer: "vm-1", Epoch: 11, WrittenAt: time.Date(2026, 1, 2, 3, 4, 5, 678000000, time.UTC), ConfigVersion: 12,
 		Members:  []runtime.MemberStatus{{VM: "vm-2", State: "live", ConfigVersion: 13, InFlight: 14, AgeMs: 15}},
@@ -109,15 +108,14 @@
 			got, err := ZoneStatuses(t.Context(), platform)
 			assert.NilError(t, err)
 			assert.DeepEqual(t, got, []runtime.ZoneStatus{status})
-			assert.Assert(t, w.read(t.Context(), string(status.Zone), status.Epoch-1) != nil, "the stored epoch is the later")
+			assert.Assert(t, w.read(t.Context(), string(status.Zone), status.Epoch-1) != nil, "a reader with an older epoch must be rejected")
 		})
 	}
 }
 
-// Guards against shards that entry VMs of another version cannot join, so that their callers
-// would have no home place. The compressed bytes are decoded and not compared, since another
-// release of zstd may compress them differently. The names of shards contain hashes of their
-// content.
+// Guards against shards that entry VMs of another version cannot join, so that their callers would
+// have no home place. The compressed bytes are decoded and not compared, because another release of
+// zstd may compress them differently. The names of shards contain hashes of their content.
 func TestGoldenShards(t *testing.T) {
 	whole := &oas.ClientBlocks{Kind: "ClientBlocks", Metadata: oas.Metadata{Name: "clients", ChangedBy: oas.NewOptString("ana"), WriteId: oas.NewOptString("w-1")}}
 	for n := range 5 {
@@ -182,7 +180,7 @@
 	tickets := &routing.Service{Name: "tickets", Version: 1, Hosts: []string{"tickets.example", "t.example"}, Criticality: routing.Critical, Timeout: 12 * time.Second,
 		MaxBodyBytes: 13000, NonIdempotent: []string{"POST", "PUT"}, RetryPercent: 14, HedgeAfter: 150 * time.Millisecond}
 	first := routing.Target{Name: "t1", Service: "tickets", Place: "norte-1", Address: "10.0.1.1:80", Slots: 17, MaxConnections: 18}
-	second := routing.Target{Name: "t2", Service: "tickets", Place: "sur-1", Address: "10.0.2.1:80", Slots: 19, MaxConnections: 400} // by default
+	second := routing.Target{Name: "t2", Service: "tickets", Place: "sur-1", Address: "10.0.2.1:80", Slots: 19, MaxConnections: 400} // the default
 	assert.Equal(t, s.Version, int64(40))
 	assert.DeepEqual(t, s.Services, map[steering.Service]*routing.Service{"tickets": tickets})
 	assert.DeepEqual(t, s.ByHost, map[string]*routing.Service{"tickets.example": tickets, "t.example": tickets})
@@ -204,7 +202,7 @@
 		Seats: []routing.CapSeat{{VM: "vm-1", Incarnation: "i1", Permits: 5}, {VM: "vm-2", Incarnation: "i2", Permits: 7}}}})
 }
 
-// Guards against a changed name of a kind, under which stored objects would not be found.
+// Guards against a renamed kind: objects stored under the old name would not be found.
 func TestGoldenKinds(t *testing.T) {
 	assert.DeepEqual(t, SyncedKinds(), []string{"Service", "Place", "ClientBlocks", "Shift", "Cap", "PlannedStop", "ClientBlocksShard", "ShiftProgress", "CapSeats"})
 	assert.Equal(t, KindLease, "Lease")
--- a/node/gateway/allowances/golden_internal_test.go
+++ b/node/gateway/allowances/golden_internal_test.go
@@ -17,7 +17,7 @@
 	"heatherlock/steering/allowance"
 )
 
-// hexText returns binary data as text that is readable in a diff.
+// hexText encodes binary data as lines of hexadecimal digits, so that diffs are readable.
 func hexText(raw []byte) string {
 	var text strings.Builder
 	for line := range slices.Chunk(raw, 50) {
@@ -26,7 +26,7 @@
 	return text.String()
 }
 
-// fromHex returns the binary data of a golden file.
+// fromHex returns the binary data in a golden file.
 func fromHex(t *testing.T, name string) []byte {
 	t.Helper()
 	raw, err := hex.DecodeString(strings.Join(strings.Fields(string(golden.Get(t, name))), ""))
@@ -34,7 +34,7 @@
 	return raw
 }
 
-// written is a connection that keeps the last datagram written to it.
+// written is a connection that records the last datagram written to it.
 type written struct {
 	net.PacketConn
 	raw []byte
@@ -68,10 +68,10 @@
 			assert.Assert(t, reflect.DeepEqual(got, d), "%+v", got)
 		})
 	}
-	assert.Equal(t, allowance.IDOf("w1"), allowance.ID(4629433493941539353), "VMs of all versions name a workspace by the same ID")
+	assert.Equal(t, allowance.IDOf("w1"), allowance.ID(4629433493941539353), "VMs of all versions must derive the same ID for a workspace")
 }
 
-// Guards against an encoding of counts that operators' tools no longer find in a log.
+// Guards against a changed encoding of counts that operators' tools cannot parse in a log.
 func TestGoldenCounts(t *testing.T) {
 	counts := map[steering.Workspace]Count{"w1": {Admitted: 1, Beyond: 2, NotRun: 3}, otherWorkspaces: {Admitted: 4}}
 	raw, err := json.Marshal(counts)
--- a/node/gateway/feed/golden_test.go
+++ b/node/gateway/feed/golden_test.go
@@ -18,7 +18,7 @@
 	"heatherlock/steering"
 )
 
-// hexText is binary data as text that can be read in a diff.
+// hexText encodes binary data as lines of hexadecimal digits, so that diffs are readable.
 func hexText(raw []byte) string {
 	var text strings.Builder
 	for line := range slices.Chunk(raw, 50) {
@@ -36,7 +36,8 @@
 }
 
 // Guards against updates that old and new entry VMs decode differently: a VM would remove targets
-// that still run, or never learn that one is leaving. They are encoded and decoded as in peersync.go.
+// that still run, or would not notice that one is leaving. The test encodes and decodes as
+// peersync.go does.
 func TestGoldenUpdates(t *testing.T) {
 	for name, update := range map[string]feed.Update{
 		"full": {Digest: feed.Digest{Revision: 5000, Content: 1<<63 + 1, ColdRevision: 4990, Config: 17, Newest: 22, ConfigRevision: 4980,
--- a/node/gateway/fleet/golden_internal_test.go
+++ b/node/gateway/fleet/golden_internal_test.go
@@ -19,7 +19,7 @@
 	"heatherlock/steering/poison"
 )
 
-// hexText is binary data as text that can be read in a diff.
+// hexText encodes binary data as lines of hexadecimal digits, so that diffs are readable.
 func hexText(raw []byte) string {
 	var text strings.Builder
 	for line := range slices.Chunk(raw, 50) {
--- a/node/gateway/golden_internal_test.go
+++ b/node/gateway/golden_internal_test.go
@@ -17,8 +17,8 @@
 
 var stamp = regexp.MustCompile(`"ts":"[^"]*"`)
 
-// Guards against a log line of exchanged bytes that the tools of operators no longer find, or
-// that no longer names the zone.
+// Guards against a changed log line of exchanged bytes that operators' tools cannot find, or that
+// does not name the zone.
 func TestGoldenBytesLine(t *testing.T) {
 	var lines bytes.Buffer
 	metrics := telemetry.New("vm-1", "norte-a")
@@ -30,14 +30,15 @@
 	golden.Assert(t, stamp.ReplaceAllString(lines.String(), `"ts":"2026-01-02T03:04:05Z"`), "golden/bytes-line.json")
 }
 
-// Guards against entry VMs that call each other at a path that others do not serve.
+// Guards against a changed path or header: entry VMs of different versions could not call each
+// other.
 func TestGoldenPaths(t *testing.T) {
 	assert.Equal(t, pathKnown+"?"+paramSince+"=", "/v1/known?since=")
 	assert.Equal(t, headerConfig, "Heatherlock-Config")
 	assert.Equal(t, contentText(0xbadcafe), "0badcafe")
 }
 
-// Guards against a status page that breaks off while it is rendered: its template names fields,
+// Guards against a status page whose rendering fails halfway: the template refers to fields by name,
 // which the compiler does not check.
 func TestGoldenPage(t *testing.T) {
 	behind := status.Row{Peer: status.Peer{VM: "vm-2", Zone: "sur-a", ConfigVersion: 16}}
--- a/node/gateway/relay/golden_internal_test.go
+++ b/node/gateway/relay/golden_internal_test.go
@@ -22,8 +22,8 @@
 	return stamp.ReplaceAllString(lines.String(), `"ts":"2026-01-02T03:04:05Z"`)
 }
 
-// Guards against changes to the line of outcome counts that tools would no longer find, or that
-// lose the zone.
+// Guards against a changed log line of outcome counts that operators' tools cannot find, or that
+// does not name the zone.
 func TestGoldenSumsLine(t *testing.T) {
 	golden.Assert(t, logged(func(f *Relay) {
 		f.outcomeCounts.tally.Add(losses.Kind{Service: "tickets", Repeats: "once", AimMs: 400}, losses.Late, losses.WaitedForSlot, true)
@@ -31,7 +31,7 @@
 	}), "golden/sums-line.json")
 }
 
-// Guards against an encoding of attempts that log tools can no longer read.
+// Guards against a changed encoding of attempts that log tools cannot parse.
 func TestGoldenTries(t *testing.T) {
 	golden.Assert(t, logged(func(f *Relay) {
 		_ = f.cfg.Log.Log("tries", []tried{{Target: "t1", Zone: "norte-a", Rank: 1, Trial: true, ExpectedMs: 2, WaitMs: 3, AtMs: 4, End: "shed", EndMs: 5}, {Target: "t2"}})
--- a/node/gateway/status/golden_test.go
+++ b/node/gateway/status/golden_test.go
@@ -30,8 +30,8 @@
 			Owned: &status.Allowance{Rate: 24.5, Burst: 25.5, Limit: 26.5, Left: -27.5, Lent: 28.5, Demand: 29.5, VMs: 30, Low: true}}, {Name: "w2"}}}
 }
 
-// Guards against a status that operators' tools can decode only in part, since these may be older
-// or newer than the VM. It is encoded as in showstatus.go and decoded by Fetch.
+// Guards against a status that operators' tools can only partly decode, since the tools may be older
+// or newer than the VM. The test encodes as showstatus.go does and decodes with Fetch.
 func TestGoldenStatus(t *testing.T) {
 	for name, s := range map[string]status.Status{"full": fullStatus(), "empty": {}} {
 		t.Run(name, func(t *testing.T) {
@@ -41,7 +41,7 @@
 			golden.Assert(t, told.String(), file)
 			vm := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				assert.Check(t, r.Method == "GET" && r.RequestURI == "/v1/status", "%s %s", r.Method, r.RequestURI)
-				_, _ = w.Write(golden.Get(t, file)) // the test sees what the client got
+				_, _ = w.Write(golden.Get(t, file)) // a failed write shows in the decoded status
 			}))
 			defer vm.Close()
 			got, err := status.Fetch(t.Context(), http.DefaultClient, strings.TrimPrefix(vm.URL, "http://"))
@@ -51,7 +51,7 @@
 	}
 }
 
-// Guards against an overview that operators' scripts can no longer read.
+// Guards against a changed encoding of the overview that operators' scripts cannot parse.
 func TestGoldenView(t *testing.T) {
 	s := fullStatus()
 	rows := s.Rows()
--- a/node/gateway/volume/golden_test.go
+++ b/node/gateway/volume/golden_test.go
@@ -10,9 +10,8 @@
 	"heatherlock/node/gateway/volume"
 )
 
-// Guards against sums of bytes in which the tools of operators no longer find a purpose or a
-// distance, because it is written under another name. The log line around the sums is pinned in
-// node/gateway.
+// Guards against sums of bytes in which operators' tools cannot find a purpose or a distance because
+// its encoded name changed. A test in node/gateway covers the log line that contains the sums.
 func TestGoldenSums(t *testing.T) {
 	sums := volume.Sums{volume.Requests: {Zone: 1, Region: 2, Across: 3, Unknown: 4}, volume.Heartbeats: {Zone: 5}, volume.Allowances: {Region: 6},
 		volume.Targets: {Across: 7}, volume.Configuration: {Unknown: 8}, volume.Store: {}}
--- a/node/lookups/golden_internal_test.go
+++ b/node/lookups/golden_internal_test.go
@@ -16,8 +16,8 @@
 	"heatherlock/steering"
 )
 
-// Guards against answers that callers can no longer decode, so that they repeat the look-up
-// again and again or have no address to send requests to.
+// Guards against answers that callers cannot decode: they would repeat the look-up without end, or
+// have no address to send requests to.
 func TestGoldenAnswers(t *testing.T) {
 	full := seam.LookupAnswer{Place: "norte-1", TTL: 5250 * time.Millisecond, Version: 7,
 		EntryVM: []seam.LookupEntry{{VM: "vm-1", Address: "10.0.0.1:7001", KeyPrefix: "i1-100"}, {VM: "vm-2", Address: "10.0.0.2:7001"}}}
@@ -30,8 +30,8 @@
 	assert.Equal(t, Path, "/v1/lookup")
 }
 
-// Guards against refusals that callers can no longer decode: they would not know whether to
-// retry, and when.
+// Guards against refusals that callers cannot decode: they could not determine whether and when to
+// retry.
 func TestGoldenRefusals(t *testing.T) {
 	l := &Lookups{metrics: newMetrics(tally.NoopScope)}
 	for name, refusal := range map[string]*steering.Refusal{
--- a/node/shiftdriver/golden_internal_test.go
+++ b/node/shiftdriver/golden_internal_test.go
@@ -15,7 +15,7 @@
 	"heatherlock/steering/shift"
 )
 
-// stored is a platform that keeps the text of the last write.
+// stored is a fake platform that records the last write as text.
 type stored struct {
 	objects.API
 	written string
@@ -32,8 +32,8 @@
 	return objects.Object{Version: version + 1}, nil
 }
 
-// Guards against progress that another entry VM reads differently, so that a shift starts from
-// the beginning or goes on without an end. That it is read is pinned in node/dynamic.
+// Guards against progress that another entry VM decodes differently, so that a shift starts over or
+// never completes. A test in node/dynamic covers the decoding.
 func TestGoldenProgress(t *testing.T) {
 	declared := &routing.Shift{Name: "move", Version: 11, Service: "tickets", Route: routing.Route{From: "norte", To: "sur-1"}, Step: 20, Every: 21 * time.Second}
 	since := time.Date(2026, 1, 2, 3, 4, 5, 678000000, time.FixedZone("there", 3600))
--- a/node/static/golden_test.go
+++ b/node/static/golden_test.go
@@ -10,8 +10,8 @@
 	"heatherlock/node/static"
 )
 
-// Guards against settings files of operators that are refused for a field not known, or of
-// which a value is left out without a word. The file is encoded as the quickstart does.
+// Guards against operators' settings files that are rejected because of an unknown field, or of which
+// a value is silently ignored. The test encodes the file as the quickstart does.
 func TestGoldenSettings(t *testing.T) {
 	settings := static.Settings{VM: "vm-1", Zone: "norte-a", Region: "norte",
 		CallerListen: "10.0.0.1:7001", PeerListen: "10.0.0.1:7002", OperatorListen: "10.0.0.1:7003",
--- a/objects/golden_test.go
+++ b/objects/golden_test.go
@@ -16,13 +16,13 @@
 	"heatherlock/objects"
 )
 
-// Guards against calls that the platform no longer understands, and replies of which a field
-// is lost. The replies are kept by hand; -update writes the calls alone.
+// Guards against calls that the platform cannot decode, and against replies of which a field is lost.
+// The replies are maintained by hand; -update only writes the calls.
 func TestGoldenCalls(t *testing.T) {
 	calls := &strings.Builder{}
 	reply := ""
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		body, _ := io.ReadAll(r.Body) // what is missing of it is missing in the comparison
+		body, _ := io.ReadAll(r.Body) // a short read fails the comparison
 		fmt.Fprintf(calls, "%s %s\n", r.Method, r.RequestURI)
 		for _, name := range []string{"Platform-Client", "Platform-Zone", "If-Match"} {
 			if value := r.Header.Get(name); value != "" {
@@ -32,7 +32,7 @@
 		if len(body) > 0 {
 			fmt.Fprintf(calls, "%s\n", body)
 		}
-		_, _ = w.Write(golden.Get(t, "golden/"+reply)) // the test sees what the client got
+		_, _ = w.Write(golden.Get(t, "golden/"+reply)) // a failed write shows in the decoded reply
 	}))
 	defer server.Close()
 	client, err := objects.NewClient(objects.ClientConfig{URL: server.URL, VM: "vm-1", Zone: "norte-a"})
@@ -77,8 +77,8 @@
 	golden.Assert(t, calls.String(), "golden/calls.txt")
 }
 
-// Guards against replies of a platform, as its stand-in and the tools encode them, that old
-// clients no longer read.
+// Guards against a changed encoding of the platform's replies that old clients cannot decode. The
+// platform's stand-in and the tools encode replies with these types.
 func TestGoldenReplies(t *testing.T) {
 	for name, reply := range map[string]any{"object.json": &objects.Object{}, "list.json": &objects.ListReply{}, "watch.json": &objects.WatchReply{},
 		"revision.json": &objects.RevisionReply{}, "vms.json": &objects.VMsReply{}} {
--- a/steering/losses/golden_test.go
+++ b/steering/losses/golden_test.go
@@ -10,9 +10,9 @@
 	"heatherlock/steering/losses"
 )
 
-// Guards against sums that the tools of operators no longer find in a log: a renamed field
-// that is encoded under its Go name, or a cause that is told in other words. Entry VMs write
-// sums as a list in a log line, encoded by json.Marshal.
+// Guards against sums that operators' tools cannot parse in a log, because a field that is encoded
+// under its Go name was renamed or the text of a cause changed. Entry VMs log sums as a list encoded
+// by json.Marshal.
 func TestGoldenSums(t *testing.T) {
 	full := losses.Sum{Kind: losses.Kind{Service: "tickets", Repeats: "once", AimMs: 400}, Asked: 1000, Again: 7, InAim: 600,
 		Late: map[losses.Cause]int{
@@ -30,10 +30,10 @@
 	var read []losses.Sum
 	assert.NilError(t, json.Unmarshal(golden.Get(t, "golden/sums.json"), &read))
 	assert.DeepEqual(t, read, sums)
-	assert.Equal(t, losses.LogMessage, "answers", "tools find the line by this message")
+	assert.Equal(t, losses.LogMessage, "answers", "operators' tools search for this message")
 }
 
-// Guards against outcomes that are told in other words.
+// Guards against a changed text of an outcome, which operators' tools could not parse.
 func TestGoldenOutcomes(t *testing.T) {
 	names := ""
 	for _, o := range []losses.Outcome{losses.InAim, losses.Late, losses.Refused, losses.Failed} {
--- a/steering/spread/golden_test.go
+++ b/steering/spread/golden_test.go
@@ -13,13 +13,13 @@
 	"heatherlock/steering/spread"
 )
 
-// Guards against hashes of one configuration that differ between old and new entry VMs:
-// each would fetch all of it from the other, again and again, and operators would be told
-// that VMs follow other contents. The encoded pieces are pinned in node/gateway/catchup.
+// Guards against hashes of the same configuration that differ between old and new entry VMs: each
+// would repeatedly fetch all of it from the other, and the status would report VMs with different
+// configurations. Tests in node/gateway/catchup cover the encoded pieces.
 func TestGoldenOutline(t *testing.T) {
 	rank := 3
 	workspaces := []*identity.Workspace{{Name: "w1", Keys: []identity.Digest{identity.DigestOf("key-one")}, Rank: &rank, Rate: 40, Burst: 20, Homes: []steering.Region{"sur"}}}
-	for n := range 70 { // enough for two buckets, so that it shows which of them holds what
+	for n := range 70 { // enough for two buckets, so that the assignment to buckets is covered
 		workspaces = append(workspaces, &identity.Workspace{Name: steering.Workspace(fmt.Sprint("more-", n))})
 	}
 	table := routes.NewTable(7,
