--- a/cmd/internal/benchbalance/zones.go
+++ b/cmd/internal/benchbalance/zones.go
@@ -44,7 +44,7 @@
 	// headroomInterval is how often a zone reports its headroom. A report arrives headroomDelay later.
 	headroomInterval = time.Second
 	headroomDelay    = 50 * time.Millisecond
-	// unreachableTimeout is the time after which a request sent to a failed zone is given up.
+	// unreachableTimeout is the time after which a request sent to a failed zone is abandoned.
 	unreachableTimeout = 300 * time.Millisecond
 	// lookupTTL is the time to live of look-up answers. Callers return to a recovered zone within it.
 	lookupTTL = 5 * time.Second
--- a/cmd/internal/benchcaps/divide.go
+++ b/cmd/internal/benchcaps/divide.go
@@ -18,7 +18,7 @@
 	now := s.time()
 	free := s.requests
 	shares := maxMin(demands, s.requests)
-	for i, v := range s.vms { // seats that get smaller give up their permits before others get them
+	for i, v := range s.vms { // seats that shrink release their permits before others get them
 		if shares[i] < v.seat {
 			v.seat = max(shares[i], v.holder.Shrink(now, shares[i]))
 		}
--- a/cmd/internal/quickstart/faults.go
+++ b/cmd/internal/quickstart/faults.go
@@ -75,7 +75,7 @@
 
 // faultZone returns the zone in which faults are injected. It is the first zone,
 // which neither the shift nor the planned stop affects, so that the effects of a
-// fault can be told apart from theirs.
+// fault can be distinguished from theirs.
 func (s *system) faultZone() string { return s.deployment.Zones[0].Name }
 
 // applyTo sets the fields of one fault and leaves those of other faults set.
--- a/node/admit/pool_state.go
+++ b/node/admit/pool_state.go
@@ -319,8 +319,8 @@
 }
 
 // targetsToQuery returns the targets whose load endpoint has to be read: those
-// that may still run requests that nobody waits for, and ejected ones, which get
-// no requests that would show their state.
+// that may still run abandoned requests, and ejected ones, which get no requests
+// that would show their state.
 func (p *poolState) targetsToQuery() []routing.Target {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/node/admit/reachability.go
+++ b/node/admit/reachability.go
@@ -14,7 +14,7 @@
 // reachability records the members that did not respond to this entry VM.
 //
 // The membership view takes seconds to suspect a member. Until then, every
-// request for a pool of a crashed or paused owner would wait for it in vain. A
+// request for a pool of a crashed or paused owner would wait until it times out. A
 // member that did not respond is therefore skipped until it responds to a probe.
 type reachability struct {
 	mu   sync.Mutex
--- a/node/admit/reconcile.go
+++ b/node/admit/reconcile.go
@@ -14,8 +14,7 @@
 )
 
 // reconcile compares old grants with their holders, ends the grants of crashed
-// holders, and reads the loads of targets that may still run requests that nobody
-// waits for.
+// holders, and reads the loads of targets that may still run abandoned requests.
 func (a *Controller) reconcile(ctx context.Context) {
 	for _, p := range a.pools() {
 		a.endOrphans(p)
@@ -112,8 +111,8 @@
 	return n
 }
 
-// endOrphans ends the grants of holders that are not alive, and returns their
-// number.
+// endOrphans ends the grants of holders for which alive returns false, and returns
+// the number of these grants.
 func (p *poolState) endOrphans(alive func(holder) bool) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/node/admit/role.go
+++ b/node/admit/role.go
@@ -34,7 +34,7 @@
 	return p.term
 }
 
-// relinquish gives up the ownership of the pool.
+// relinquish ends this entry VM's ownership of the pool.
 func (p *poolState) relinquish() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/node/capshare/borrow.go
+++ b/node/capshare/borrow.go
@@ -75,7 +75,7 @@
 }
 
 // nextLoan chooses a lender and starts a loan request. It returns false if no permit is missing
-// or there is nobody to ask.
+// or there is no holder to ask.
 func (k *Caps) nextLoan(sh *share) (lender seam.Member, ask caps.LoanRequest, ok bool) {
 	now := time.Now()
 	sh.mu.Lock()
--- a/node/capshare/capshare_test.go
+++ b/node/capshare/capshare_test.go
@@ -106,7 +106,7 @@
 		time.Sleep(seatsSettleTime)
 		n := f.nodes[0]
 		for _, other := range f.nodes[1:] {
-			f.kill(other) // nobody lends
+			f.kill(other) // no other VM can lend
 		}
 		time.Sleep(seatsSettleTime)
 		permit, err := n.caps.Admit(f.ctx, service, home, "sur-1")
--- a/node/capshare/seats.go
+++ b/node/capshare/seats.go
@@ -98,12 +98,12 @@
 }
 
 // planChange decides how the seats should change, and makes the holder stop using the permits
-// that it is to give up. The caller holds sh.mu.
+// that it is to release. The caller holds sh.mu.
 func (k *Caps) planChange(sh *share, gone func(routing.CapSeat) bool) (caps.Change, bool) {
 	s := sh.snapshot
 	if s.Caps[sh.name] != nil && s.Shifts[s.Caps[sh.name].Shift] == nil {
 		// The shift of the cap is missing. The two objects may arrive one after the other, so
-		// seats are not given up for that.
+		// seats are not released for that.
 		return caps.Change{}, false
 	}
 	planView := sh.planView(nil, k.config.IsZoneReader())
--- a/node/drain/watch.go
+++ b/node/drain/watch.go
@@ -51,8 +51,7 @@
 	warned    bool
 }
 
-// New returns a Watch. It returns an error if Configs, IsZoneReader or Remaining is
-// missing.
+// New returns a Watch. It returns an error if Configs, IsZoneReader or Remaining is missing.
 func New(c Config) (*Watch, error) {
 	if c.Configs == nil || c.IsZoneReader == nil || c.Remaining == nil {
 		return nil, errors.New("drain: Config.Configs, Leading and Remaining must be set")
--- a/node/dynamic/lease.go
+++ b/node/dynamic/lease.go
@@ -31,7 +31,7 @@
 type guardedLease struct {
 	mu      sync.Mutex
 	lease   *config.Lease
-	changed chan struct{} // closed by the next update; nil if nobody waits
+	changed chan struct{} // closed by the next update; nil if no goroutine waits
 }
 
 func (h *guardedLease) update(f func(*config.Lease)) {
--- a/node/forward/handover.go
+++ b/node/forward/handover.go
@@ -188,7 +188,8 @@
 
 // forwardWhileLeaving forwards a request that arrives while this entry VM is leaving to a peer in
 // its zone. done is true if the request was answered or its refusal is final. A keyed
-// non-idempotent request is not forwarded, because nobody else may run a key of this incarnation.
+// non-idempotent request is not forwarded, because no other entry VM may run a
+// key of this incarnation.
 func (x *exchange) forwardWhileLeaving() (refusal *steering.Refusal, done bool) {
 	if x.origin != originCaller || !x.f.leaver.Leaving() || x.r.URL.Path == "*" {
 		return nil, false
--- a/node/forward/refuse.go
+++ b/node/forward/refuse.go
@@ -44,7 +44,7 @@
 	x.fire(request.Refuse)
 	x.f.counters.refuse(final.Reason)
 	if final.Reason == steering.ReasonCancelled {
-		x.abort = true // the caller is gone, nobody would read a response
+		x.abort = true // the caller has disconnected and would not read a response
 		return
 	}
 	x.setCommonHeaders(x.f.selfName)
--- a/node/forward/relay.go
+++ b/node/forward/relay.go
@@ -28,7 +28,7 @@
 //
 // A truncated response must never look like a complete one. Before its header is sent, it becomes a
 // refusal, and the request may be retried. After that, the caller's connection is closed
-// abnormally, since nothing else tells the caller that the response is incomplete.
+// abnormally, since there is no other way to signal that the response is incomplete.
 func (x *exchange) relay(up *upstream, res *http.Response, conn *exchangeConn) tryResult {
 	defer res.Body.Close()
 	buf := buffers.Get().(*[relayBufferBytes]byte)
--- a/node/gateway/allowances/service_test.go
+++ b/node/gateway/allowances/service_test.go
@@ -142,7 +142,8 @@
 	return all
 }
 
-// Guards against callers that all retry at the same time, and in vain.
+// Guards against refused callers that all receive the same Retry-After, retry at the same time and
+// are therefore refused again.
 func TestRetryAfterSpreadsRetries(t *testing.T) {
 	w := limited("flooding", 20, 2)
 	g := newGroup(t, 1, w)
--- a/node/gateway/catchup/catchup_test.go
+++ b/node/gateway/catchup/catchup_test.go
@@ -222,12 +222,12 @@
 }
 
 // Guards against configurations that become active later than the links allow: on the first VM
-// after 0.8 s and on half of 16 VMs after 1.3 s, over a link that passes one in 0.05 s. When a
+// after 0.8 s and on half of 16 VMs after 1.3 s, over a link that transfers one in 0.05 s. When a
 // large configuration grows, all VMs request pieces from the one that has it, each with 25 kB of
-// hashes of the routes it has. Two are served and the others told to retry, but the refused
-// requests fill the link on which those that are served send theirs: the first piece took 0.12 s,
-// refusals up to 0.2 s, each 8 ms longer than the one before, which is what a request takes on
-// the link.
+// hashes of the routes it has. Two are served and the others are refused with a retry delay, but the
+// refused requests fill the link on which the served VMs send theirs: the first piece took 0.12 s,
+// refusals up to 0.2 s, each 8 ms longer than the one before, which is the transfer time of a
+// request on the link.
 func TestRefusedRequestsAreSmall(t *testing.T) {
 	x := index(9, 4200)
 	room := spread.NewSendLimiter(10)
--- a/node/gateway/catchup/handler.go
+++ b/node/gateway/catchup/handler.go
@@ -16,7 +16,7 @@
 const (
 	// Path is the path at which an entry VM serves its configuration to peers.
 	Path = "/v1/config"
-	// headerRetryAfter tells a peer that cannot be served now when to retry, in milliseconds.
+	// headerRetryAfter is the delay, in milliseconds, after which a refused peer should retry.
 	headerRetryAfter = "Heatherlock-Wait-Ms"
 	// maxRequestBytes bounds a request, which holds the hashes of a large configuration's routes.
 	maxRequestBytes = 4 << 20
@@ -74,7 +74,7 @@
 	}
 }
 
-// refuse tells a peer that cannot be served now when to retry.
+// refuse responds to a peer that cannot be served now, with the delay after which to retry.
 func (h *Handler) refuse(w http.ResponseWriter, retryAfter time.Duration) {
 	h.Scope.Counter("gateway_config_asked_in_vain").Inc(1)
 	w.Header().Set(headerRetryAfter, strconv.FormatInt(retryAfter.Milliseconds()+1, 10))
--- a/node/gateway/fleet/roster_test.go
+++ b/node/gateway/fleet/roster_test.go
@@ -173,7 +173,7 @@
 // others must wait from the first such heartbeat and not from the last.
 //
 // With a store that did not answer that VM alone, a version was in force on the others only after
-// 2.5 s and more: 1.1 s until a read is due, 1 s until it is given up, and 0.7 s of waiting.
+// 2.5 s and more: 1.1 s until a read is due, 1 s until it times out, and 0.7 s of waiting.
 func TestHangingReadDelaysOthersOnce(t *testing.T) {
 	names := []steering.VM{"a", "b"}
 	for _, self := range names {
--- a/node/gateway/relay/exchange.go
+++ b/node/gateway/relay/exchange.go
@@ -21,7 +21,7 @@
 	r        *callers.Request
 	call     platform.RequestInfo
 	header   http.Header // end-to-end header fields, shared by all attempts
-	deadline time.Time   // when the request is given up
+	deadline time.Time   // when the request times out
 
 	results       chan attemptResult
 	running       int // attempts in flight
@@ -50,7 +50,7 @@
 	return x
 }
 
-// timeLimit returns how long after its arrival the request is given up.
+// timeLimit returns how long after its arrival the request times out.
 func (x *exchange) timeLimit() time.Duration {
 	timeLimit := defaultDeadline
 	if x.call.Deadline > 0 {
--- a/node/gateway/relay/outcomes.go
+++ b/node/gateway/relay/outcomes.go
@@ -87,7 +87,7 @@
 }
 
 // summary returns what an attempt showed about its target. An attempt that has not ended counts as
-// silent.
+// Silent, which means that no response arrived.
 func (t tried) summary(received time.Time) losses.Try {
 	summary := losses.Try{Outcome: t.report.Outcome, Latency: t.report.Latency, InvalidResponse: t.unusable, Wait: time.Duration(t.WaitMs) * time.Millisecond, OtherRegion: t.crossRegion}
 	if t.End == "" {
--- a/node/gateway/relay/relay.go
+++ b/node/gateway/relay/relay.go
@@ -39,7 +39,7 @@
 	hedgeFactor = 2.5
 	hedgeExtra  = 150 * time.Millisecond
 	// unresponsiveFactor is how many times the expected latency must pass without a response before
-	// the target of a request that is given up counts as unresponsive.
+	// the target of an abandoned request counts as unresponsive.
 	unresponsiveFactor = 2.5
 	// maxExtraAttempts is how many attempts may fail to reach a target in addition to the attempts
 	// that the route allows.
--- a/node/member/failure_test.go
+++ b/node/member/failure_test.go
@@ -166,7 +166,7 @@
 	})
 }
 
-// Guards against replacements that nobody discovers while the platform is down, and against a
+// Guards against replacements that stay undiscovered while the platform is down, and against a
 // burst of list reads when it recovers. The platform is down for ten minutes while two VMs are
 // replaced. The list must not be the only way to discover members, and reads must not be
 // synchronized.
--- a/node/member/members.go
+++ b/node/member/members.go
@@ -219,8 +219,8 @@
 	}
 }
 
-// logChanges logs each member of the own zone whose state changed and each zone that became
-// silent or reported again.
+// logChanges logs each member of the own zone whose state changed, and each zone that stopped
+// reporting or reports again.
 func (m *Members) logChanges(old, now *published) {
 	if old == nil {
 		return
--- a/node/operator/operator_test.go
+++ b/node/operator/operator_test.go
@@ -83,7 +83,7 @@
 	return ""
 }
 
-// Guards against reporting a conflict when nobody else wrote. The platform stores the change
+// Guards against reporting a conflict when no other client wrote. The platform stores the change
 // but its reply is lost, and the entry VM's retry then conflicts with its own change.
 func TestLostReplyIsRecognisedAsOwnWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/node/seam/seam.go
+++ b/node/seam/seam.go
@@ -43,8 +43,8 @@
 	PeerAddress     string
 	OperatorAddress string
 	State           MemberState
-	// LastReceived is the time of the last direct or relayed sign that the member
-	// is alive.
+	// LastReceived is the time at which the last heartbeat of the member, direct or
+	// relayed, or report of its zone arrived.
 	LastReceived time.Time
 	// ConfigVersion is the highest configuration version known to be in force at
 	// the member.
--- a/node/telemetry/bounded.go
+++ b/node/telemetry/bounded.go
@@ -21,7 +21,7 @@
 
 // BoundedWriter writes lines to another writer without ever blocking its caller.
 //
-// If the log were written directly and nobody read it, its pipe would fill up, and each request
+// If the log were written directly and no process read it, its pipe would fill up, and each request
 // that logs a line would block although no target is at fault. BoundedWriter drops a line that
 // exceeds the queue or the rate, counts it, and writes the count with the next line that is
 // written while the queue is empty.
--- a/steering/caps/holder.go
+++ b/steering/caps/holder.go
@@ -35,7 +35,7 @@
 
 	// Each own permit is in one of these states; see Own.
 	free  int
-	held  int   // taken by a request that is not sent or given up yet
+	held  int   // taken by a request that is neither sent nor abandoned yet
 	used  queue // request was sent, free after Terms.reuseWait
 	lent  queue // lent, free after Terms.loanWait
 	added queue // added to the seat, free after seatWait
@@ -85,7 +85,7 @@
 	return h.free + h.held + h.used.total + h.lent.total + h.added.total
 }
 
-// Pinned returns how many of the own permits cannot be given up now: those held by requests that may
+// Pinned returns how many of the own permits cannot be released now: those held by requests that may
 // still be sent, and those lent to other holders.
 func (h *Holder) Pinned() int { return h.held + h.lent.total }
 
@@ -94,13 +94,13 @@
 
 // ApplySeats applies the platform's record of the seats at a version: permits is the holder's own
 // seat in it and longest the longest window that it has. A version that is not newer is ignored,
-// because it could raise the seat again after the holder gave up permits. A newer version decides
+// because it could raise the seat again after the holder released permits. A newer version decides
 // the outcome of every write that was conditional on an older one, so its number of permits is
 // valid even if the reply to a write was lost.
 //
 // exceeds is set if the seats together exceed the cap, which happens when the cap was lowered while
 // some permits were pinned. Such a record raises nothing. Otherwise it would restore the permits
-// that Shrink gave up, each as soon as its loan ends, and the place would get more requests than
+// that Shrink released, each as soon as its loan ends, and the place would get more requests than
 // the lowered cap allows.
 func (h *Holder) ApplySeats(now time.Time, version int64, permits int, longest time.Duration, exceeds bool) {
 	if version <= h.seatsVersion {
@@ -122,7 +122,7 @@
 	h.dropExcess()
 }
 
-// Shrink gives up own permits until at most to are left, and returns how many are left. More than
+// Shrink releases own permits until at most to are left, and returns how many are left. More than
 // to are left if some are pinned; those are dropped as they are returned. Shrink must be called
 // before the lower number is written to the platform. Only a newer record of the seats raises the
 // number again.
--- a/steering/caps/holder_test.go
+++ b/steering/caps/holder_test.go
@@ -74,7 +74,7 @@
 }
 
 // Guards against a request under a cap that was lowered to 0: a permit is lent, the cap is lowered,
-// the lender gives up its permits and writes its seat with the lent one, which is pinned. It then
+// the lender releases its permits and writes its seat with the lent one, which is pinned. It then
 // reads that record, and the loan ends. The lender must not treat the record as a raise of its
 // seat.
 func TestRecordOfPinnedPermitsRaisesNothing(t *testing.T) {
--- a/steering/caps/plan.go
+++ b/steering/caps/plan.go
@@ -24,7 +24,7 @@
 	// Leader is set on the entry VM that removes the seats of gone VMs and assigns free permits.
 	Leader bool
 	// Own is the number of permits that the holder counts as its own, and Pinned the number of those
-	// that it cannot give up now. See Holder.Own and Holder.Pinned.
+	// that it cannot release now. See Holder.Own and Holder.Pinned.
 	Own, Pinned int
 }
 
@@ -150,7 +150,7 @@
 	}
 }
 
-// lowerOwnSeat gives up permits of this VM if the seats exceed the cap, if another claimant has less
+// lowerOwnSeat releases permits of this VM if the seats exceed the cap, if another claimant has less
 // than its share, or if this VM is not a claimant.
 func (p *plan) lowerOwnSeat() {
 	i := p.seatIndex(p.Self)
@@ -179,7 +179,7 @@
 	}
 }
 
-// excess returns how many permits this VM's seat must give up because the seats exceed the cap. It
+// excess returns how many permits this VM's seat must release because the seats exceed the cap. It
 // depends only on the record, not on which VMs this VM considers claimants: holders that have the
 // same record lower their seats at the same time, without communication, to a sum within the cap.
 func (p *plan) excess(self int) int {
--- a/steering/config/doc.go
+++ b/steering/config/doc.go
@@ -3,7 +3,7 @@
 //
 // A [Set] is one full configuration: the stored objects at one platform revision.
 // Sets are immutable. Applying an [Offer] of a peer or a platform reading returns
-// another set with a higher version, or a [Verdict] that tells why the set stays.
+// another set with a higher version, or a [Verdict] that states why the set does not change.
 // All updates go through this package, so a message that is delayed, stale,
 // repeated or computed for another version cannot set a node back to an older
 // configuration.
--- a/steering/config/lease.go
+++ b/steering/config/lease.go
@@ -151,7 +151,7 @@
 	return Action{Step: Write, Version: l.version, Record: r}
 }
 
-// Release gives up the lease and returns the write that releases the record. It
+// Release ends the lease and returns the write that releases the record. It
 // returns false if the lease is not held at now.
 func (l *Lease) Release(now time.Time) (Action, bool) {
 	if _, holding := l.Holding(now); !holding {
--- a/steering/config/lease_test.go
+++ b/steering/config/lease_test.go
@@ -139,7 +139,7 @@
 	}
 }
 
-// Release lets a candidate give up the lease if it holds it.
+// Release makes a random candidate release the lease if it holds it.
 func (m *leaseMachine) Release(t *rapid.T) {
 	l := rapid.SampledFrom(m.leases).Draw(t, "candidate")
 	if action, held := l.Release(m.now); held {
--- a/steering/identity/identity_test.go
+++ b/steering/identity/identity_test.go
@@ -44,7 +44,7 @@
 }
 
 // Guards against keys that are attributed to a wrong workspace: for any set of workspaces,
-// Find returns the holder of each key, and Unknown for a key that nobody holds.
+// Find returns the holder of each key, and Unknown for a key that no workspace holds.
 func TestDirectoryFindsOnlyHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		holders := map[string]string{}
--- a/steering/ids.go
+++ b/steering/ids.go
@@ -41,7 +41,7 @@
 // the epoch is the minute of issue. Callers get it from a look-up answer or from the
 // Heatherlock-Key-Prefix header of any response. It is valid for new keys only for some
 // minutes: older epochs are sealed, because the outcomes of their keys may have been
-// evicted and a new key could not be told from a used one. See package once.
+// evicted and a new key could not be distinguished from a used one. See package once.
 type KeyPrefix string
 
 // Key is a request key: "<key prefix>.<unique part>". It is empty if the caller sent none.
--- a/steering/once/outcome.go
+++ b/steering/once/outcome.go
@@ -75,7 +75,7 @@
 	Refusal *steering.Refusal
 }
 
-// Run is the permission to execute a key once. Serial tells runs of the same key apart: a late
+// Run is the permission to execute a key once. Serial distinguishes runs of the same key: a late
 // Finish of an earlier run, which was known not to have run, must not end the current one.
 type Run struct {
 	Key    steering.Key
@@ -115,7 +115,7 @@
 	return steering.RefuseUnknown(steering.ReasonKeyOwnerGone, "incarnation "+string(home)+" issued the key and is gone")
 }
 
-// HomeUnreachable returns the refusal for a key whose incarnation is presumed alive but cannot be
+// HomeUnreachable returns the refusal for a key whose incarnation is presumed running but cannot be
 // reached now. A later repeat may reach it.
 func HomeUnreachable(home steering.Incarnation) *steering.Refusal {
 	r := steering.RefuseUnknown(steering.ReasonPeerUnreachable, "incarnation "+string(home)+" issued the key and does not answer")
--- a/steering/placement/choose.go
+++ b/steering/placement/choose.go
@@ -30,7 +30,7 @@
 	// priority are refused before those of a higher one.
 	rankWaitFactor = 0.85
 	// minRetryAfter and maxRetryAfter limit Retry-After. A caller that retries sooner finds the
-	// same queue; by a later time most callers have given up.
+	// same queue; after a longer delay most callers have timed out.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 2 * time.Second
 )
--- a/steering/placement/doc.go
+++ b/steering/placement/doc.go
@@ -17,7 +17,7 @@
 //   - Overload: the wait at a target is predicted from the load that the target reports and from
 //     the requests that this entry VM has sent since. A request that cannot be answered within its
 //     latency objective is refused at once, while its caller still has time to act on the refusal.
-//     A queue of late answers would serve nobody in time.
+//     A queue would delay every response beyond its objective.
 //   - Failing targets: a target that has crashed, is unreachable or fails requests is ejected based
 //     on what this entry VM itself observes, and probed with single requests. A refusal by a full
 //     target is not a failure. When most targets of a service are ejected, the observations are
--- a/steering/placement/placement_test.go
+++ b/steering/placement/placement_test.go
@@ -70,7 +70,7 @@
 	})
 }
 
-// Guards against half of the callers waiting for the timeout of a dead target, until the list of
+// Guards against half of the callers waiting for the timeout of a crashed target, until the list of
 // targets shows seconds later that it is gone. A target that disappears without a connection reset
 // must be ejected after a few timeouts, probed with single requests, and used again after one
 // succeeds.
--- a/steering/placement/types.go
+++ b/steering/placement/types.go
@@ -94,7 +94,7 @@
 	Broken
 	// Silent: no answer arrived before the timeout.
 	Silent
-	// Abandoned: the exchange was given up for a reason unrelated to the target.
+	// Abandoned: the exchange was ended early for a reason unrelated to the target.
 	Abandoned
 	// Replaced: another target uses the address now.
 	Replaced
--- a/steering/poison/signature.go
+++ b/steering/poison/signature.go
@@ -7,7 +7,7 @@
 //
 // What a poison request shares with harmless requests (its page, or a header that many
 // requests have) was present at each of the losses too. If each ID were refused by
-// itself, nobody could read that page any more, and since no request for it could
+// itself, no caller could request that page any more, and since no request for it could
 // finish, this would not end. Therefore the IDs of the request that have reached the loss
 // limit form one signature. A request that has all of them is refused. A request that has
 // some of them is sent on trial, and clears those when it finishes normally.
--- a/steering/refusal.go
+++ b/steering/refusal.go
@@ -79,7 +79,7 @@
 )
 
 // Refusal is the typed response that an entry VM sends in place of a target's response.
-// It is final and sent at once, and it tells the caller when to retry.
+// It is final and sent at once, and it states when the caller should retry.
 type Refusal struct {
 	Reason Reason
 	Ran    Ran
--- a/steering/spread/doc.go
+++ b/steering/spread/doc.go
@@ -15,10 +15,10 @@
 // loses nothing that was received.
 //
 // SendLimiter limits how much a VM sends and to how many VMs at a time. A VM whose request exceeds
-// the limits is told at once when to retry, and meanwhile asks another VM that has the
-// configuration. So the number of copies doubles from VM to VM, instead of all copies leaving over
-// one link. ChooseSource selects the VM to ask. A request that is long because of its hashes is
-// sent only to a VM that has reserved a slot for the requester. RecentVersions keeps a
+// the limits immediately receives a refusal with a retry delay, and meanwhile asks another VM that
+// has the configuration. So the number of copies doubles with each round, instead of all copies
+// being sent over one link. ChooseSource selects the VM to ask. A request that is long because of
+// its hashes is sent only to a VM that has reserved a slot for the requester. RecentVersions keeps a
 // configuration available for a short time after it was replaced, for VMs that have begun to fetch
 // it.
 //
