--- a/cmd/internal/benchplacement/policies.go
+++ b/cmd/internal/benchplacement/policies.go
@@ -17,7 +17,7 @@
 	choose(now time.Time, c *request) (steering.Target, bool)
 	// finished is called with the outcome of each request that choose gave a target.
 	finished(now time.Time, c *request, o placement.Outcome)
-	// updateLending recomputes the capacity that regions lend each other.
+	// updateLending recomputes how the keys of each region are split over the regions.
 	updateLending(now time.Time)
 }
 
@@ -70,8 +70,8 @@
 	p.balancers[c.vm].RequestEnded(now, c.pick.Target, r, c.pick.Trial, c.pick.Wait > 0)
 }
 
-// updateLending stands for the exchange of demand among entry VMs: it sums the demand by region,
-// computes the lending from it, and passes the lending and the run times of services to every
+// updateLending simulates the exchange of demand among entry VMs: it sums the demand by region,
+// computes the region split from it, and passes the split and the run times of services to every
 // balancer.
 func (p *productPolicy) updateLending(now time.Time) {
 	demand := make(map[steering.Region]placement.DemandOf)
--- a/cmd/internal/benchplacement/sim.go
+++ b/cmd/internal/benchplacement/sim.go
@@ -182,7 +182,8 @@
 	})
 }
 
-// scheduleLendingUpdate makes the policy recompute the lending between regions at a fixed interval.
+// scheduleLendingUpdate makes the policy recompute the split of keys over regions at a fixed
+// interval.
 func (m *sim) scheduleLendingUpdate() {
 	m.at(m.now.Add(lendingInterval), func() {
 		m.way.updateLending(m.now)
@@ -229,7 +230,7 @@
 		return
 	}
 	c.target, c.sent = m.targetsByName[name], m.now
-	// way is a round-trip time.
+	// The request arrives after half of the round-trip time.
 	way := m.roundTrip(c)
 	m.at(m.now.Add(way/2), func() { m.arriveAtTarget(c) })
 }
--- a/node/dynamic/chaos_test.go
+++ b/node/dynamic/chaos_test.go
@@ -27,7 +27,7 @@
 func (c *chaos) randomBool() bool { return c.random.IntN(2) == 0 }
 
 // randomRunning returns a random node that is not paused. The test cannot kill a
-// paused one, because its process never notices that its context has ended.
+// paused one, because it does not react to the end of its context.
 func (c *chaos) randomRunning() *fleetNode {
 	members := c.fleet.nodes
 	for {
--- a/node/dynamic/fleet_test.go
+++ b/node/dynamic/fleet_test.go
@@ -174,8 +174,8 @@
 	<-m.done
 }
 
-// killAll kills every node. It resumes paused nodes first, since they would not
-// notice otherwise.
+// killAll kills every node. It resumes paused nodes first, because a paused node
+// does not react to the end of its context.
 func (f *fleet) killAll() {
 	for _, m := range f.nodes {
 		if !m.gate.isOpen() {
--- a/node/gateway/feed/configread.go
+++ b/node/gateway/feed/configread.go
@@ -125,7 +125,7 @@
 	r.noteRejected(c)
 }
 
-// noteRejected remembers a configuration that cannot be used and logs each one once.
+// noteRejected records a configuration that cannot be used and logs each one once.
 func (r *Reader) noteRejected(c platform.Config) {
 	if c.Table == nil && c.Rejected == nil {
 		return // the read found nothing new
--- a/node/gateway/feed/state.go
+++ b/node/gateway/feed/state.go
@@ -296,7 +296,7 @@
 	return true
 }
 
-// trimRemoved forgets the older half of the removed targets if there are too many. A peer at an
+// trimRemoved drops the older half of the removed targets if there are too many. A peer at an
 // older revision than the remaining ones then needs all targets.
 func (s *State) trimRemoved() {
 	if len(s.removed) <= maxRemovedTargets {
@@ -403,7 +403,7 @@
 
 // inUnknownZones returns the entries whose zone is not in the settings. Such targets get no
 // requests: without a region, neither the limits on where a request may run nor those on
-// cross-region lending can be enforced for them.
+// cross-region offloading can be enforced for them.
 func (s *State) inUnknownZones(targets []platform.Target) []platform.InvalidEntry {
 	var found []platform.InvalidEntry
 	for _, t := range targets {
--- a/node/gateway/feed/state_test.go
+++ b/node/gateway/feed/state_test.go
@@ -149,8 +149,8 @@
 	assert.Assert(t, !pull)
 }
 
-// Guards against flooding a target that became cold again from the entry VMs that learn of it only
-// by digests: the digest must differ before and after.
+// Guards against entry VMs that overload a target because they do not detect that it became cold
+// again. They receive target changes only from peers whose digest differs, so the digest must change.
 func TestDigestShowsTargetThatBecameCold(t *testing.T) {
 	a, b := feed.NewState(beat, regions), feed.NewState(beat, regions)
 	for _, s := range []*feed.State{a, b} {
--- a/node/gateway/fleet/query.go
+++ b/node/gateway/fleet/query.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// disagreementTimeout is how long no other VM may have reported the same set of live VMs before
-	// this VM asks for the others' members. When a VM starts or ends, those that have noticed agree
-	// with each other and so do those that have not, so no VM asks.
+	// disagreementTimeout is the time after which this VM asks others for their members if no other
+	// VM has reported the same set of live VMs. When a VM starts or stops, the VMs that have detected
+	// it agree with each other, and so do those that have not, so no VM asks.
 	disagreementTimeout = 1500 * time.Millisecond
 	// minQueryInterval and maxQueryInterval bound the time between two queries. It doubles while
 	// the replies introduce no new member: during a network partition that affects only some VMs
--- a/node/gateway/fleet/roster_test.go
+++ b/node/gateway/fleet/roster_test.go
@@ -172,8 +172,8 @@
 // VM. That VM is the first to read, its read hangs, and each of its heartbeats reports the read;
 // others must wait from the first such heartbeat and not from the last.
 //
-// With a store that did not answer that VM alone, a version was in force on the others only after
-// 2.5 s and more: 1.1 s until a read is due, 1 s until it times out, and 0.7 s of waiting.
+// While the store did not answer that VM alone, a version was in force on the others only after
+// 2.5 s or more: 1.1 s until a read is due, 1 s until it times out, and 0.7 s of waiting.
 func TestHangingReadDelaysOthersOnce(t *testing.T) {
 	names := []steering.VM{"a", "b"}
 	for _, self := range names {
--- a/node/gateway/fleet/size_test.go
+++ b/node/gateway/fleet/size_test.go
@@ -232,7 +232,8 @@
 	assert.Assert(t, !q.noteBeat(start.Add(63*time.Second), false), "not all have noticed a change yet")
 }
 
-// Guards against a region that goes on lending or keeping its keys by the demand of minutes ago.
+// Guards against a region that continues to offload or keep its keys based on the demand of minutes
+// ago.
 // Demand grows in a zone of many VMs, and those of its VMs that do not send to a VM of another zone
 // never report theirs to it, unless the senders report the demand of the whole zone.
 func TestDemandOfLargeZonesIsKnownElsewhere(t *testing.T) {
--- a/node/gateway/growth_test.go
+++ b/node/gateway/growth_test.go
@@ -97,11 +97,10 @@
 	t.Logf("active on the last VM after %v; one added route after %v", slices.Max(grown), slices.Max(small))
 }
 
-// Guards against VMs that learn nothing of targets for four seconds while they wait for a
-// configuration; a leaving target is given 2.5 s until it gets no more requests. Most VMs learn
-// the contents of the store from peers. If target updates arrive in the same response as the
-// configuration, they are delayed while a grown one is transferred, and lost if the transfer
-// fails.
+// Guards against VMs that receive no target updates for four seconds while they wait for a
+// configuration; requests to a leaving target must stop within 2.5 s. Most VMs receive the contents
+// of the store from peers. If target updates arrive in the same response as the configuration, they
+// are delayed while a grown one is transferred, and lost if the transfer fails.
 //
 // Such VMs logged no "targets get nothing new" from one failed response to the end of the last
 // one, although two targets left per second.
--- a/node/gateway/peersync.go
+++ b/node/gateway/peersync.go
@@ -118,7 +118,8 @@
 	return volume.Location{Zone: m.Zone, Region: m.Region}
 }
 
-// countPull counts a response of a peer and its bytes by whether it was complete.
+// countPull counts a response of a peer and its bytes, separately for complete and incomplete
+// responses.
 func (g *Gateway) countPull(bytes int64, err error) {
 	outcome := "whole"
 	if err != nil {
--- a/node/gateway/relay/poison.go
+++ b/node/gateway/relay/poison.go
@@ -120,10 +120,10 @@
 	}
 }
 
-// crashTime returns when a target crashed, given its pending losses since it last responded: when
-// the last of the requests broke that were in flight at the first break. A proxy in front of a
-// crashed target may accept and break connections for a while; requests sent on those did not cause
-// the crash.
+// crashTime returns when a target crashed, given its pending losses since it last responded. Of the
+// requests that were in flight when the first connection broke, it takes the one whose connection
+// broke last. A proxy in front of a crashed target may accept and break connections for a while;
+// requests sent on those did not cause the crash.
 func crashTime(losses []pendingLoss) (crashedAt time.Time) {
 	for i, c := range losses {
 		if i == 0 || c.sent.Before(losses[0].brokenAt) && c.brokenAt.After(crashedAt) {
--- a/node/gateway/reload.go
+++ b/node/gateway/reload.go
@@ -30,7 +30,7 @@
 	_ = g.log.Log("msg", "settings read again", "restart_needed", next.Listen != g.settings.Listen || next.Store != g.settings.Store) // the log writer counts dropped lines
 }
 
-// applyBounds makes bounds take effect.
+// applyBounds passes new bounds to the components that enforce them.
 func (g *Gateway) applyBounds(b platform.Bounds) {
 	g.bounds.Store(&b)
 	g.reader.SetPropagationBound(min(b.Drain, b.MaxConfigApplyTime))
--- a/node/gateway/targetlog.go
+++ b/node/gateway/targetlog.go
@@ -137,7 +137,7 @@
 	}
 }
 
-// clearUsable forgets the entries that are valid again, so that their next fault is logged.
+// clearUsable drops the entries that are valid again, so that their next fault is logged.
 func (b *targetLog) clearUsable(known map[steering.Target]loggedTarget) {
 	for name := range b.unusable {
 		if _, usable := known[name]; usable {
--- a/node/static/settings.go
+++ b/node/static/settings.go
@@ -81,7 +81,7 @@
 
 // OperatorToken is an operator's bearer token, of which only the SHA-256 digest is stored.
 type OperatorToken struct {
-	// Name is who is named in the audit log.
+	// Name identifies the holder of the token in the audit log.
 	Name string `json:"name" check:"required"`
 	// SHA256 is the hash of the token in hex: printf %s TOKEN | sha256sum.
 	SHA256 string `json:"sha256" check:"required"`
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -11,6 +11,6 @@
 //
 // The clocks of processes cannot be stepped from outside without privileges, and
 // datagrams between entry VMs do not pass through a proxy: paused and killed processes
-// take the place of stepped clocks and lost datagrams. A run signals only processes that it started itself,
-// by their process IDs.
+// take the place of stepped clocks and lost datagrams. A run signals only processes
+// that it started itself, by their process IDs.
 package soak
--- a/steering/caps/caps_test.go
+++ b/steering/caps/caps_test.go
@@ -90,7 +90,8 @@
 	}
 }
 
-// converge lets all running nodes learn and plan, and delivers each of their writes to the platform.
+// converge updates the snapshots of all running nodes, runs their plans, and delivers each of their
+// writes to the platform.
 func (f *fleet) converge(*rapid.T) {
 	for range 2 {
 		for _, n := range f.running() {
@@ -102,8 +103,8 @@
 	}
 }
 
-// loan plays one request for a loan whose messages arrive at once. The answer may arrive once more
-// later.
+// loan simulates one loan request whose messages are delivered immediately. The answer may be
+// delivered a second time later.
 func (f *fleet) loan(t *rapid.T) {
 	from, to := f.pick("borrower"), f.pick("lender")
 	if from == to {
--- a/steering/placement/placement_test.go
+++ b/steering/placement/placement_test.go
@@ -229,8 +229,8 @@
 	assert.Assert(t, b.Demand(start)[service].RunMs < 110)
 }
 
-// Guards against offloading keys by slots alone: when the links to a region break, callers must not
-// wait for targets of that region.
+// Guards against offloading keys based on slots alone: when the links to a region break, callers must
+// not wait for targets of that region.
 func TestKeysAreNotOffloadedToUnreachableRegions(t *testing.T) {
 	all := append(append(targets(2, "centro"), targets(2, "sur")...), targets(2, "norte")...)
 	b := newBalancer("vm", all...)
--- a/steering/pool/config.go
+++ b/steering/pool/config.go
@@ -31,10 +31,10 @@
 	// MinWait. If it is zero, this bound does not apply.
 	WaitPart float64
 	MinWait  time.Duration // 25 ms
-	// StandingAfter is how long a queue must not have been empty to be a standing queue. Waiting
-	// out a short burst pays for a request that cannot go elsewhere. In a standing queue, longer
-	// waits do not serve more requests, they only serve all of them later; Request.NoAlternative
-	// therefore has no effect there.
+	// StandingAfter is how long a queue must not have been empty to be a standing queue. A request
+	// that cannot go elsewhere gains from waiting while the queue is due to a short burst. In a
+	// standing queue, longer waits do not serve more requests, they only serve all of them later;
+	// Request.NoAlternative therefore has no effect there.
 	StandingAfter time.Duration // 500 ms
 	// CrossZoneMaxWait replaces MaxWait for requests from other zones. They have already spent time
 	// on the way, and refusing them costs less.
--- a/steering/retry/retry_test.go
+++ b/steering/retry/retry_test.go
@@ -60,8 +60,8 @@
 	})
 }
 
-// amplification returns the ratio of the load on targets to the request rate of the callers when
-// the fraction failing of the first tries fails and each failure asks for one retry.
+// amplification returns the ratio of the load on targets to the request rate of the callers if the
+// given fraction of the first tries fails and each failed first try requests one retry.
 func amplification(budgeted bool, percent int, failing float64) float64 {
 	const requests = 20000
 	random := rand.New(rand.NewPCG(1, 2))
--- a/steering/spread/fleet_test.go
+++ b/steering/spread/fleet_test.go
@@ -81,9 +81,9 @@
 }
 
 // Guards against a distribution time that grows with the fleet because the link of one VM carries
-// all copies: 650 copies of 45 kB take 23 s on a link of 10 Mbit/s. The simulation runs only
-// the decisions of this package, on such links, for changes of 1,400 routes, of one route and of 4,200 routes;
-// sizes are in bytes on the wire.
+// all copies: 650 copies of 45 kB take 23 s on a link of 10 Mbit/s. The simulation runs only the
+// decisions of this package, on such links, for changes of 1,400 routes, of one route and of 4,200
+// routes; sizes are in bytes on the wire.
 func TestConfigurationReachesALargeFleetInTime(t *testing.T) {
 	// bound is the limit of 4 s in which a change must be in force, less 1.1 s until a VM reads the
 	// store and 0.6 s for reading 1 MB; the VMs with the most resources read first.
--- a/steering/spread/piece.go
+++ b/steering/spread/piece.go
@@ -159,7 +159,8 @@
 // SlotRequest returns the request for a slot at a VM, which precedes the request for parts.
 //
 // For a large configuration, a request for parts contains as many bytes of hashes as the answer
-// contains of routes. Requests that are rejected would fill the link of the VM that all others ask.
+// contains of routes. Without the request for a slot, rejected requests for parts would fill the
+// link of the VM that all others ask.
 func (n Request) SlotRequest() Request {
 	return Request{Version: n.Version, Bytes: n.Bytes, From: n.From}
 }
--- a/steering/spread/recent.go
+++ b/steering/spread/recent.go
@@ -18,13 +18,13 @@
 // fetch one of them.
 //
 // Without it, a VM on a narrow link never completes a version if new versions arrive faster than it
-// can fetch one: for each next part, its version has been replaced at the peer, and it starts on
-// the newer one. The VMs that wait for it stay out of date as well, and in the end all VMs ask the
-// one that reads the store. The symptom is VMs on which no newer configuration is in force for as
-// long as new versions arrive, while their links are busy. In a simulation of 195 VMs with links of
-// 10 Mbit/s and a version with 1,400 changed routes every 0.65 s for 12 s, the last VM was 21 s
-// behind without RecentVersions. With it, and with VMs that ask any peer that has a newer version
-// (ChooseSource), it was 3 s behind.
+// can fetch one: whenever it requests the next part, its version has been replaced at the peer, and
+// it starts on the newer one. The VMs that wait for it stay out of date as well, and in the end all
+// VMs ask the one that reads the store. The symptom is VMs on which no newer configuration is in
+// force for as long as new versions arrive, while their links are busy. In a simulation of 195 VMs
+// with links of 10 Mbit/s and a version with 1,400 changed routes every 0.65 s for 12 s, the last VM
+// was 21 s behind without RecentVersions. With it, and with VMs that ask any peer that has a newer
+// version (ChooseSource), it was 3 s behind.
 //
 // RecentVersions is safe for concurrent use. Its zero value is ready to use.
 type RecentVersions struct {
