--- a/node/gateway/relay/outcomes.go
+++ b/node/gateway/relay/outcomes.go
@@ -30,7 +30,7 @@
 	return losses.Kind{Service: service, Repeats: route.Kind.String(), AimMs: route.Aim.Milliseconds()}
 }
 
-// add counts a request that ended as r describes. It sets r.Used itself.
+// add counts a request that ended as r describes. It sets r.TimeUsed itself.
 func (s *outcomeCounts) add(k losses.Kind, r losses.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,7 +87,7 @@
 }
 
 // summary returns what an attempt showed about its target. An attempt that has not ended counts as
-// silent.
+// Silent, which means that no response arrived.
 func (t tried) summary(received time.Time) losses.Try {
 	summary := losses.Try{Outcome: t.report.Outcome, Latency: t.report.Latency, InvalidResponse: t.unusable, Wait: time.Duration(t.WaitMs) * time.Millisecond, OtherRegion: t.crossRegion}
 	if t.End == "" {
--- a/steering/placement/placement_test.go
+++ b/steering/placement/placement_test.go
@@ -70,7 +70,7 @@
 	})
 }
 
-// Guards against half of the callers waiting for the timeout of a dead target, until the list of
+// Guards against half of the callers waiting for the timeout of a crashed target, until the list of
 // targets shows seconds later that it is gone. A target that disappears without a connection reset
 // must be ejected after a few timeouts, probed with single requests, and used again after one
 // succeeds.
@@ -229,8 +229,8 @@
 	assert.Assert(t, b.Demand(start)[service].RunMs < 110)
 }
 
-// Guards against offloading keys by slots alone: when the links to a region break, callers must not
-// wait for targets of that region.
+// Guards against offloading keys based on slots alone: when the links to a region break, callers must
+// not wait for targets of that region.
 func TestKeysAreNotOffloadedToUnreachableRegions(t *testing.T) {
 	all := append(append(targets(2, "centro"), targets(2, "sur")...), targets(2, "norte")...)
 	b := newBalancer("vm", all...)
