--- a/node/drain/watch.go
+++ b/node/drain/watch.go
@@ -54,7 +54,7 @@
 // New returns a Watch. It returns an error if Configs, IsZoneReader or Remaining is missing.
 func New(c Config) (*Watch, error) {
 	if c.Configs == nil || c.IsZoneReader == nil || c.Remaining == nil {
-		return nil, errors.New("drain: Config.Configs, Leading and Remaining must be set")
+		return nil, errors.New("drain: Config.Configs, IsZoneReader and Remaining must be set")
 	}
 	if c.Scope == nil {
 		c.Scope = tally.NoopScope
